--- a/acaciacove/decisions/admission.py
+++ b/acaciacove/decisions/admission.py
@@ -1,4 +1,4 @@
-"""The queue before one endpoint: fair by organisation, early to refuse."""
+"""Admission queue of one endpoint: fair queuing by organisation, early refusal."""
 
 from collections.abc import Callable
 
@@ -17,13 +17,13 @@
 
 @define
 class AdmissionQueue:
-    """Start-time fair queuing over organisations; state only, no clock, no task.
+    """Start-time fair queuing over organisations, without a clock or a task.
 
-    Each organisation's next item has a start tag, which grows by the work of each
-    item that runs, over the weight; the least start tag runs next. So an
-    organisation that sends ten times its share waits behind itself, and one whose
-    items are refused or cancelled is not charged for them. ``limit`` is set from
-    outside (ramp and adaptive limit) before ``next`` is asked.
+    Each organisation's next item has a start tag. The tag grows by each item's work
+    divided by the organisation's weight, and the lowest tag runs next. An organisation
+    that sends ten times its share therefore delays only itself. Refused and cancelled
+    items are not charged. The caller sets ``limit`` (from the ramp and the adaptive
+    limit) before it calls ``next``.
     """
 
     settings: AdmissionSettings = AdmissionSettings()
@@ -39,11 +39,11 @@
     _looked_at_s: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Start from the settings' guess of the speed."""
+        """Initialise the time per token from the settings."""
         self._token_s = self.settings.token_s
 
     def offer(self, item: WaitingItem, now_s: float) -> Refusal | None:
-        """Queue an item, or return the refusal at once."""
+        """Queue an item, or return its refusal."""
         lane = self._lane(item, now_s)
         wait_s = self._expected_wait_s(lane, item.batch, now_s)
         until_s = self._waits_until_s(item, now_s)
@@ -58,9 +58,9 @@
         return None
 
     def next(self, now_s: float) -> WaitingItem | None:
-        """Take the next item to run, if the limit has room.
+        """Remove and return the next item to run, if the limit has room.
 
-        Items that have waited as long as they may are given up, see ``take_refused``.
+        Refuses expired items, see ``take_refused``.
         """
         self._give_up_late(now_s)
         if len(self.running) >= self.limit:
@@ -85,10 +85,10 @@
         ok: bool,
         used_tokens: float | None = None,
     ) -> None:
-        """Free the slot of an item that ``next`` gave out.
+        """Free the slot of an item that ``next`` returned.
 
-        ``used_tokens`` corrects the expected work, so that asking for little and
-        using much gains nothing.
+        ``used_tokens`` replaces the expected work, so that an organisation gains
+        nothing by understating it.
         """
         _, started_at_s = self.running.pop(item.request_id)
         lane = self._lanes[item.organisation]
@@ -99,7 +99,7 @@
             self._learn((now_s - started_at_s) / used)
 
     def cancel(self, request_id: str) -> bool:
-        """Drop a waiting item; False when it is not waiting."""
+        """Remove a waiting item and return whether it was waiting."""
         for lane in self._lanes.values():
             item = lane.remove(request_id)
             if item is not None:
@@ -108,32 +108,35 @@
         return False
 
     def take_refused(self) -> tuple[RefusedItem, ...]:
-        """Return the items given up since the last call; they never ran."""
+        """Return the items refused since the last call, none of which has run."""
         refused = tuple(self._refused)
         self._refused.clear()
         return refused
 
     @property
     def queued(self) -> int:
-        """Count the waiting items."""
+        """Number of waiting items."""
         return self._kind_counts[False] + self._kind_counts[True]
 
     def _learn(self, token_s: float) -> None:
-        """Smooth the time per token; the first samples are averaged."""
+        """Update the moving average of the time per token.
+
+        The first samples are weighted equally.
+        """
         self._samples += 1
         weight = max(self.settings.smoothing, 1.0 / self._samples)
         self._token_s += weight * (token_s - self._token_s)
 
     def _service_s(self, item: WaitingItem) -> float:
-        """Estimate how long an item runs; 0 while nothing is known.
+        """Return the estimated run time of an item, 0 before ``min_samples``.
 
-        A guess would refuse work that an idle endpoint could well have done.
+        Without samples, an estimate could refuse work that an idle endpoint can do.
         """
         known = self._samples >= self.settings.min_samples
         return item.cost_tokens * self._token_s if known else 0.0
 
     def _lane(self, item: WaitingItem, now_s: float) -> Lane:
-        """Return the organisation's lane, forgetting idle ones beyond a bound."""
+        """Return the organisation's queue; removes idle queues at the upper bound."""
         lane = self._lanes.get(item.organisation)
         if lane is None:
             if len(self._lanes) >= _MAX_LANES:
@@ -150,7 +153,7 @@
                 del self._lanes[name]
 
     def _pick(self, now_s: float) -> tuple[Lane, bool] | None:
-        """Pick the lane and the kind that run next."""
+        """Return the queue and the kind (batch or not) that run next."""
         free = self.limit - len(self.running)
         scarce = free <= int(self.settings.reserved_share * self.limit)
         fits = self._fits_reserve(now_s) if scarce else _always
@@ -169,10 +172,11 @@
         return picked[batch], batch
 
     def _fits_reserve(self, now_s: float) -> Callable[[Lane], bool]:
-        """Admit only lanes below their share to the last free slots.
+        """Return a filter that admits only queues within their share.
 
-        Without this, a flood holds every slot whenever a slot is free, and each
-        other organisation's request waits for a whole answer to end.
+        It applies to the last free slots. Otherwise one organisation's flood takes
+        every slot that becomes free, and requests of the others wait until a complete
+        answer has ended.
         """
 
         def fits(lane: Lane) -> bool:
@@ -181,28 +185,30 @@
         return fits
 
     def _start_tag(self, lane: Lane, now_s: float) -> float:
-        """Start where the lane's work before ends, at most a credit behind the present.
+        """Return the start tag of the next item of a queue.
 
-        An organisation that has used less than its share may burst. Without credit, a
-        long answer or two requests at once at one endpoint put its next request
-        behind a whole flood, though over a minute it uses a part of its share.
+        It is the end of the queue's previous work, but at most ``_credit`` behind the
+        virtual time, so an organisation that used less than its share may burst.
+        Without this credit, a long answer or two concurrent requests at one endpoint
+        would put its next request behind a complete flood of another organisation,
+        although over a minute it uses only part of its share.
         """
         return max(self._virtual - self._credit(now_s), lane.next_tag)
 
     def _credit(self, now_s: float) -> float:
-        """Return the tokens by weight that are served in ``credit_s``."""
+        """Return the tokens per unit of weight that are served in ``credit_s``."""
         tokens_per_s = self.limit / max(_MIN_TOKEN_S, self._token_s)
         return self.settings.credit_s * tokens_per_s / self._active_weight(now_s)
 
     def _is_entitled(self, lane: Lane, now_s: float) -> bool:
-        """Tell whether a lane is in credit, or holds about its share of the slots."""
+        """Return whether a queue has credit or runs at most about its share."""
         if lane.next_tag < self._virtual:
             return True
         share = self.settings.slack * self.limit / self._active_weight(now_s)
         return (lane.running + 1) / lane.weight <= share
 
     def _active_weight(self, now_s: float) -> float:
-        """Sum the weights of organisations with work here, or lately."""
+        """Return the total weight of organisations with work now or recently."""
         oldest = now_s - self.settings.active_s
         return sum(
             lane.weight
@@ -211,7 +217,10 @@
         )
 
     def _enter_kind(self, batch: bool) -> None:
-        """Start a kind that was idle level with the other: idling earns no credit."""
+        """Count an arrival; an idle kind continues at the higher of the two tags.
+
+        An idle kind thus accumulates no credit.
+        """
         if not self._kind_counts[batch]:
             level = max(self._kind_tags[batch], self._kind_tags[not batch])
             self._kind_tags[batch] = level
@@ -222,7 +231,10 @@
         return share if batch else 1.0 - share
 
     def _expected_wait_s(self, lane: Lane, batch: bool, now_s: float) -> float:
-        """Estimate the wait: tokens of its kind that are served before a new item."""
+        """Return the estimated wait of a new item.
+
+        It is the time to serve the tokens of the same kind that run before it.
+        """
         is_idle = self.queued == 0 and len(self.running) < self.limit
         if is_idle or self._samples < self.settings.min_samples:
             return 0.0
@@ -237,13 +249,16 @@
         return ahead * self._token_s / (max(1, self.limit) * share)
 
     def _waits_until_s(self, item: WaitingItem, now_s: float) -> float:
-        """Return when waiting ends: a part of the time left, so a retry still helps."""
+        """Return when an item expires.
+
+        It waits for part of the time to its deadline, which leaves time for a retry.
+        """
         time_left_s = item.deadline_at_s - now_s
         longest_s = self.settings.max_wait_share * time_left_s
         return now_s + min(longest_s, time_left_s - self._service_s(item))
 
     def _give_up_late(self, now_s: float) -> None:
-        """Refuse the items that have waited as long as they may."""
+        """Refuse the items that have expired."""
         if now_s - self._looked_at_s < self.settings.look_every_s:
             return
         self._looked_at_s = now_s
@@ -257,7 +272,10 @@
         return Refusal(reason, not_run=True, retry_after_s=retry_after_s)
 
     def _push_out(self, arriving: Lane, now_s: float) -> bool:
-        """Make room at the cost of the longest lane by weight, if not the own one."""
+        """Evict the newest item of the longest queue by weight.
+
+        Returns False, and evicts nothing, if that is the queue of the new item.
+        """
         longest = max(self._lanes.values(), key=lambda n: n.queued / n.weight)
         if longest.queued / longest.weight <= (arriving.queued + 1) / arriving.weight:
             return False
@@ -268,7 +286,7 @@
     def _drop(
         self, lane: Lane, item: WaitingItem, reason: Reason, now_s: float
     ) -> None:
-        """Keep the refusal of an item that left its lane unserved."""
+        """Record the refusal of an item that was removed from its queue."""
         self._kind_counts[item.batch] -= 1
         wait_s = self._expected_wait_s(lane, item.batch, now_s)
         self._refused.append(RefusedItem(item, self._overloaded(reason, wait_s)))
--- a/acaciacove/decisions/admission_settings.py
+++ b/acaciacove/decisions/admission_settings.py
@@ -5,18 +5,22 @@
 
 @frozen
 class AdmissionSettings:
-    """How work waits.
+    """Settings of queuing and early refusal at one endpoint.
 
-    ``max_queue`` counts waiting requests. ``batch_share`` of the tokens goes to
-    batch work while both kinds wait. ``reserved_share`` of the slots is kept for
-    interactive work of organisations that run less than their share; an
-    organisation that used less than its share may burst by what its share brings in
-    ``credit_s``; holding ``slack`` times its share still counts as its share. It
-    counts for the shares until ``active_s`` after its last request.
-    ``token_s`` is the first guess of the time per token; deadlines are judged only
-    by what ``min_samples`` requests have taught, with ``wait_margin`` on the wait.
-    An item waits for ``max_wait_share`` of the time to its deadline at most; that is
-    looked at every ``look_every_s``.
+    Capacity: ``max_queue`` is the maximum number of waiting requests. While both kinds
+    of work wait, batch work gets ``batch_share`` of the tokens.
+
+    Fairness: ``reserved_share`` of the slots is reserved for interactive work of
+    organisations that run less than their share. Up to ``slack`` times its share
+    still counts as within the share. An organisation that used less than its share
+    may burst by the amount that its share yields in ``credit_s``. An organisation
+    counts as active until ``active_s`` after its last request.
+
+    Time: ``token_s`` is the initial time per token, and ``smoothing`` the weight of a
+    new sample. Waits and run times are estimated only after ``min_samples`` requests;
+    ``wait_margin`` multiplies the estimated wait. An item waits for at most
+    ``max_wait_share`` of the time to its deadline, checked every ``look_every_s``.
+    ``min_retry_after_s`` is the minimum ``retry_after_s`` of a refusal.
     """
 
     max_queue: int = 256
--- a/acaciacove/decisions/answer_signal.py
+++ b/acaciacove/decisions/answer_signal.py
@@ -1,4 +1,4 @@
-"""How good an answer looks before anyone has rated it."""
+"""Signal for the quality of an answer that has not been rated."""
 
 from attrs import frozen
 
@@ -11,10 +11,10 @@
 
 @frozen
 class AnswerSignal:
-    """What is known of a finished answer.
+    """Observable properties of a complete answer.
 
-    ``confidence`` is the engine's own (0 to 1; mean token probability) when it
-    tells one. ``status`` is HTTP's.
+    ``confidence`` is the engine's mean token probability (0 to 1), or None if the
+    engine reports none. ``status`` is the HTTP status code.
     """
 
     status: int = 200
@@ -23,7 +23,7 @@
     confidence: float | None = None
 
     def value(self) -> float:
-        """Sum the signal up as one number from 0 (surely short) to 1."""
+        """Return the signal as one number from 0 (failed or empty) to 1."""
         if self.status >= 400 or self.completion_tokens == 0:
             return EMPTY
         if self.finish_reason not in _GOOD_ENDINGS:
--- a/acaciacove/decisions/budget.py
+++ b/acaciacove/decisions/budget.py
@@ -1,14 +1,15 @@
-"""Budgets for retries and hedges, as a share of the requests."""
+"""Budget of retries and hedges, as a share of the requests."""
 
 from attrs import define
 
 
 @define
 class Budget:
-    """A token bucket that requests fill and extra attempts empty.
+    """Token bucket: first attempts add tokens, extra attempts consume them.
 
-    When endpoints fail, every caller retries at once and the retries alone can
-    keep the fleet overloaded. Tied to the requests, they add ``share`` at most.
+    When endpoints fail, all callers retry at the same time, and the retries alone can
+    keep the fleet overloaded. The budget limits them to ``share`` of the first
+    attempts, plus at most ``burst`` saved ones.
     """
 
     share: float
@@ -16,11 +17,11 @@
     tokens: float = 10.0
 
     def earn(self) -> None:
-        """Count one first attempt."""
+        """Add the tokens of one first attempt."""
         self.tokens = min(self.burst, self.tokens + self.share)
 
     def spend(self) -> bool:
-        """Take one extra attempt, if there is one left."""
+        """Consume one token for an extra attempt and return whether there was one."""
         if self.tokens < 1.0:
             return False
         self.tokens -= 1.0
--- a/acaciacove/decisions/candidate.py
+++ b/acaciacove/decisions/candidate.py
@@ -1,4 +1,4 @@
-"""One candidate that a decision weighed."""
+"""One candidate of a decision."""
 
 from attrs import frozen
 
@@ -7,10 +7,11 @@
 
 @frozen
 class Candidate:
-    """A version, endpoint or move by name; ``lost`` is None for the chosen one.
+    """Version, endpoint or move that a decision considered.
 
-    ``score`` is what the decision compared: cost for versions, expected seconds
-    for endpoints; lower is better.
+    ``lost`` is the reason why it was not chosen, None for the chosen candidate.
+    ``score`` is the compared value: cost for versions, expected seconds for
+    endpoints. Lower is better.
     """
 
     name: str
--- a/acaciacove/decisions/cascade.py
+++ b/acaciacove/decisions/cascade.py
@@ -1,4 +1,4 @@
-"""When the answer of a cheap version is not good enough."""
+"""Decides whether an answer escalates to a more expensive version."""
 
 from random import Random
 
@@ -9,10 +9,10 @@
 def should_escalate(
     decision: VersionDecision, signal: float, rng: Random, budget_left: bool = True
 ) -> bool:
-    """Tell whether to ask the next version of the ladder instead.
+    """Return whether to query the next version of the ladder.
 
-    ``signal`` is ``AnswerSignal.value()``. Without budget (deadline too near, next
-    version overloaded) the answer at hand is delivered.
+    ``signal`` is ``AnswerSignal.value()``. ``budget_left`` is False if the deadline is
+    too close or the next version is overloaded; the current answer is delivered then.
     """
     if len(decision.ladder) < 2 or not budget_left:
         return False
--- a/acaciacove/decisions/cascade_plan.py
+++ b/acaciacove/decisions/cascade_plan.py
@@ -1,4 +1,4 @@
-"""How requests of one class are answered."""
+"""Cascade plan of one request class."""
 
 from attrs import frozen
 
@@ -7,12 +7,12 @@
 
 @frozen
 class CascadePlan:
-    """Start at ``start`` and escalate answers whose signal is low.
+    """Query ``start`` first and escalate answers with a low signal.
 
-    Answers in bins below ``bins_below`` escalate to ``escalate_to``; those in bin
-    ``bins_below`` itself do so with probability ``edge_share``. ``quality`` and
-    ``lower`` are the expected rating and its confidence bound, ``cost`` the expected
-    cost of a request relative to the versions' prices.
+    Answers in signal bins below ``bins_below`` escalate to ``escalate_to``. Answers in
+    bin ``bins_below`` itself escalate with probability ``boundary_share``. ``quality``
+    is the expected rating and ``lower`` its lower confidence bound. ``cost`` is the
+    expected cost of a request in the unit of the versions' prices.
     """
 
     start: VersionId
--- a/acaciacove/decisions/cascade_planner.py
+++ b/acaciacove/decisions/cascade_planner.py
@@ -1,4 +1,4 @@
-"""Find the cheapest plan that meets the quality target."""
+"""Finds the cheapest cascade plan that meets the quality target."""
 
 from collections.abc import Sequence
 from itertools import chain
@@ -22,7 +22,7 @@
 
 @frozen
 class _Curve:
-    """Per signal bin: share of the answers, mean rating, variance of that mean."""
+    """Share of the answers, mean rating and variance of that mean, by signal bin."""
 
     shares: tuple[float, ...]
     means: tuple[float, ...]
@@ -30,7 +30,7 @@
 
     @property
     def mean(self) -> float:
-        """Mean rating over all bins."""
+        """Mean rating over all bins, weighted by their shares."""
         return sum(s * m for s, m in zip(self.shares, self.means, strict=True))
 
 
@@ -41,10 +41,10 @@
     target: float,
     may_escalate: bool = True,
 ) -> CascadePlan:
-    """Plan for a class; ``ladder`` is in order of cost and not empty.
+    """Return the cheapest plan for a class whose lower bound meets the target.
 
-    Where nothing meets the target with confidence, the plan of the best expected
-    quality is taken, never the cheapest.
+    ``ladder`` is ordered by cost and not empty. If no plan meets the target with
+    confidence, the plan with the best expected quality is returned, not the cheapest.
     """
     first_bins = {v.id: estimates.bins(v.id, request_class) for v in ladder}
     bias = fit_response_bias(chain.from_iterable(first_bins.values()))
@@ -67,7 +67,10 @@
 def _curve(
     version: Version, raw: tuple[tuple[float, Tally], ...], bias: ResponseBias
 ) -> _Curve:
-    """Draw each bin's mean towards the version's mean, that towards its prior."""
+    """Return the ratings of a version by signal bin.
+
+    Each bin's mean is shrunk towards the version's mean, and that towards its prior.
+    """
     bins = [(count, bias.correct(tally)) for count, tally in raw]
     seen = sum(count for count, _ in bins)
     rated = sum(tally.count for _, tally in bins)
@@ -87,10 +90,10 @@
     bins: tuple[tuple[float, Tally], ...],
     bias: ResponseBias,
 ) -> _Curve:
-    """Return the second answer's ratings by the first one's signal.
+    """Return the second version's ratings by the signal of the first answer.
 
-    What is hard for the first version is harder for the second too; until ratings
-    tell how much, a part of the first one's shortfall is assumed to carry over.
+    Requests that are difficult for the first version are also more difficult for the
+    second. Until there are ratings, part of the first version's shortfall is assumed.
     """
     priors = [
         expected + HARDNESS_CARRIES * min(0.0, mean - before.mean)
@@ -119,7 +122,10 @@
 def _escalating(
     first: Version, second: Version, before: _Curve, after: _Curve, target: float
 ) -> CascadePlan:
-    """Raise the threshold bin by bin until the target is met, then share the edge."""
+    """Return the plan with the lowest threshold that meets the target.
+
+    The threshold is raised bin by bin, and the last step is interpolated.
+    """
     below = _at_threshold(first, second, before, after, 0)
     if below.lower >= target:
         return below
@@ -151,7 +157,7 @@
 
 
 def _on_the_edge(below: CascadePlan, above: CascadePlan, target: float) -> CascadePlan:
-    """Mix two neighbouring thresholds so that the target is just met."""
+    """Interpolate between adjacent thresholds so that the target is just met."""
     gap = above.lower - below.lower
     share = 1.0 if gap <= 0 else min(1.0, (target - below.lower) / gap)
     return evolve(
--- a/acaciacove/decisions/choice_settings.py
+++ b/acaciacove/decisions/choice_settings.py
@@ -5,12 +5,12 @@
 
 @frozen
 class ChoiceSettings:
-    """How freely versions are tried.
+    """Settings of exploration and planning.
 
-    Trying may add ``eager_cost_share`` to the cost of a class until a version has
-    ``settled_ratings`` in it, and ``settled_cost_share`` from then on; at most
-    ``max_tried_share`` of the requests try one. Plans are made anew after
-    ``replan_ratings`` ratings.
+    Trials of a version may add ``eager_cost_share`` to the cost of a request class
+    until the version has ``settled_ratings`` ratings in it, and
+    ``settled_cost_share`` afterwards. At most ``max_tried_share`` of the requests are
+    trials. Plans are recomputed after ``replan_ratings`` new ratings.
     """
 
     eager_cost_share: float = 0.1
--- a/acaciacove/decisions/concurrency_limit.py
+++ b/acaciacove/decisions/concurrency_limit.py
@@ -1,4 +1,4 @@
-"""A concurrency limit that follows what the endpoint shows it can do."""
+"""Adaptive concurrency limit of one endpoint."""
 
 from attrs import define
 
@@ -11,11 +11,11 @@
 
 @define
 class ConcurrencyLimit:
-    """Additive increase, multiplicative decrease on the time per token.
+    """Additive increase, multiplicative decrease (AIMD) on the time per token.
 
-    An endpoint may bear less than declared (a noisy neighbour, a throttled
-    accelerator). More work only makes it slower then; one notices by the time per
-    token. ``ceiling`` is what a warm endpoint bears; the ramp bounds it further.
+    The capacity of an endpoint may be lower than declared, for example with a noisy
+    neighbour or a throttled accelerator. More work then only increases the time per
+    token. ``ceiling`` is the capacity of a warm endpoint; the ramp limits it further.
     """
 
     limit: float
@@ -26,7 +26,10 @@
     def finished(
         self, token_s: float, started_at_s: float, ok: bool, now_s: float, ceiling: int
     ) -> None:
-        """Learn from one finished request."""
+        """Update the limit after one finished request.
+
+        Requests that started before the last decrease cause no further one.
+        """
         slow = token_s > SLOWER_THAN_USUAL * self._usual_token_s
         if not ok or (self._samples >= MIN_SAMPLES and slow):
             if started_at_s > self._cut_at_s:
@@ -39,9 +42,9 @@
         self.limit = min(float(ceiling), self.limit + 1.0 / self.limit)
 
     def restarted(self, ceiling: int) -> None:
-        """Forget the cuts: a ramp has taken over, and bounds the limit itself.
+        """Reset the limit to ``ceiling`` when a ramp starts to limit the endpoint.
 
-        A restart cuts what was running. Taken for slowness, those failures would
-        hold the limit down long after the endpoint is warm again.
+        A restart aborts the running requests. Counted as overload, these failures
+        would keep the limit low long after the endpoint is warm again.
         """
         self.limit = float(ceiling)
--- a/acaciacove/decisions/confidence_beliefs.py
+++ b/acaciacove/decisions/confidence_beliefs.py
@@ -1,9 +1,10 @@
-"""What models' own opinions of their answers are worth, learnt from answers.
+"""Calibration of the confidences that models report, estimated from their answers.
 
-A model tells its confidence in an answer, 0 to 100. The beliefs take it for a noisy
-reading of a margin: how far the model's ability lies above what the request needs, with
-50 where it is as likely good as not. Two models that answered the same request show how
-far their abilities lie apart, and how noisy the readings are.
+A model reports its confidence in an answer from 0 to 100. The calibration treats it as
+a noisy measurement of a margin: the model's ability minus the difficulty of the
+request. A confidence of 50 is a margin of 0, where a good answer is as likely as a poor
+one. Two models that answered the same request give the offset between their abilities
+and the noise of the measurements.
 """
 
 from math import erf, sqrt
@@ -12,20 +13,20 @@
 
 EVEN_ODDS = 50.0
 LOWEST, HIGHEST = 0.0, 100.0
-# Readings end at 0 and 100, margins do not: beyond the ends they lie about here.
+# Confidences are limited to 0 to 100, margins are not. A confidence at either end is
+# taken as a margin this far beyond it.
 BEYOND = 10.0
-# Deviation of a reading before any pair of answers has shown it, and how many pairs
-# that is worth.
+# Prior of the standard deviation of a confidence, and its weight in pairs of answers.
 PRIOR_NOISE = 12.0
 PRIOR_PAIRS = 20.0
-# How far a model is taken to lie above a smaller one before a pair shows it: the
-# largest is taken to answer nearly everything, else it would never be asked and learnt.
+# Prior of the offset of a model above a smaller one. The largest model is assumed to
+# answer nearly everything well; otherwise it would never be queried, and its offset
+# never estimated.
 PRIOR_OFFSET = 20.0
 PRIOR_OFFSET_OF_LARGEST = 60.0
-# An offset follows the newest pairs with this share at least, the first ones faster.
+# Minimum weight of a new pair in an offset; the first pairs weigh more.
 LEAST_SHARE = 0.05
-# The share of requests that a model answers well before it has answered any, and how
-# many answers that is worth.
+# Prior of the share of requests that a model answers well, and its weight in answers.
 PRIOR_QUALITY = 0.6
 PRIOR_QUALITY_OF_LARGEST = 0.95
 PRIOR_ANSWERS = 12.0
@@ -33,7 +34,7 @@
 
 @define
 class Offset:
-    """How far one model's margin lies above another's, and pairs that showed it."""
+    """Margin of one model minus that of another, and the number of pairs behind it."""
 
     margin: float
     pairs: int = 0
@@ -41,7 +42,7 @@
 
 @define
 class Quality:
-    """Expected good answers among ``answers`` of a model."""
+    """Expected number of good answers among ``answers``, both including the prior."""
 
     good: float
     answers: float
@@ -49,9 +50,10 @@
 
 @define
 class ConfidenceBeliefs:
-    """Beliefs on the models of one service.
+    """Offsets, qualities and noise of the models of one service.
 
-    Models are named by their callers; one that is new starts from what is usual.
+    Models are identified by the names that callers pass. A new name starts from the
+    prior.
     """
 
     offsets: dict[tuple[str, str], Offset] = field(factory=dict)
@@ -61,31 +63,37 @@
 
     @property
     def noise(self) -> float:
-        """Deviation of one reading."""
+        """Standard deviation of one confidence."""
         return sqrt(self._square_sum / self._squares)
 
     def good_share(self, confidence: float) -> float:
-        """Return how likely an answer with this confidence is good."""
+        """Return the probability that an answer with this confidence is good."""
         return self._likely(_margin(confidence))
 
     def good_share_of(self, first: str, confidence: float, second: str) -> float:
-        """Return how likely ``second`` answers well where ``first`` was unsure."""
+        """Return the probability that ``second`` answers well.
+
+        ``confidence`` is what ``first`` reported for its answer to the same request.
+        """
         return self._likely(_margin(confidence) + self.offset(first, second).margin)
 
     def quality(self, model: str, is_largest: bool) -> float:
-        """Return the share of requests that a model answers well."""
+        """Return the estimated share of requests that a model answers well."""
         known = self.qualities.get(model)
         if known is None:
             return PRIOR_QUALITY_OF_LARGEST if is_largest else PRIOR_QUALITY
         return known.good / known.answers
 
     def offset(self, first: str, second: str, is_largest: bool = False) -> Offset:
-        """Return how far ``second`` lies above ``first``, which is smaller."""
+        """Return the offset of ``second`` above ``first``, the smaller model."""
         prior = PRIOR_OFFSET_OF_LARGEST if is_largest else PRIOR_OFFSET
         return self.offsets.setdefault((first, second), Offset(prior))
 
     def learn_answer(self, model: str, is_largest: bool, confidence: float) -> None:
-        """Take a model's answer to a request that no other was asked before."""
+        """Update a model's quality with an answer to a request.
+
+        No other model may have been queried for the request before.
+        """
         prior = self.quality(model, is_largest)
         known = self.qualities.setdefault(
             model, Quality(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
@@ -96,10 +104,10 @@
     def learn_pair(
         self, first: str, first_told: float, second: str, second_told: float
     ) -> None:
-        """Take two models' opinions on the same request.
+        """Update offset and noise with two models' confidences on the same request.
 
-        A reading at an end only bounds the margin: it teaches where the offset so far
-        contradicts it.
+        A confidence at either end of the scale is only a bound on the margin. It
+        changes the offset only if it contradicts the current one, and never the noise.
         """
         offset = self.offset(first, second)
         seen = second_told - first_told
@@ -130,7 +138,7 @@
 
 
 def _contradicts(first_told: float, second_told: float, margin: float) -> bool:
-    """Tell whether a pair with a reading at an end speaks against an offset."""
+    """Return whether a pair with a confidence at an end contradicts an offset."""
     seen = second_told - first_told
     if second_told >= HIGHEST and first_told > LOWEST:
         return margin < seen
--- a/acaciacove/decisions/decision.py
+++ b/acaciacove/decisions/decision.py
@@ -1,4 +1,4 @@
-"""A decision, whole enough to explain itself in one log line."""
+"""A decision with everything that its log line needs."""
 
 from attrs import frozen
 
@@ -8,9 +8,10 @@
 
 @frozen
 class Decision:
-    """What was chosen, every candidate, and why each other one lost.
+    """The chosen candidate, all candidates, and why each other one was not chosen.
 
-    ``chosen`` is empty when nothing could be. ``why`` is a short stable phrase.
+    ``chosen`` is empty if there was no usable candidate. ``why`` is a short, stable
+    code.
     """
 
     kind: DecisionKind
@@ -19,7 +20,7 @@
     why: str = ""
 
     def line(self) -> str:
-        """Write the log line, ``key=value`` fields in a fixed order."""
+        """Return the log line: ``key=value`` fields in a fixed order."""
         others = ",".join(
             f"{c.name}:{c.lost}:{c.score:.4g}" for c in self.candidates if c.lost
         )
--- a/acaciacove/decisions/decision_kind.py
+++ b/acaciacove/decisions/decision_kind.py
@@ -1,10 +1,10 @@
-"""What a decision was about."""
+"""Kinds of decisions."""
 
 from enum import StrEnum
 
 
 class DecisionKind(StrEnum):
-    """The first field of a decision's log line."""
+    """Value of the first field of a decision's log line."""
 
     VERSION = "version"
     CASCADE = "cascade"
--- a/acaciacove/decisions/delay_cost.py
+++ b/acaciacove/decisions/delay_cost.py
@@ -1,30 +1,31 @@
-"""What it costs requests that wait to wait a little longer, learnt from answers."""
+"""Cost of delaying queued requests a little further, estimated from answers."""
 
 from attrs import define
 
 from acaciacove.decisions.model_plan import late_slope
 
-# The newest answer counts this much.
+# Weight of the newest answer in the moving average.
 NEWEST_SHARE = 0.04
-# A delayed request delays others in turn; this many feel a delay in the end.
+# Number of requests that one delay affects, as a delayed request delays others in turn.
 DELAYED_IN_TURN = 3.0
 
 
 @define
 class DelayCost:
-    """The mean loss for each target of further delay, of a service's answers.
+    """Mean loss of a service's answers per latency target of further delay.
 
-    Answers that come in a fraction of their target lose next to nothing by a little
-    delay, those near it lose most. Nothing is known at the start: delays count in full.
+    A little delay costs next to nothing for answers that take a fraction of their
+    latency target, and most for answers near it. Until there are answers, a delay
+    counts with its full weight of 1.
     """
 
     slope: float = 1.0 / DELAYED_IN_TURN
 
     def learn(self, took_s: float, target_s: float) -> None:
-        """Take how long a caller waited for the first piece of an answer."""
+        """Update the mean with the time that a caller waited for the first chunk."""
         self.slope += NEWEST_SHARE * (late_slope(took_s / target_s) - self.slope)
 
     @property
     def weight(self) -> float:
-        """Return what a delay of one target costs, as a share of an answer's worth."""
+        """Cost of a delay by one latency target, as a share of an answer's value."""
         return min(1.0, DELAYED_IN_TURN * self.slope)
--- a/acaciacove/decisions/endpoint_backlog.py
+++ b/acaciacove/decisions/endpoint_backlog.py
@@ -1,24 +1,25 @@
-"""How long a request would wait at one endpoint before its prompt is read."""
+"""Estimates how long a request waits at an endpoint before its prompt is read."""
 
 from collections.abc import Iterable
 
 from attrs import define, field, frozen
 
-# A wait that was seen says less of the endpoint the older it is: after this long half
-# of it counts, after twice as long none. Queues of some seconds drain in that time.
+# An observed wait loses weight linearly with its age: half of it after this time, all
+# of it after twice this time. Queues of a few seconds drain in that time.
 MEMORY_S = 1.5
-# How far the newest wait replaces what was known before.
+# Weight of the newest wait in the moving average.
 NEWEST_SHARE = 0.6
-# What an endpoint of which nothing is known counts for, as a share of the usual wait.
-# At nothing all would try the unknown ones at once, at 1 nobody would.
+# Wait assumed at an endpoint without recent observations, as a share of the baseline.
+# With 0 all gateways would choose such endpoints at once, with 1 none would.
 UNKNOWN_SHARE = 0.35
 
 
 @frozen
 class AwaitedPiece:
-    """A request whose first piece is awaited.
+    """Request of this gateway whose first chunk has not arrived.
 
-    ``own_s`` is how long it was to take: known requests before it, and itself.
+    ``work_s`` is its time without a queue. ``expected_s`` is the expected time to the
+    first chunk, including the known requests before it.
     """
 
     sent_s: float
@@ -28,7 +29,7 @@
 
 @frozen
 class ToldWork:
-    """A request that another process has told it sent."""
+    """Request that a peer reported to have sent to the endpoint."""
 
     told_s: float
     work_s: float
@@ -36,11 +37,12 @@
 
 @define
 class EndpointBacklog:
-    """What is known of an endpoint's queue.
+    """Estimate of the queue at an endpoint.
 
-    Own requests before a new one are known, and those that others told of. What
-    nobody told shows in how much longer than expected a first piece took, or already
-    takes: a request that is overdue tells of a queue long before its answer does.
+    Local requests and those that peers reported are known. The residual wait, behind
+    requests that nobody reported, is the time that a first chunk took beyond its
+    expected time. A pending request past its expected time counts too, so a queue is
+    visible long before the answer arrives.
     """
 
     free_s: float = -1e9
@@ -50,31 +52,35 @@
     told: list[ToldWork] = field(factory=list)
 
     def send(self, number: int, work_s: float, now_s: float) -> None:
-        """Note a request that is sent; ``work_s`` is its time without a queue."""
+        """Record a request that is sent; ``work_s`` is its time without a queue."""
         self.free_s = max(self.free_s, now_s) + work_s
         self.awaited[number] = AwaitedPiece(now_s, work_s, self.free_s - now_s)
 
     def answer(self, number: int, now_s: float) -> float | None:
-        """Take a first piece; returns how long it took without own waits."""
+        """Record the first chunk of a request.
+
+        Returns the time that it took without the wait behind known requests, or None
+        if the request is not pending.
+        """
         awaited = self.awaited.pop(number, None)
         if awaited is None:
             return None
         took_s = now_s - awaited.sent_s
-        # Prompts are read in turn: what was sent before this one is through.
+        # Endpoints read prompts in order of arrival: earlier requests have been read.
         self.told = [work for work in self.told if work.told_s > awaited.sent_s]
         self._see(max(0.0, took_s - awaited.own_s), now_s)
         self._start_over(now_s)
         return max(0.0, took_s - (awaited.own_s - awaited.work_s))
 
     def send_other(self, work_s: float, now_s: float) -> None:
-        """Take word of a request that another process has just sent."""
+        """Record a request that a peer reported to have just sent."""
         if self.free_s <= now_s:
             self.told.clear()
         self.free_s = max(self.free_s, now_s) + work_s
         self.told.append(ToldWork(now_s, work_s))
 
     def drop(self, number: int, now_s: float) -> None:
-        """Stop waiting for a request that was given up or lost."""
+        """Remove a pending request that was cancelled or lost."""
         awaited = self.awaited.pop(number, None)
         if awaited is None:
             return
@@ -84,7 +90,7 @@
         self._start_over(now_s)
 
     def _start_over(self, now_s: float) -> None:
-        """Work out anew when the requests that are left will be through."""
+        """Recompute when the remaining known requests will have been read."""
         own_s = sum(a.work_s for a in self.awaited.values())
         self.free_s = now_s + own_s + sum(work.work_s for work in self.told)
 
@@ -94,25 +100,25 @@
         self.others_seen_s = now_s
 
     def freshness(self, now_s: float) -> float:
-        """Return how far the last wait still counts, from 0 to 1."""
+        """Return the weight of the last observed wait by its age, from 0 to 1."""
         return max(0.0, 1.0 - (now_s - self.others_seen_s) / (2.0 * MEMORY_S))
 
     def others_known_s(self, now_s: float) -> float:
-        """Return the wait for others' requests, as far as it is known."""
+        """Return the wait beyond the known requests, as far as it was observed."""
         known_s = self.others_s * self.freshness(now_s)
         for awaited in self.awaited.values():
             known_s = max(known_s, now_s - awaited.sent_s - awaited.own_s)
         return known_s
 
     def wait_s(self, now_s: float, usual_s: float) -> float:
-        """Return how long a request that is sent now would wait."""
+        """Return the estimated wait of a request that is sent now."""
         unknown_s = UNKNOWN_SHARE * usual_s * (1.0 - self.freshness(now_s))
         own_s = max(0.0, self.free_s - now_s)
         return own_s + self.others_known_s(now_s) + unknown_s
 
 
 def usual_wait_s(backlogs: Iterable[EndpointBacklog], now_s: float) -> float:
-    """Return the wait for others' requests at endpoints, by the fresh ones."""
+    """Return the mean residual wait of endpoints, weighted by freshness."""
     weighed = [(b.freshness(now_s), b.others_known_s(now_s)) for b in backlogs]
     weight = sum(freshness for freshness, _ in weighed)
     if weight <= 0.0:
--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint runs an attempt."""
+"""Chooses the endpoint of an attempt."""
 
 from collections.abc import Collection, Mapping, Sequence
 from math import exp
@@ -41,12 +41,13 @@
     zone_shares: Mapping[str, float] | None = None,
     settings: EndpointSettings = DEFAULT_SETTINGS,
 ) -> EndpointDecision | Refusal:
-    """Choose among the entry's bounded set of endpoints of one version.
+    """Choose among the entry's subset of endpoints of one version.
 
-    A few are drawn at random, and with them the endpoints that hold the session or
-    the prompt's prefix; the least expected time wins. Comparing all by reports that
-    lag would send every entry to the same emptiest endpoint at once. ``zone_shares``
-    (from ``ZoneMoves``) thins the draws from a zone that is returning.
+    A few endpoints are sampled at random; the preferred endpoints of the session and
+    of the prompt's prefix are added. The lowest expected time wins. A comparison of
+    all endpoints by outdated load reports would send all entries to the same least
+    loaded endpoint at once. ``zone_shares`` (from ``ZoneMoves``) lowers the share of a
+    zone that is returning to service.
     """
     lost = {
         instance.name: reason
@@ -100,7 +101,7 @@
 def _thinned(
     usable: list[Instance], zone_shares: Mapping[str, float], rng: Random
 ) -> list[Instance]:
-    """Leave out endpoints of a returning zone by chance, but never all endpoints."""
+    """Leave out endpoints of returning zones at random, but never all endpoints."""
     if all(share >= 1.0 for share in zone_shares.values()):
         return usable
     kept = [
@@ -118,11 +119,12 @@
     homes: Collection[str],
     settings: EndpointSettings,
 ) -> list[Instance]:
-    """Draw a few at random, and those with affinity.
+    """Return a few endpoints at random, and the preferred ones.
 
-    More are drawn where most of the load is the entry's own, which it knows exactly.
-    With more choices from reports that lag, all entries would meet on the endpoints
-    that were emptiest a moment ago, and their requests would wait there.
+    More are sampled if at least ``own_share`` of the load comes from this entry, since
+    it knows its own requests exactly. With a larger sample and outdated reports, all
+    entries would choose the endpoints that were least loaded at the last report, and
+    their requests would queue there.
     """
     known = [views[i.name] for i in usable if i.name in views]
     own = sum(view.own_in_flight for view in known)
@@ -135,10 +137,10 @@
 
 
 def _homes(usable: list[Instance], session_endpoint: str, prefix_hash: str) -> set[str]:
-    """Name the endpoints of the session and of the prompt's prefix.
+    """Return the preferred endpoints of the session and of the prompt's prefix.
 
-    A prefix lives where rendezvous hashing puts it. Every entry computes the same
-    place, so no cache event has to arrive for its requests to meet there.
+    The endpoint of a prefix is found by rendezvous hashing. All entries compute the
+    same one, so they need no cache event to send its requests to the same endpoint.
     """
     homes = {session_endpoint} if session_endpoint else set()
     if prefix_hash:
@@ -151,7 +153,7 @@
 
 
 def _usual(views: list[EndpointView], settings: EndpointSettings) -> Usual:
-    """Average the reports of the endpoints that are compared."""
+    """Return the average of the load reports of the compared endpoints."""
     told = [v for v in views if v.load.limit]
     if not told:
         return Usual(0.0, settings.default_service_s, settings.default_limit)
@@ -171,7 +173,7 @@
     prefix_hash: str,
     settings: EndpointSettings,
 ) -> float:
-    """Return the share of a service time that caches at an endpoint save."""
+    """Return the share of the service time that an endpoint's caches save."""
     if instance.name == session_endpoint:
         return settings.session_gain
     view = views.get(instance.name)
@@ -187,7 +189,7 @@
     organisation: str,
     settings: EndpointSettings,
 ) -> float:
-    """Estimate the seconds until an answer, from a report of some age."""
+    """Return the expected seconds until the answer, from a report of some age."""
     limit = view.load.limit or usual.limit
     fade_s = max(settings.min_fade_s, settings.fade_services * usual.service_s)
     say = exp((view.reported_at_s - now_s) / fade_s)
--- a/acaciacove/decisions/endpoint_decision.py
+++ b/acaciacove/decisions/endpoint_decision.py
@@ -1,4 +1,4 @@
-"""The choice of an endpoint for one attempt."""
+"""Endpoint that was chosen for one attempt."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class EndpointDecision:
-    """The endpoint, and the seconds expected until its answer is whole."""
+    """The endpoint, and the expected seconds until its answer is complete."""
 
     endpoint: Instance
     expected_s: float
--- a/acaciacove/decisions/endpoint_settings.py
+++ b/acaciacove/decisions/endpoint_settings.py
@@ -5,20 +5,30 @@
 
 @frozen
 class EndpointSettings:
-    """How endpoints are compared.
-
-    ``choices`` are sampled at random, ``exact_choices`` where at least ``own_share``
-    of the load is the entry's own. A report loses its say as the work that it
-    counted ends: by 1/e per ``fade_services`` service times, ``min_fade_s`` at least.
-    ``slower_factor`` times the usual service time counts as slow; below, answers
-    only differ in length. ``prefix_gain`` is the share of a service time that a
-    cached prefix saves, ``session_gain`` the same for a session's own endpoint. An
-    endpoint beyond ``full_share`` of its slots may make a request wait: it has no
-    affinity, and each request beyond weighs ``wait_weight`` times. ``spread_weight``
-    counts the entry's requests of the same organisation once more: spread out, they
-    stay within the organisation's share at every endpoint. Work beyond ``queue_cap``
-    times the slots is not compared: behind a flood's long queue, fair queuing serves
-    the others alike, and they would all crowd where that queue is shorter.
+    """Settings of the comparison of endpoints.
+
+    Sampling: ``choices`` endpoints are sampled at random, or ``exact_choices`` if at
+    least ``own_share`` of the load comes from the entry itself.
+
+    Age of reports: the work that a load report counted ends with time. The weight of
+    the report decays by a factor of e per ``fade_services`` service times, or per
+    ``min_fade_s`` if that is longer.
+
+    Service time: an endpoint is slow beyond ``slower_factor`` times the baseline
+    service time. Smaller differences come from the length of the answers.
+    ``prefix_gain`` is the share of the service time that a cached prefix saves,
+    ``session_gain`` that of the endpoint of a session. ``default_service_s`` and
+    ``default_limit`` apply while no report gives a service time or a limit.
+
+    Load: requests may wait at an endpoint with more than ``full_share`` of its slots
+    in use. It gets no affinity, and each request beyond that share counts
+    ``wait_weight`` times. ``spread_weight`` is the extra weight of the entry's
+    requests of the same organisation; spread over endpoints, they stay within the
+    organisation's share at each of them. Work beyond ``queue_cap`` times the slots is
+    ignored. Behind a flood's long queue, fair queuing serves all other organisations
+    alike, and their requests would otherwise concentrate where that queue is shorter.
+
+    Failures: an endpoint is penalised for ``failure_pause_s`` per failure in a row.
     """
 
     choices: int = 2
--- a/acaciacove/decisions/endpoint_view.py
+++ b/acaciacove/decisions/endpoint_view.py
@@ -1,4 +1,4 @@
-"""What one entry knows of one endpoint."""
+"""State of one endpoint as seen by one entry."""
 
 from collections import Counter, deque
 
@@ -13,12 +13,12 @@
 
 @define
 class EndpointView:
-    """The endpoint's last report and this entry's own exact counts.
+    """Last load report of the endpoint and exact counts of this entry's requests.
 
-    Own sends and ends after a report was made are added to it, so a burst of one
-    entry's own requests is never hidden by the report's lag. ``prefixes`` remembers
-    prompt prefixes lately sent here, oldest first: cache events come late and with
-    gaps, an entry's own sends do not.
+    Requests that this entry sent or finished after the report was made are added to
+    it, so the age of a report never hides a burst from this entry. ``prefixes`` holds
+    the prompt prefixes recently sent to the endpoint, oldest first. Cache events
+    arrive late and incomplete, the entry's own requests are known at once.
     """
 
     instance: Instance
@@ -34,7 +34,7 @@
     )
 
     def sent(self, now_s: float, prefix_hash: str = "", organisation: str = "") -> None:
-        """Count a request sent to the endpoint."""
+        """Count a request that is sent to the endpoint."""
         self.own_in_flight += 1
         self.by_organisation[organisation] += 1
         self._changes.append((now_s, 1))
@@ -45,10 +45,11 @@
                 del self.prefixes[next(iter(self.prefixes))]
 
     def ended(self, ok: bool, now_s: float, organisation: str = "") -> None:
-        """Count a request answered, refused or lost; by the same organisation.
+        """Count a request that was answered, refused or lost.
 
-        ``ok`` is false for a failure. A sidecar's refusal is none: a flood's refusals
-        would otherwise make each endpoint in turn look broken to everyone.
+        ``organisation`` is the one passed to ``sent``. ``ok`` is False for a failure. A
+        sidecar's refusal is not a failure: otherwise the refusals of one flood would
+        make one endpoint after the other look broken to all organisations.
         """
         self.own_in_flight = max(0, self.own_in_flight - 1)
         self.by_organisation[organisation] -= 1
@@ -60,7 +61,10 @@
             self.failed_at_s = now_s
 
     def reported(self, load: Load, made_at_s: float) -> None:
-        """Take in a load report, made at ``made_at_s`` as far as one knows."""
+        """Apply a load report that was made at about ``made_at_s``.
+
+        Ignores a report that is older than the last one.
+        """
         if made_at_s < self.reported_at_s:
             return
         self.load = load
@@ -69,12 +73,12 @@
             self._changes.popleft()
 
     def evicted(self, prefix_hash: str) -> None:
-        """Take in a cache event: the engine has dropped a prefix."""
+        """Apply a cache event: the engine has evicted a prefix."""
         self.prefixes.pop(prefix_hash, None)
 
     @property
     def at_endpoint(self) -> int:
-        """Requests there by the last report and the own sends and ends since."""
+        """Requests at the endpoint: the last report and the local changes since."""
         reported = self.load.in_flight + self.load.queued
         since = sum(change for _, change in self._changes)
         return max(self.own_in_flight, reported + since)
--- a/acaciacove/decisions/exploration.py
+++ b/acaciacove/decisions/exploration.py
@@ -1,4 +1,4 @@
-"""When to try a version that the plan does not use, and how without harm."""
+"""Exploration: trials of versions that the plan does not use."""
 
 from collections.abc import Sequence
 from random import Random
@@ -17,11 +17,12 @@
     estimates: QualityEstimates,
     settings: ChoiceSettings,
 ) -> tuple[Trial, ...]:
-    """List what may be tried beside a plan, each with its chance per request.
+    """List the trials next to a plan, each with its probability per request.
 
-    A cheaper version than the plan's first is asked before it and only rated, so
-    callers get what the plan would give. A dearer one takes the place of the first
-    under the same threshold. The extra cost is bounded as a share of the plan's.
+    A version that is cheaper than the plan's first one is queried before it and only
+    rated, so callers get the answer of the plan. A more expensive version replaces the
+    first one under the same threshold. The extra cost is limited to a share of the
+    plan's cost.
     """
     others = [version for version in ladder if version.id != plan.start]
     chances = [
@@ -36,7 +37,7 @@
 
 
 def draw_trial(trials: Sequence[Trial], rng: Random) -> Trial | None:
-    """Draw at most one of the trials."""
+    """Return one of the trials at random by their probabilities, or None."""
     left = rng.random()
     for trial in trials:
         left -= trial.chance
--- a/acaciacove/decisions/hedging.py
+++ b/acaciacove/decisions/hedging.py
@@ -1,4 +1,4 @@
-"""When to send a second attempt while the first still runs."""
+"""Hedging: a second attempt while the first one is still running."""
 
 from attrs import define, field
 from ddsketch import DDSketch
@@ -13,13 +13,13 @@
 
 @define
 class HedgeDelays:
-    """First-token latencies per request class, and the delay before a hedge."""
+    """First-token latencies by request class, and the delay before a hedge."""
 
     _now: dict[str, DDSketch] = field(factory=dict)
     _before: dict[str, DDSketch] = field(factory=dict)
 
     def record(self, request_class: str, first_token_s: float) -> None:
-        """Count the latency of a first attempt."""
+        """Record the first-token latency of a first attempt."""
         sketch = self._now.get(request_class)
         if sketch is None:
             sketch = self._now[request_class] = DDSketch(SKETCH_ACCURACY)
@@ -28,7 +28,10 @@
             self._before[request_class] = self._now.pop(request_class)
 
     def delay_s(self, request_class: str) -> float | None:
-        """Return how long to wait for a first token; None while unknown."""
+        """Return how long to wait for a first token before a hedge.
+
+        Returns None below ``MIN_SAMPLES`` latencies.
+        """
         sketch = self._before.get(request_class) or self._now.get(request_class)
         if sketch is None or sketch.count < MIN_SAMPLES:
             return None
@@ -42,9 +45,10 @@
     time_left_s: float,
     budget: Budget,
 ) -> bool:
-    """Tell whether to send a second attempt now; spends the budget if so.
+    """Return whether to send a second attempt now; spends the budget if so.
 
-    A call that may not be repeated is never hedged: both attempts could take effect.
+    Calls that are not idempotent are never hedged, since both attempts could take
+    effect.
     """
     if not idempotent or delay_s is None or waited_s < delay_s:
         return False
--- a/acaciacove/decisions/lane.py
+++ b/acaciacove/decisions/lane.py
@@ -1,4 +1,4 @@
-"""What one organisation has waiting and running at one sidecar."""
+"""Queue of one organisation at one sidecar."""
 
 from collections import deque
 
@@ -11,9 +11,11 @@
 
 @define
 class Lane:
-    """Items with the time until which each waits, per kind, and the next start tag.
+    """Waiting items by kind with their expiry times, and the next start tag.
 
-    Kinds are told by whether they are batch work; ``queued_tokens`` is per kind.
+    There are two kinds, batch and interactive. The keys of ``queued_tokens`` are True
+    for batch and False for interactive work. ``last_seen_s`` is the time of the
+    organisation's last request.
     """
 
     weight: float
@@ -30,28 +32,28 @@
 
     @property
     def queued(self) -> int:
-        """Count the waiting items of both kinds."""
+        """Number of waiting items of both kinds."""
         return len(self.interactive) + len(self.batch)
 
     def enter(self, item: WaitingItem, until_s: float) -> None:
-        """Add an item at the end; it waits until ``until_s`` at most."""
+        """Add an item at the end; it expires at ``expires_at_s``."""
         self.waiting(item.batch).append((item, until_s))
         self.queued_tokens[item.batch] += item.cost_tokens
 
     def take(self, batch: bool, newest: bool = False) -> WaitingItem:
-        """Remove the oldest item of a kind, or the newest."""
+        """Remove and return the oldest item of a kind, or the newest."""
         queue = self.waiting(batch)
         item, _ = queue.pop() if newest else queue.popleft()
         self.queued_tokens[batch] -= item.cost_tokens
         return item
 
     def overdue(self, now_s: float) -> list[WaitingItem]:
-        """List the items that have waited as long as they may."""
+        """Return the items that have expired."""
         both = (self.interactive, self.batch)
         return [item for queue in both for item, until_s in queue if until_s < now_s]
 
     def remove(self, request_id: str) -> WaitingItem | None:
-        """Remove an item by its request, wherever it waits."""
+        """Remove and return the item of a request, or None if it is not waiting."""
         for queue in (self.interactive, self.batch):
             for waiting in queue:
                 if waiting[0].request_id == request_id:
--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -1,9 +1,9 @@
-"""Which model answers a request first, and whether a larger one is asked after it.
+"""Chooses the model that is queried first, and whether a larger one is queried next.
 
-Search with costs: an answer is worth 1 when it is good and in time, and less when late
-or poor. Each model costs money and an endpoint's time, which others wait for. The next
-model is asked while what it adds is worth more than what it costs (Weitzman, "Optimal
-Search for the Best Alternative", 1979, for boxes that are opened in turn).
+This is a search with costs. A good answer in time has a value of 1, a late or poor one
+less. Each model costs money and an endpoint's time, for which other requests wait. The
+next model is queried if it adds more value than it costs (Weitzman, "Optimal Search for
+the Best Alternative", 1979, where boxes are opened one after the other).
 """
 
 from collections.abc import Sequence
@@ -12,21 +12,22 @@
 
 from acaciacove.decisions.confidence_beliefs import ConfidenceBeliefs
 
-# What an answer is worth that is too poor, and what a late one loses.
+# Value of a poor answer, and the value that a good answer loses when it is very late.
 POOR_WORTH = 0.05
 LATE_LOSS = 0.5
-# How surely a first piece that is expected at its target is late: predictions are off
-# by a factor of two often, by four seldom.
+# Steepness of the loss of value around the latency target. Predicted latencies are
+# often wrong by a factor of two, and seldom by a factor of four.
 SPREAD = 2.5
 
 
 @frozen
 class ModelOption:
-    """One model that could be asked now.
+    """A model that could be queried now.
 
-    ``price`` is what its answer costs as a share of what a good answer is worth,
-    ``piece_s`` when its first piece is expected from now on, ``work_s`` for how long
-    it occupies an endpoint. ``is_largest`` tells the last of its route's sizes.
+    ``price`` is the cost of its answer as a share of the value of a good answer.
+    ``first_chunk_s`` is the expected time from now to its first chunk. ``work_s`` is
+    the time for which it occupies an endpoint. ``is_largest`` marks the largest model
+    of the route.
     """
 
     name: str
@@ -38,10 +39,11 @@
 
 @frozen
 class Moment:
-    """When a decision is made: time since the request came, and its target.
+    """Time since the request arrived, its latency target, and the cost of delays.
 
-    ``delayed_per_s`` is how many other requests a second of an endpoint's work delays
-    by a second, and ``delay_weight`` what it costs to delay one by its target.
+    ``delayed_per_s`` is the number of other requests that one second of an endpoint's
+    work delays by a second. ``delay_weight`` is the cost of delaying one request by
+    its latency target, see ``DelayCost``.
     """
 
     elapsed_s: float
@@ -56,7 +58,11 @@
     moment: Moment,
     may_go_on: bool,
 ) -> str:
-    """Return the model to ask first; ``options`` are ordered by size, not empty."""
+    """Return the model to query first.
+
+    ``options`` is ordered by size and not empty. ``may_escalate`` says whether a larger
+    model may be queried after the first one.
+    """
 
     def worth(place: int) -> float:
         option = options[place]
@@ -85,10 +91,11 @@
     moment: Moment,
     may_go_on_twice: bool,
 ) -> str | None:
-    """Return the model to ask after an answer, or None where the answer is to stay.
+    """Return the model to query after an answer, or None to deliver the answer.
 
-    ``larger`` holds the models above ``asked``, smallest first. ``may_go_on_twice``
-    tells that still another could be asked after the next.
+    ``asked`` is the model that answered with ``confidence``. ``larger`` holds the
+    larger models, smallest first. ``may_escalate_twice`` says whether another model may
+    be queried after the next one.
     """
     best_name = None
     good = beliefs.good_share(confidence)
@@ -108,7 +115,7 @@
 
 
 def _gain(beliefs: ConfidenceBeliefs, asked: ModelOption, larger: ModelOption) -> float:
-    """Return how likely ``larger`` answers well what ``asked`` does not."""
+    """Return the probability that ``larger`` answers well where ``asked`` does not."""
     small = beliefs.quality(asked.name, asked.is_largest)
     large = beliefs.quality(larger.name, larger.is_largest)
     return max(0.0, large - small) / max(1e-6, 1.0 - small)
@@ -129,16 +136,17 @@
 
 
 def _in_time(moment: Moment, piece_s: float) -> float:
-    """Return what a good answer is worth when its first piece comes then."""
+    """Return the value of a good answer whose first chunk arrives after this time."""
     share = (moment.elapsed_s + piece_s) / moment.target_s
     late = share**SPREAD / (1.0 + share**SPREAD)
     return 1.0 - LATE_LOSS * late
 
 
 def late_slope(share: float) -> float:
-    """Return what a good answer loses for each target of further delay.
+    """Return the value that a good answer loses per latency target of further delay.
 
-    ``share`` is the time to its first piece as a share of its target.
+    ``share`` is the time to its first chunk as a share of the latency target. This is
+    the negative derivative of ``_good_answer_value``.
     """
     if share <= 0.0:
         return 0.0
--- a/acaciacove/decisions/placement.py
+++ b/acaciacove/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Which version each endpoint should hold."""
+"""Plans which version each endpoint holds."""
 
 from collections.abc import Mapping
 
@@ -17,10 +17,10 @@
 ) -> tuple[PlacementMove, ...]:
     """Plan the next few moves towards equal work per endpoint.
 
-    ``placed`` maps endpoints to the version they hold, ``work`` versions to the
-    measured demand in busy endpoints. Endpoints in ``moving`` are still loading and
-    count against ``max_moves``. The last endpoint of a version stays while it has
-    work. Planned anew from what is measured, step by step.
+    ``placed`` maps endpoints to the version that they hold. ``work`` maps versions to
+    their measured demand, in busy endpoints. Endpoints in ``moving`` are still loading
+    and count against ``max_moves``. A version with work keeps at least one endpoint.
+    Callers plan again from new measurements after each step.
     """
     counts = dict.fromkeys(work, 0)
     for version in placed.values():
@@ -44,7 +44,11 @@
     counts: dict[VersionId, int],
     free: list[str],
 ) -> PlacementMove | None:
-    """Move from the version with most room to the one with least."""
+    """Return a move from the least utilised version to the most utilised one.
+
+    Returns None if no endpoint is free, or unless the most utilised version is above
+    the utilisation of the other one after the move by more than ``MIN_GAIN``.
+    """
 
     def use(version: VersionId, change: int = 0) -> float:
         count = counts[version] + change
--- a/acaciacove/decisions/placement_move.py
+++ b/acaciacove/decisions/placement_move.py
@@ -1,4 +1,4 @@
-"""One change of placement."""
+"""One move of a placement plan."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class PlacementMove:
-    """Have ``endpoint`` load ``load`` in place of ``instead_of``."""
+    """``endpoint`` loads version ``load`` in place of ``instead_of``."""
 
     endpoint: str
     load: VersionId
--- a/acaciacove/decisions/plan_cache.py
+++ b/acaciacove/decisions/plan_cache.py
@@ -1,4 +1,4 @@
-"""Plans that stay in use until enough new ratings have come."""
+"""Cache of cascade plans."""
 
 from attrs import define, field
 
@@ -14,7 +14,10 @@
 
 @define
 class PlanCache:
-    """Remembers plans, so that a decision costs a look-up and not a search."""
+    """Caches plans until enough new ratings have arrived.
+
+    A decision then costs a look-up instead of a search.
+    """
 
     estimates: QualityEstimates
     settings: ChoiceSettings = ChoiceSettings()
@@ -27,7 +30,7 @@
         target: float,
         may_escalate: bool,
     ) -> PlanInUse:
-        """Return the plan in use, made anew after ``replan_ratings`` ratings."""
+        """Return the cached plan, or a new one after ``replan_ratings`` ratings."""
         key = (tuple(v.id for v in ladder), request_class, target, may_escalate)
         known = self._plans.get(key)
         due = self.estimates.generation - self.settings.replan_ratings
--- a/acaciacove/decisions/plan_in_use.py
+++ b/acaciacove/decisions/plan_in_use.py
@@ -1,4 +1,4 @@
-"""A plan with what may be tried beside it."""
+"""Cached plan with its trials."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class PlanInUse:
-    """``generation`` is that of the estimates that the plan was made from."""
+    """Plan, its trials, and the ``generation`` of the estimates it was made from."""
 
     plan: CascadePlan
     trials: tuple[Trial, ...]
--- a/acaciacove/decisions/quality_estimates.py
+++ b/acaciacove/decisions/quality_estimates.py
@@ -1,4 +1,4 @@
-"""Quality per version and request class, learned from ratings."""
+"""Quality by version and request class, estimated from ratings."""
 
 from math import sqrt
 
@@ -13,7 +13,7 @@
 
 PRIOR_RATINGS = 4.0
 PRIOR_DEVIATION = 0.3
-# A one-sided confidence of 90 in 100, per plan and class.
+# One-sided confidence of 90 %, by plan and request class.
 CONFIDENCE_DEVIATIONS = 1.28
 EPOCH_RATINGS = 20_000
 KEPT_EPOCHS = 3
@@ -24,13 +24,14 @@
 
 @define
 class QualityEstimates:
-    """What ratings have taught, own and from peers.
-
-    Ratings are counted per signal bin and weighed by how often that bin is *seen*
-    on all answers. A service that rates some kinds of answer more often than others
-    would otherwise shift the mean; so would a sample that the router itself biased.
-    Old epochs (blocks of rating sequence numbers) are forgotten, so an estimate
-    follows a version that changes.
+    """Counts of local ratings and of those received from peers.
+
+    Ratings are counted by signal bin and weighted by the share of the bin in all
+    answers. Otherwise the mean would be biased by a service that rates some kinds of
+    answers more often than others, or by the router's own selection. Old epochs
+    (blocks of rating sequence numbers) are removed, so an estimate follows a version
+    that changes. ``origin`` is the name of the process in the shared counters.
+    ``generation`` increases with every rating or merge.
     """
 
     origin: str
@@ -39,13 +40,16 @@
     _counts: SharedCounts = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Count under the own name."""
+        """Create the counters of this process."""
         self._counts = SharedCounts(self.origin)
 
     def record_rating(
         self, version: VersionId, request_class: str, score: float, sequence: int = 0
     ) -> None:
-        """Count one rating (0 to 1) of a plain or rated class, at any age."""
+        """Count one rating (0 to 1) of a request class or a rated class.
+
+        Ignores ratings from epochs that are no longer retained.
+        """
         rated = parse_rated_class(request_class)
         epoch = sequence // EPOCH_RATINGS
         if epoch <= self.epoch - KEPT_EPOCHS:
@@ -60,7 +64,7 @@
     def record_answer(
         self, version: VersionId, request_class: str, signal_bin: int
     ) -> None:
-        """Count a first answer by its signal, rated or not."""
+        """Count a first answer by its signal bin, whether it gets a rating or not."""
         self._counts.add(
             _name(_SEEN, self.epoch, version, request_class, _FIRST, signal_bin)
         )
@@ -68,9 +72,9 @@
     def bins(
         self, version: VersionId, request_class: str, after: str = _FIRST
     ) -> tuple[tuple[float, Tally], ...]:
-        """Return for each signal bin how many answers were seen, and the ratings.
+        """Return the number of answers and the tally of ratings of each signal bin.
 
-        With ``after``, the bins are those of that first version's signal.
+        With ``after``, the bins are those of the signal of that first version.
         """
         return tuple(
             (
@@ -81,22 +85,22 @@
         )
 
     def rated_count(self, version: VersionId, request_class: str) -> float:
-        """Count the ratings of a version's first answers."""
+        """Return the number of ratings of a version's first answers."""
         return sum(tally.count for _, tally in self.bins(version, request_class))
 
     def estimate(
         self, version: VersionId, request_class: str, prior: float, after: str = _FIRST
     ) -> Estimate:
-        """Estimate the mean rating; ``prior`` is the release note's word for it."""
+        """Return the estimated mean rating; ``prior`` is the release note's quality."""
         bins = self.bins(version, request_class, after)
         return estimate_from_bins(bins, prior)
 
     def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
-        """Take up to ``limit`` counters to send to a peer."""
+        """Return up to ``limit`` changed counters to send to a peer."""
         return self._counts.export_delta(limit)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> None:
-        """Take in a peer's counters; doubled or late ones change nothing."""
+        """Merge a peer's counters; duplicate and outdated ones have no effect."""
         for cell in cells:
             self._turn_to(int(cell.name[1]))
         self._counts.merge(cells)
@@ -123,9 +127,9 @@
 
 
 def estimate_from_bins(bins: tuple[tuple[float, Tally], ...], prior: float) -> Estimate:
-    """Weigh the bins' mean ratings by how often each bin is seen.
+    """Return the mean rating of the bins, weighted by their shares of the answers.
 
-    Each bin's mean is drawn towards the mean of all, and that towards the prior.
+    Each bin's mean is shrunk towards the overall mean, and that towards the prior.
     """
     seen = sum(count for count, _ in bins)
     rated = sum(tally.count for _, tally in bins)
@@ -145,7 +149,7 @@
 
 
 def deviation_of(tally: Tally) -> float:
-    """Return the deviation of one rating, drawn towards a broad prior."""
+    """Return the standard deviation of one rating, shrunk towards a broad prior."""
     squares = tally.squares - tally.count * tally.mean**2
     drawn = squares + PRIOR_RATINGS * PRIOR_DEVIATION**2
     return sqrt(max(0.0, drawn) / (tally.count + PRIOR_RATINGS))
--- a/acaciacove/decisions/ramp.py
+++ b/acaciacove/decisions/ramp.py
@@ -1,4 +1,4 @@
-"""How many requests a freshly started endpoint is given."""
+"""Cold-start ramp: concurrency limit of a freshly started endpoint."""
 
 from attrs import define, field
 
@@ -12,14 +12,15 @@
 
 @define
 class Ramp:
-    """The cold-start limit of one endpoint.
-
-    The limit starts at what the version is declared to bear cold. It grows along a
-    curve of time that stays below what a steadily warming endpoint bears, and only
-    as far as completed work at good latency has earned. An endpoint that turns cold
-    without a word shows it by a latency step, by tokens that stop coming, by a
-    changed restart count or its load report; each puts the limit back at once, since
-    a cold endpoint falls over under the load that a warm one bears.
+    """Cold-start limit of one endpoint.
+
+    The limit starts at the version's declared cold capacity. It grows along a curve of
+    time that stays below the capacity of a steadily warming endpoint, and no further
+    than requests completed at good latency have earned.
+
+    An endpoint may turn cold unannounced. The signs are a latency step, a gap between
+    tokens, a changed restart count or its load report. Each of them restarts the ramp
+    at once, since a cold endpoint collapses under the load of a warm one.
     """
 
     version: Version
@@ -34,11 +35,11 @@
     _fell_back_at_s: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
-        """Begin with what is borne cold."""
+        """Initialise the earned limit with the cold capacity."""
         self._earned = float(self.version.cold_bears)
 
     def limit(self, now_s: float) -> int:
-        """Return how many requests may run at once."""
+        """Return how many requests may run concurrently."""
         cold, warm = self.version.cold_bears, self.version.warm_bears
         if self.warm:
             return warm
@@ -54,11 +55,11 @@
         now_s: float,
         started_at_s: float | None = None,
     ) -> None:
-        """Count one ended request; ``latency_s`` is its time per token.
+        """Count one finished request; ``latency_s`` is its time per token.
 
-        One slow or failed request may be the caller's doing (a long prompt, a
-        cancellation), several in a row are the endpoint's. Requests that started
-        before the last fall-back say nothing new.
+        A single slow or failed request may be due to the caller (a long prompt, a
+        cancellation), several in a row are due to the endpoint. Requests that started
+        before the last restart of the ramp are ignored.
         """
         if started_at_s is not None and started_at_s < self._fell_back_at_s:
             return
@@ -74,23 +75,23 @@
             self.warm = True
 
     def observed_gap(self, gap_s: float, now_s: float) -> None:
-        """Take in how long running requests have waited for their next token.
+        """Check how long running requests have waited for their next token.
 
-        An endpoint that thrashes may take minutes to complete anything; the gap
-        between tokens tells within a fraction of a second.
+        A thrashing endpoint may take minutes to complete a request. The gap between
+        tokens shows it within a fraction of a second.
         """
         if gap_s > self.settings.gap_steps * self._usual_s(gap_s):
             self.fall_back(now_s)
 
     def reported(self, load: Load, restarts: int, now_s: float) -> None:
-        """Take in a load report of the endpoint and its restart count."""
+        """Check a load report of the endpoint and its restart count."""
         restarted = self._restarts is not None and restarts != self._restarts
         self._restarts = restarts
         if restarted or (load.cold and self.warm):
             self.fall_back(now_s)
 
     def fall_back(self, now_s: float) -> None:
-        """Treat the endpoint as freshly started."""
+        """Restart the ramp, as for a freshly started endpoint."""
         self.started_at_s = now_s
         self._fell_back_at_s = now_s
         self._earned = float(self.version.cold_bears)
@@ -101,7 +102,10 @@
         return latency_s > self.settings.latency_step * self._usual_s(latency_s)
 
     def _usual_s(self, unknown_s: float) -> float:
-        """Return the usual latency, or the given one while too little is known."""
+        """Return the baseline latency, at least ``least_usual_s``.
+
+        ``unknown_s`` replaces the baseline below ``MIN_BASELINE_SAMPLES``.
+        """
         known = self._samples >= MIN_BASELINE_SAMPLES
         usual_s = self._baseline_s if known else unknown_s
         return max(usual_s, self.settings.least_usual_s)
--- a/acaciacove/decisions/ramp_settings.py
+++ b/acaciacove/decisions/ramp_settings.py
@@ -5,14 +5,15 @@
 
 @frozen
 class RampSettings:
-    """How carefully a limit grows.
+    """Settings of the growth of the limit and of the detection of cold endpoints.
 
-    The ramp lasts ``stretch`` times the declared warm-up and follows a power of
-    time. Each good request earns ``earned_per_request`` of the limit. A time per
-    token ``latency_step`` times the usual in ``bad_in_a_row`` requests, or one gap
-    of ``gap_steps`` times it, means that the endpoint is cold. The usual time counts as
-    ``least_usual_s`` at least: with times of a millisecond, any hiccup of the machine
-    would look like a cold start.
+    The ramp takes ``stretch`` times the declared warm-up time and grows with
+    ``power`` of the time. Each good request adds ``earned_per_request`` to the earned
+    limit. The endpoint counts as cold after ``bad_in_a_row`` requests in a row that
+    failed or took more than ``latency_step`` times the baseline time per token, or
+    after one gap between tokens of more than ``gap_steps`` times the baseline. The
+    baseline counts as at least ``least_usual_s``: with times of a millisecond, any
+    short pause of the machine would look like a cold start.
     """
 
     stretch: float = 1.3
--- a/acaciacove/decisions/refused_item.py
+++ b/acaciacove/decisions/refused_item.py
@@ -1,4 +1,4 @@
-"""A request that admission gave up before it ran."""
+"""Waiting request that admission refused."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class RefusedItem:
-    """The item with its refusal, which is always a true "not run"."""
+    """The item with its refusal; the request has never run."""
 
     item: WaitingItem
     refusal: Refusal
--- a/acaciacove/decisions/request_class.py
+++ b/acaciacove/decisions/request_class.py
@@ -1,4 +1,4 @@
-"""Cheap classification of a request from its headers and body features."""
+"""Classification of a request by its API, size and batch flag."""
 
 from acaciacove.fleet.api import Api
 from acaciacove.fleet.api_kind import ApiKind
@@ -10,14 +10,14 @@
 
 
 def estimate_prompt_tokens(body_bytes: int) -> int:
-    """Guess the prompt's tokens from its size; engines report the true number."""
+    """Return an estimate from the body size; engines report the exact number."""
     return max(1, body_bytes // BYTES_PER_TOKEN)
 
 
 def classify_request(api: Api, prompt_tokens: int, batch: bool) -> str:
-    """Name the class of a request; ratings are learned per class.
+    """Return the class of a request, by which ratings are counted.
 
-    The name is part of what the rating service keeps, so it stays stable.
+    The rating service stores the name, so it must not change.
     """
     if api.kind is ApiKind.SERVICE:
         return SERVICE_CLASS
--- a/acaciacove/decisions/response_bias.py
+++ b/acaciacove/decisions/response_bias.py
@@ -1,4 +1,4 @@
-"""Correct for callers who rate some answers more readily than others."""
+"""Corrects ratings for response bias: some answers are rated more often."""
 
 from collections.abc import Iterable
 
@@ -13,16 +13,16 @@
 
 @frozen
 class ResponseBias:
-    """The chance of a rating grows by ``slope`` as a score falls from 1 to 0.
+    """Relative increase ``slope`` of the rating probability from score 1 to score 0.
 
-    Unhappy callers often rate more. The mean of what was rated is then too low, and
-    the router pays for quality that it has already.
+    Dissatisfied callers often rate more. The mean of the ratings is then too low, and
+    the router pays for quality that it already has.
     """
 
     slope: float = 0.0
 
     def correct(self, tally: Tally) -> Tally:
-        """Return the tally that unbiased raters would have given, about."""
+        """Return the approximate tally without response bias."""
         if not tally.count or not self.slope:
             return tally
         mean = tally.mean
@@ -34,11 +34,12 @@
 
 
 def fit_response_bias(bins: Iterable[tuple[float, Tally]]) -> ResponseBias:
-    """Fit the slope from answers seen and rated, per signal bin.
+    """Fit the slope to the numbers of answers and ratings by signal bin.
 
-    The signal is known of every answer. Where bins with low ratings are rated more
-    often than bins with high ones, scores move the chance of a rating. The slope is
-    taken one standard error nearer to none, so that little data corrects little.
+    Every answer has a signal, rated or not. If bins with low ratings are rated more
+    often than bins with high ratings, the probability of a rating depends on the
+    score. The slope is reduced by one standard error towards 0, so that little data
+    gives little correction.
     """
     points = [
         (seen, tally.count / seen, 1.0 - tally.mean)
--- a/acaciacove/decisions/subset.py
+++ b/acaciacove/decisions/subset.py
@@ -1,4 +1,4 @@
-"""The bounded set of endpoints that one entry speaks to."""
+"""Deterministic subsetting: the endpoints that one entry connects to."""
 
 from collections.abc import Iterable, Sequence
 from hashlib import blake2b
@@ -15,14 +15,13 @@
     endpoints: Sequence[Instance],
     size: int = DEFAULT_SIZE,
 ) -> tuple[Instance, ...]:
-    """Pick this entry's endpoints, some in every availability zone.
-
-    Within a zone, entries and endpoints are each ranked by a hash of their names;
-    the entry at rank i of n starts at i/n of the endpoints and takes the next few.
-    So every endpoint is picked by the same number of entries, give or take one,
-    and an arrival or departure shifts ranks by one and changes an entry's set by an
-    endpoint or so. With few entries the set grows until each endpoint is covered
-    ``MIN_COVER`` times.
+    """Return the subset of endpoints of an entry, with some in every zone.
+
+    Within a zone, entries and endpoints are ranked by a hash of their names. The entry
+    at rank i of n starts at i/n of the endpoints and takes the next few. All endpoints
+    are thus in the same number of subsets, give or take one. An added or removed
+    process shifts ranks by one and changes a subset by about one endpoint. With few
+    entries, subsets grow until each endpoint is in ``MIN_COVERAGE`` of them.
     """
     ranked_entries = sorted(set(entries) | {entry}, key=_hash_rank)
     place = ranked_entries.index(entry)
--- a/acaciacove/decisions/usual.py
+++ b/acaciacove/decisions/usual.py
@@ -1,11 +1,11 @@
-"""What is usual among the endpoints that are compared."""
+"""Averages over the endpoints that are compared."""
 
 from attrs import frozen
 
 
 @frozen
 class Usual:
-    """Requests per admitted slot, seconds of service, and slots of an endpoint."""
+    """Requests per slot, service time in seconds, and slots of an endpoint."""
 
     load: float
     service_s: float
--- a/acaciacove/decisions/version_choice.py
+++ b/acaciacove/decisions/version_choice.py
@@ -1,4 +1,4 @@
-"""Which version answers a request."""
+"""Chooses the version that answers a request."""
 
 from collections.abc import Collection, Mapping
 from hashlib import blake2b
@@ -46,11 +46,11 @@
 ) -> VersionDecision | Refusal:
     """Choose the cheapest allowed plan that meets the API's quality target.
 
-    ``shares`` is the exposure of versions under roll-out (1 when absent),
-    ``serving`` the versions that some endpoint serves (all when None). A pinned
-    session keeps its version while that is allowed and usable, and its answers do
-    not escalate. A session without a pin is exposed by a hash of its name, so that
-    every entry draws alike and a growing share moves each session once at most.
+    ``shares`` is the exposure of versions under roll-out (1 if absent). ``serving``
+    holds the versions that some endpoint serves (all if None). A pinned session keeps
+    its version while that is allowed and usable, and its answers do not escalate. For a
+    session without a pin, a hash of its name decides on its exposure. All entries thus
+    decide alike, and a growing share moves each session at most once.
     """
     lost = _lost_versions(fleet, organisation, api, serving)
     versions = [v for v in fleet.versions_of(api.name) if v.id not in lost]
@@ -72,7 +72,7 @@
     api: Api,
     serving: Collection[VersionId] | None,
 ) -> dict[VersionId, Lost]:
-    """Name the versions of an API that may not or cannot be used, and why."""
+    """Return the versions of an API that cannot be used, with the reasons."""
     lost: dict[VersionId, Lost] = {}
     for version in fleet.versions_of(api.name):
         if not organisation.allows(version.id):
@@ -87,7 +87,10 @@
 
 
 def _refusal(lost: dict[VersionId, Lost], api: Api) -> Refusal:
-    """Refuse for the reason that lies nearest to service."""
+    """Return a refusal for the reason that is closest to being served.
+
+    ``_REFUSALS`` lists the reasons in this order.
+    """
     reasons = set(lost.values())
     for why, reason in _REFUSALS:
         if why in reasons:
@@ -106,10 +109,11 @@
     draw: float,
     lost: dict[VersionId, Lost],
 ) -> tuple[list[Version], dict[VersionId, VersionId]]:
-    """Let either a version under roll-out or the one it replaces stand.
+    """Select either a version under roll-out or the one that it replaces.
 
-    A version under roll-out takes the place of the replaced one in that one's plan.
-    With a plan from its own few ratings it would never be chosen, or always.
+    Returns the versions to plan with, and the substitutes by replaced version. A
+    version under roll-out below full share substitutes the replaced one in the plan
+    of that one. A plan from its own few ratings would choose it never or always.
     """
     standing = {v.id: v for v in versions}
     substitutes: dict[VersionId, VersionId] = {}
--- a/acaciacove/decisions/version_decision.py
+++ b/acaciacove/decisions/version_decision.py
@@ -1,4 +1,4 @@
-"""The choice of a version for one request."""
+"""Version that was chosen for one request."""
 
 from attrs import frozen
 
@@ -9,11 +9,11 @@
 
 @frozen
 class VersionDecision:
-    """The version to ask first, and where its answer may escalate to.
+    """Version to query first, and the version that its answer may escalate to.
 
-    ``ladder`` starts with ``version``; a second element is asked if
-    ``should_escalate`` says so. With ``always_escalates`` (a trial) the first answer
-    is only rated. ``pinned`` says that a session held to its version.
+    ``ladder`` starts with ``version``. A second version is queried if
+    ``should_escalate`` returns True. With ``always_escalates`` (a trial) the first
+    answer is only rated. ``pinned`` is True if the session is pinned to its version.
     """
 
     version: VersionId
--- a/acaciacove/decisions/version_holders.py
+++ b/acaciacove/decisions/version_holders.py
@@ -1,4 +1,4 @@
-"""Which endpoints hold a version that is rolled out, agreed by hash alone."""
+"""Assigns a version under roll-out to endpoints by hash, without coordination."""
 
 from collections.abc import Sequence
 from math import ceil
@@ -16,12 +16,12 @@
 def planned_versions(
     fleet: FleetState, endpoints: Sequence[Instance]
 ) -> dict[str, frozenset[VersionId]]:
-    """Return what each endpoint should hold beyond what the platform lists.
+    """Return the versions that each endpoint should hold beyond the platform's list.
 
-    A version under roll-out belongs on the share of its predecessor's endpoints that
-    it has earned, on two at least. Sidecars load it by this rule and entries look for
-    it by the same rule, so nothing has to be told, and a roll-out that stops half-way
-    leaves every holder where the rule has put it. A larger share adds holders and
+    A version under roll-out is assigned to a share of its predecessor's endpoints
+    equal to its exposure, but to at least ``MIN_HOLDERS``. Sidecars load versions and
+    entries route to them by this same rule, so they need no messages, and a roll-out
+    that stops half-way leaves every holder in place. A larger share adds holders and
     moves none.
     """
     held = {e.name: set(e.versions) for e in endpoints}
@@ -40,7 +40,10 @@
     replaced: VersionId,
     held: dict[str, set[VersionId]],
 ) -> list[str]:
-    """Rank the predecessor's endpoints and take the first by the earned share."""
+    """Return the first endpoints of the predecessor by hash rank.
+
+    Their number is the version's exposure times the number of those endpoints.
+    """
     able = [name for name, versions in held.items() if replaced in versions]
     share = fleet.exposures.get(version.id, version.first_share)
     count = max(MIN_HOLDERS, ceil(share * len(able)))
--- a/acaciacove/decisions/waiting_item.py
+++ b/acaciacove/decisions/waiting_item.py
@@ -1,14 +1,14 @@
-"""A request that waits at a sidecar for its endpoint."""
+"""Request that waits at a sidecar for its endpoint."""
 
 from attrs import frozen
 
 
 @frozen
 class WaitingItem:
-    """What admission has to know of a request.
+    """Properties of a request that admission uses.
 
     ``cost_tokens`` is the expected work, ``weight`` the organisation's share.
-    ``deadline_at_s`` is on the clock that is handed in as ``now_s``.
+    ``deadline_at_s`` is on the same clock as the ``now_s`` of ``AdmissionQueue``.
     """
 
     request_id: str
--- a/acaciacove/decisions/zone_moves.py
+++ b/acaciacove/decisions/zone_moves.py
@@ -1,4 +1,4 @@
-"""How traffic leaves an availability zone, and how it returns."""
+"""Traffic shares of availability zones that go out of service and return."""
 
 from attrs import define, field
 
@@ -10,11 +10,12 @@
 
 @define
 class ZoneMoves:
-    """The share of its normal traffic that each availability zone gets.
+    """Share of its normal traffic that each availability zone gets.
 
-    A zone goes out at once. It returns over ``RETURN_S``: its endpoints' caches and
-    connections are cold, and a full share at once would make them the slowest. A
-    zone that flaps starts over each time, so it cannot swing traffic to and fro.
+    A zone that goes out loses its traffic at once. It returns over ``return_s``: the
+    caches and connections of its endpoints are cold, and with a full share at once
+    they would be the slowest. A flapping zone restarts its ramp each time, so its
+    traffic does not oscillate.
     """
 
     return_s: float = RETURN_S
@@ -22,7 +23,7 @@
     _out: frozenset[str] = frozenset()
 
     def update(self, fleet: FleetState, now_s: float) -> None:
-        """Take in the zones that are out now."""
+        """Apply the current set of zones that are out."""
         for zone in self._out - fleet.availability_zones_out:
             self._returned_at_s[zone] = now_s
         for zone in fleet.availability_zones_out:
@@ -30,7 +31,7 @@
         self._out = fleet.availability_zones_out
 
     def share(self, availability_zone: str, now_s: float) -> float:
-        """Return the zone's share, 0 while out to 1 in full service."""
+        """Return the zone's share, from 0 while out to 1 in full service."""
         if availability_zone in self._out:
             return 0.0
         returned_at_s = self._returned_at_s.get(availability_zone)
--- a/tests/test_decisions_cascade.py
+++ b/tests/test_decisions_cascade.py
@@ -1,4 +1,4 @@
-"""Plans meet the target at the least cost, and trials harm nobody."""
+"""Cascade plans meet the quality target at minimum cost; trials are not delivered."""
 
 from random import Random
 
@@ -68,8 +68,8 @@
 
 
 def test_without_ratings_the_best_version_is_asked():
-    # Right after a start nothing is known. Asking the cheap version on the word of
-    # its release note alone would give callers poor answers until ratings arrive.
+    # After a start there are no ratings. With the release note's quality alone, the
+    # cheap version could give callers poor answers until ratings arrive.
     plan = plan_cascade(LADDER, QualityEstimates("entry-1"), CLASS, 0.85)
     assert plan.start == LARGE
 
@@ -84,8 +84,8 @@
 
 
 def test_a_trial_of_a_cheaper_version_is_never_delivered():
-    # Learning about a cheap version needs its answers. If callers got them before
-    # they are known to be good, learning would cost them quality.
+    # Rating a cheap version needs its answers. Callers would lose quality if they got
+    # these answers before their quality is known.
     settings_ = ChoiceSettings()
     plan = CascadePlan(LARGE, cost=10.0)
     trials = list_trials(LADDER, plan, CLASS, QualityEstimates("e"), settings_)
@@ -121,8 +121,9 @@
 
 
 def test_a_growing_share_moves_a_session_once_at_most():
-    # A chat without a pin asks different entries. If each drew anew, or a larger
-    # share drew other sessions, the chat would change its version in mid-talk.
+    # A session without a pin reaches different entries. If each entry drew at random,
+    # or a larger share exposed other sessions, the session would change its version
+    # repeatedly.
     sessions = [f"chat-{n}" for n in range(400)]
     small, large = (exposed(rollout_fleet(), share, sessions) for share in (0.1, 0.4))
     assert 0 < len(small) < len(large) < 250
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -1,4 +1,4 @@
-"""Subsets are bounded and even; endpoints are chosen without herds."""
+"""Subsets are bounded and even; endpoint choices do not herd."""
 
 from collections import Counter
 from random import Random
@@ -56,8 +56,8 @@
 
 
 def test_one_arrival_changes_little_of_a_set():
-    # An endpoint is replaced. If each entry then drew a fresh set, all connections
-    # and prefix caches of the fleet would be lost at once.
+    # If an added endpoint changed the subsets completely, all connections and prefix
+    # caches of the fleet would be lost at once.
     names = [f"entry-{n}" for n in range(40)]
     before = {e.name for e in choose_subset("entry-7", names, fleet_of(200))}
     after = {e.name for e in choose_subset("entry-7", names, fleet_of(201))}
@@ -83,8 +83,8 @@
 
 
 def test_many_entries_do_not_meet_on_the_emptiest_endpoint():
-    # All entries hold the same report, a second old, in which one endpoint is empty.
-    # If each sent there, its queue would be the longest a moment later.
+    # All entries hold the same report, one second old, in which one endpoint is idle.
+    # If all entries chose it, it would have the longest queue right afterwards.
     endpoints = fleet_of(12)
     views = {e.name: view(e, in_flight=0 if e.name == "e3" else 5) for e in endpoints}
     chosen = Counter(
@@ -104,8 +104,8 @@
 
 
 def test_requests_with_one_prefix_meet_where_it_is_cached():
-    # Cache events come late or never. Entries that each guess alone would spread one
-    # prompt over all engines, and each would compute it anew.
+    # Cache events arrive late or not at all. If entries chose independently, they would
+    # spread one prompt over all engines, and each engine would compute it again.
     endpoints = fleet_of(12)
     chosen = Counter(
         choose_endpoint(
@@ -139,8 +139,8 @@
 
 
 def test_a_zone_returns_little_by_little_and_flapping_starts_over():
-    # An operator takes a zone out and in again, twice in a row. Its endpoints are
-    # cold; with a full share at once their callers would wait longest.
+    # An operator takes a zone out of service and back, twice in a row. Its endpoints
+    # are cold; with a full share at once, their callers would wait longest.
     moves, out = ZoneMoves(), FleetState(availability_zones_out=frozenset({"ozark"}))
     moves.update(out, 0.0)
     assert moves.share("ozark", 1.0) == 0.0
--- a/tests/test_decisions_interfaces.py
+++ b/tests/test_decisions_interfaces.py
@@ -1,4 +1,4 @@
-"""The decisions fit together as the daemons call them."""
+"""Decisions work together in the way that the daemons call them."""
 
 from random import Random
 
--- a/tests/test_decisions_limits.py
+++ b/tests/test_decisions_limits.py
@@ -1,4 +1,4 @@
-"""Ramps, queues and budgets keep endpoints and organisations whole."""
+"""Ramps, queues and budgets protect endpoints and the shares of organisations."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -27,7 +27,7 @@
 
 
 def served(queue, count, step_s=1.0):
-    """Run items one after the other; returns the organisations in order."""
+    """Run items one after the other and return them in order."""
     order, now_s = [], 0.0
     for _ in range(count):
         taken = queue.next(now_s)
@@ -41,7 +41,7 @@
 
 def test_a_flood_leaves_the_others_their_share():
     # One organisation sends a hundred requests at once, then another sends five. In
-    # order of arrival the second would wait for the whole flood.
+    # order of arrival, the second one would wait for all requests of the first.
     queue = AdmissionQueue(limit=1)
     for number in range(100):
         assert queue.offer(item(number, "flood"), 0.0) is None
@@ -70,8 +70,8 @@
 
 
 def test_refused_work_earns_no_credit():
-    # A flood waits beyond its time and is refused again and again. Were it given
-    # credit for that, it would crowd out those who sent little.
+    # Most requests of a flood expire and are refused. If refused requests earned
+    # credit, the flood would displace the organisation that sends little.
     queue = AdmissionQueue(AdmissionSettings(min_samples=0, token_s=0.0), limit=1)
     now_s = 0.0
     shares = {"flood": 0, "small": 0}
@@ -91,8 +91,8 @@
 
 
 def test_work_that_cannot_end_in_time_is_refused_at_once():
-    # At twice the capacity a queue grows until everything in it is late. The caller
-    # then waits for an answer that no longer helps, and a place is lost to it.
+    # At twice the capacity, a queue grows until all its items miss their deadlines.
+    # Callers wait for answers that come too late, and these answers occupy slots.
     queue = AdmissionQueue(limit=1)
     for number in range(10):
         queue.offer(item(number, tokens=10.0), 0.0)
@@ -154,14 +154,14 @@
 
 
 def test_time_alone_does_not_warm_an_endpoint():
-    # A fresh endpoint stands idle for an hour. Its caches are as cold as before, and
-    # with the warm limit the first burst would make it fall over.
+    # A fresh endpoint is idle for an hour, and its caches are still cold. With the warm
+    # limit, the first burst would overload it.
     assert Ramp(VERSION, 0.0).limit(3600.0) == 2
 
 
 def test_an_endpoint_that_turns_cold_unannounced_falls_back_at_once():
-    # An engine restarts within its instance, or its accelerator is throttled, and no
-    # message tells of it. Answers stall, and more work only makes it worse.
+    # An engine restarts within its instance, or its accelerator is throttled, without
+    # any message. Answers stall, and more work makes it worse.
     for notice in ("gap", "latency", "restart", "report"):
         ramp = Ramp(VERSION, 0.0, warm=True)
         for second in range(30):
@@ -181,8 +181,8 @@
 
 
 def test_a_caller_who_leaves_or_sends_a_long_prompt_does_not_cool_an_endpoint():
-    # One caller cancels, another sends a prompt that takes long. Were the limit put
-    # back to cold for it, everybody else would queue before a warm endpoint.
+    # One caller cancels, another sends a long prompt. If either restarted the ramp, all
+    # other requests would queue although the endpoint is warm.
     ramp = Ramp(VERSION, 0.0, warm=True)
     for second in range(40):
         ramp.finished(0.03, True, float(second))
@@ -214,7 +214,7 @@
 
 
 def test_a_call_that_may_not_be_repeated_is_never_hedged():
-    # A booking's first attempt is slow. A hedge could book the shuttle twice.
+    # The first attempt of a booking call is slow. A hedge could book twice.
     delays = HedgeDelays()
     for _ in range(100):
         delays.record("call", 0.2)
--- a/tests/test_decisions_models.py
+++ b/tests/test_decisions_models.py
@@ -1,4 +1,4 @@
-"""Which model is asked, and at which endpoint, as pure decisions."""
+"""Pure decisions on the model to query, and estimates of waits at endpoints."""
 
 from random import Random
 
@@ -35,7 +35,7 @@
 
 
 def taught(abilities, requests=400, seed=1):
-    """Beliefs after requests that all models answered."""
+    """Return a calibration updated by requests that all models answered."""
     random, beliefs = Random(seed), ConfidenceBeliefs()
     names = [f"m{rank}" for rank in range(len(abilities))]
     for first, second in ((0, 1), (0, 2), (1, 2)):
@@ -59,9 +59,9 @@
 
 
 def test_a_middle_model_that_is_nearly_the_largest_takes_its_place():
-    """A customer's middle model answers nearly all that the largest does, at half of
-    its price and a third of its time. A cascade that knows only the smallest and the
-    largest would pay twice, and queues would grow behind the largest.
+    """A medium model answers nearly all requests that the largest does, at half of its
+    price and a third of its time. Escalation straight to the largest would cost twice
+    as much, and queues would grow at the largest model.
     """
     beliefs = taught((0.3, 0.95, 1.0))
     asked = [
@@ -88,7 +88,7 @@
 
 def test_in_a_crowd_fewer_answers_are_dropped():
     """Two of five engines are down and the queues are seconds long. Each request that
-    is asked of the largest model as well makes all behind it wait.
+    also queries the largest model delays all requests behind it.
     """
     beliefs = taught((0.54, 0.64, 1.0))
     crowd = Moment(elapsed_s=1.5, target_s=3.0, delayed_per_s=5.0)
@@ -112,8 +112,9 @@
 
 
 def test_many_short_waits_cost_less_than_few_long_ones():
-    """Many requests a second behind engines that are hardly late lose nothing by a
-    little delay; answers that their model doubts are dropped for a larger one's there.
+    """Answers that are far from their latency targets lose next to nothing by a short
+    delay, even at many requests per second. Answers with low confidence escalate more
+    often then.
     """
     beliefs = taught((0.54, 0.64, 1.0))
     short, long = delays_of([0.1] * 200), delays_of([0.7] * 200)
@@ -171,8 +172,8 @@
 
 
 def test_reading_pace_finds_the_line_beneath_the_waits():
-    """First pieces come late as often as not, because of queues. Taken for the model's
-    pace, the waits would make every endpoint look slow for ever.
+    """Half of the first chunks are late because of queues. If the waits counted as
+    prompt reading time, all endpoints would look slow for good.
     """
     random, pace = Random(3), ReadingPace()
     for _ in range(300):
@@ -184,8 +185,9 @@
 
 
 def test_an_overdue_request_tells_of_a_queue_before_its_answer():
-    """An engine stands still. Its requests are not answered, so nothing is reported of
-    it; one that is overdue shows it, and callers are sent to the others.
+    """An engine hangs and answers no request, so no wait is ever measured. A pending
+    request past its expected time must raise the estimate, so that requests go to
+    other endpoints.
     """
     stuck, other = EndpointBacklog(), EndpointBacklog()
     stuck.send(1, 0.1, now_s=10.0)
@@ -229,7 +231,7 @@
 
 
 def test_work_that_was_told_is_over_when_its_time_has_passed():
-    """Guards against a queue that never empties where no own answer comes."""
+    """Guards against an estimate that never decreases without local answers."""
     backlog = EndpointBacklog()
     backlog.send_other(0.8, now_s=5.0)
     backlog.send_other(0.2, now_s=7.0)
--- a/tests/test_decisions_placement.py
+++ b/tests/test_decisions_placement.py
@@ -1,4 +1,4 @@
-"""Placement moves few endpoints at a time, towards the work."""
+"""Placement moves few endpoints at a time, towards versions with more work."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -23,8 +23,8 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_few_move_at_a_time_and_no_version_with_work_loses_its_last(held, work, moving):
-    # Many endpoints that load weights at once serve nothing and queue at the weight
-    # store, and a version without endpoint answers nobody.
+    # Endpoints that load weights serve nothing, and many at once queue at the weight
+    # store. A version without an endpoint answers no requests.
     placed = {f"e{n}": version for n, version in enumerate(held)}
     names = frozenset(f"e{n}" for n in moving if f"e{n}" in placed)
     demand = dict(zip((A, B, C), work, strict=True))
