--- a/acaciacove/decisions/admission.py
+++ b/acaciacove/decisions/admission.py
@@ -44,17 +44,17 @@
 
     def offer(self, item: WaitingItem, now_s: float) -> Refusal | None:
         """Queue an item, or return its refusal."""
-        lane = self._lane(item, now_s)
-        wait_s = self._expected_wait_s(lane, item.batch, now_s)
+        queue = self._lane(item, now_s)
+        wait_s = self._expected_wait_s(queue, item.batch, now_s)
         until_s = self._waits_until_s(item, now_s)
         if now_s + self.settings.wait_margin * wait_s > until_s:
             return self._overloaded(Reason.DEADLINE_EXCEEDED, wait_s)
-        if self.queued >= self.settings.max_queue and not self._push_out(lane, now_s):
+        if self.queued >= self.settings.max_queue and not self._push_out(queue, now_s):
             return self._overloaded(Reason.OVERLOADED, wait_s)
-        if not lane.queued:
-            lane.next_tag = self._start_tag(lane, now_s)
+        if not queue.queued:
+            queue.next_tag = self._start_tag(queue, now_s)
         self._enter_kind(item.batch)
-        lane.enter(item, until_s)
+        queue.enter(item, until_s)
         return None
 
     def next(self, now_s: float) -> WaitingItem | None:
@@ -65,16 +65,16 @@
         self._give_up_late(now_s)
         if len(self.running) >= self.limit:
             return None
-        found = self._pick(now_s)
-        if found is None:
+        selected = self._pick(now_s)
+        if selected is None:
             return None
-        lane, batch = found
-        item = lane.take(batch)
+        queue, batch = selected
+        item = queue.take(batch)
         self._kind_counts[batch] -= 1
-        self._virtual = max(self._virtual, lane.next_tag)
-        lane.next_tag += item.cost_tokens / item.weight
+        self._virtual = max(self._virtual, queue.next_tag)
+        queue.next_tag += item.cost_tokens / item.weight
         self._kind_tags[batch] += item.cost_tokens / self._kind_share(batch)
-        lane.running += 1
+        queue.running += 1
         self.running[item.request_id] = (item, now_s)
         return item
 
@@ -91,17 +91,17 @@
         nothing by understating it.
         """
         _, started_at_s = self.running.pop(item.request_id)
-        lane = self._lanes[item.organisation]
-        lane.running -= 1
+        queue = self._lanes[item.organisation]
+        queue.running -= 1
         used = item.cost_tokens if used_tokens is None else used_tokens
-        lane.next_tag += (used - item.cost_tokens) / item.weight
+        queue.next_tag += (used - item.cost_tokens) / item.weight
         if ok and used > 0:
             self._learn((now_s - started_at_s) / used)
 
     def cancel(self, request_id: str) -> bool:
         """Remove a waiting item and return whether it was waiting."""
-        for lane in self._lanes.values():
-            item = lane.remove(request_id)
+        for queue in self._lanes.values():
+            item = queue.remove(request_id)
             if item is not None:
                 self._kind_counts[item.batch] -= 1
                 return True
@@ -132,44 +132,44 @@
 
         Without samples, an estimate could refuse work that an idle endpoint can do.
         """
-        known = self._samples >= self.settings.min_samples
-        return item.cost_tokens * self._token_s if known else 0.0
+        has_samples = self._samples >= self.settings.min_samples
+        return item.cost_tokens * self._token_s if has_samples else 0.0
 
     def _lane(self, item: WaitingItem, now_s: float) -> Lane:
         """Return the organisation's queue; removes idle queues at the upper bound."""
-        lane = self._lanes.get(item.organisation)
-        if lane is None:
+        queue = self._lanes.get(item.organisation)
+        if queue is None:
             if len(self._lanes) >= _MAX_LANES:
                 self._forget_idle(now_s)
-            lane = self._lanes[item.organisation] = Lane(item.weight, now_s)
-        lane.weight = item.weight
-        lane.seen_at_s = now_s
-        return lane
+            queue = self._lanes[item.organisation] = Lane(item.weight, now_s)
+        queue.weight = item.weight
+        queue.seen_at_s = now_s
+        return queue
 
     def _forget_idle(self, now_s: float) -> None:
         oldest = now_s - self.settings.active_s
-        for name, lane in list(self._lanes.items()):
-            if not lane.queued and not lane.running and lane.seen_at_s < oldest:
+        for name, queue in list(self._lanes.items()):
+            if not queue.queued and not queue.running and queue.seen_at_s < oldest:
                 del self._lanes[name]
 
     def _pick(self, now_s: float) -> tuple[Lane, bool] | None:
         """Return the queue and the kind (batch or not) that run next."""
         free = self.limit - len(self.running)
-        scarce = free <= int(self.settings.reserved_share * self.limit)
-        fits = self._fits_reserve(now_s) if scarce else _always
-        picked: dict[bool, Lane] = {}
+        is_scarce = free <= int(self.settings.reserved_share * self.limit)
+        fits = self._fits_reserve(now_s) if is_scarce else _always
+        candidates: dict[bool, Lane] = {}
         for batch in (False, True):
             if not self._kind_counts[batch]:
                 continue
-            if batch and scarce and not self._kind_counts[False]:
+            if batch and is_scarce and not self._kind_counts[False]:
                 continue
-            lanes = [n for n in self._lanes.values() if n.waiting(batch) and fits(n)]
+            lanes = [q for q in self._lanes.values() if q.waiting(batch) and fits(q)]
             if lanes:
-                picked[batch] = min(lanes, key=lambda n: n.next_tag)
-        if not picked:
+                candidates[batch] = min(lanes, key=lambda q: q.next_tag)
+        if not candidates:
             return None
-        batch = min(picked, key=lambda kind: self._kind_tags[kind])
-        return picked[batch], batch
+        batch = min(candidates, key=lambda kind: self._kind_tags[kind])
+        return candidates[batch], batch
 
     def _fits_reserve(self, now_s: float) -> Callable[[Lane], bool]:
         """Return a filter that admits only queues within their share.
@@ -179,12 +179,12 @@
         answer has ended.
         """
 
-        def fits(lane: Lane) -> bool:
-            return self._is_entitled(lane, now_s)
+        def fits(queue: Lane) -> bool:
+            return self._is_entitled(queue, now_s)
 
         return fits
 
-    def _start_tag(self, lane: Lane, now_s: float) -> float:
+    def _start_tag(self, queue: Lane, now_s: float) -> float:
         """Return the start tag of the next item of a queue.
 
         It is the end of the queue's previous work, but at most ``_credit`` behind the
@@ -193,27 +193,27 @@
         would put its next request behind a complete flood of another organisation,
         although over a minute it uses only part of its share.
         """
-        return max(self._virtual - self._credit(now_s), lane.next_tag)
+        return max(self._virtual - self._credit(now_s), queue.next_tag)
 
     def _credit(self, now_s: float) -> float:
         """Return the tokens per unit of weight that are served in ``credit_s``."""
         tokens_per_s = self.limit / max(_MIN_TOKEN_S, self._token_s)
         return self.settings.credit_s * tokens_per_s / self._active_weight(now_s)
 
-    def _is_entitled(self, lane: Lane, now_s: float) -> bool:
+    def _is_entitled(self, queue: Lane, now_s: float) -> bool:
         """Return whether a queue has credit or runs at most about its share."""
-        if lane.next_tag < self._virtual:
+        if queue.next_tag < self._virtual:
             return True
         share = self.settings.slack * self.limit / self._active_weight(now_s)
-        return (lane.running + 1) / lane.weight <= share
+        return (queue.running + 1) / queue.weight <= share
 
     def _active_weight(self, now_s: float) -> float:
         """Return the total weight of organisations with work now or recently."""
         oldest = now_s - self.settings.active_s
         return sum(
-            lane.weight
-            for lane in self._lanes.values()
-            if lane.queued or lane.running or lane.seen_at_s >= oldest
+            queue.weight
+            for queue in self._lanes.values()
+            if queue.queued or queue.running or queue.seen_at_s >= oldest
         )
 
     def _enter_kind(self, batch: bool) -> None:
@@ -230,7 +230,7 @@
         share = self.settings.batch_share
         return share if batch else 1.0 - share
 
-    def _expected_wait_s(self, lane: Lane, batch: bool, now_s: float) -> float:
+    def _expected_wait_s(self, queue: Lane, batch: bool, now_s: float) -> float:
         """Return the estimated wait of a new item.
 
         It is the time to serve the tokens of the same kind that run before it.
@@ -238,12 +238,14 @@
         is_idle = self.queued == 0 and len(self.running) < self.limit
         if is_idle or self._samples < self.settings.min_samples:
             return 0.0
-        own = sum(lane.queued_tokens.values()) / lane.weight
-        start = max(0.0, self._start_tag(lane, now_s) + own - self._virtual)
-        ahead = lane.queued_tokens[batch] + sum(
-            min(other.queued_tokens[batch], start * other.weight)
+        own_work = sum(queue.queued_tokens.values()) / queue.weight
+        start_offset = max(
+            0.0, self._start_tag(queue, now_s) + own_work - self._virtual
+        )
+        ahead = queue.queued_tokens[batch] + sum(
+            min(other.queued_tokens[batch], start_offset * other.weight)
             for other in self._lanes.values()
-            if other is not lane and other.queued
+            if other is not queue and other.queued
         )
         share = self._kind_share(batch) if self._kind_counts[not batch] else 1.0
         return ahead * self._token_s / (max(1, self.limit) * share)
@@ -262,10 +264,10 @@
         if now_s - self._looked_at_s < self.settings.look_every_s:
             return
         self._looked_at_s = now_s
-        for lane in self._lanes.values():
-            for item in lane.overdue(now_s):
-                lane.remove(item.request_id)
-                self._drop(lane, item, Reason.DEADLINE_EXCEEDED, now_s)
+        for queue in self._lanes.values():
+            for item in queue.overdue(now_s):
+                queue.remove(item.request_id)
+                self._drop(queue, item, Reason.DEADLINE_EXCEEDED, now_s)
 
     def _overloaded(self, reason: Reason, wait_s: float) -> Refusal:
         retry_after_s = max(self.settings.min_retry_after_s, wait_s)
@@ -276,7 +278,7 @@
 
         Returns False, and evicts nothing, if that is the queue of the new item.
         """
-        longest = max(self._lanes.values(), key=lambda n: n.queued / n.weight)
+        longest = max(self._lanes.values(), key=lambda q: q.queued / q.weight)
         if longest.queued / longest.weight <= (arriving.queued + 1) / arriving.weight:
             return False
         item = longest.take(bool(longest.batch), newest=True)
@@ -284,11 +286,11 @@
         return True
 
     def _drop(
-        self, lane: Lane, item: WaitingItem, reason: Reason, now_s: float
+        self, queue: Lane, item: WaitingItem, reason: Reason, now_s: float
     ) -> None:
         """Record the refusal of an item that was removed from its queue."""
         self._kind_counts[item.batch] -= 1
-        wait_s = self._expected_wait_s(lane, item.batch, now_s)
+        wait_s = self._expected_wait_s(queue, item.batch, now_s)
         self._refused.append(RefusedItem(item, self._overloaded(reason, wait_s)))
 
 
--- a/acaciacove/decisions/answer_signal.py
+++ b/acaciacove/decisions/answer_signal.py
@@ -2,11 +2,11 @@
 
 from attrs import frozen
 
-FULL = 1.0
-CUT_SHORT = 0.05
-EMPTY = 0.0
+COMPLETE_SIGNAL = 1.0
+TRUNCATED_SIGNAL = 0.05
+EMPTY_SIGNAL = 0.0
 SHORT_ANSWER_TOKENS = 16
-_GOOD_ENDINGS = frozenset({"", "stop", "end_turn", "eos"})
+_COMPLETE_FINISH_REASONS = frozenset({"", "stop", "end_turn", "eos"})
 
 
 @frozen
@@ -25,9 +25,13 @@
     def value(self) -> float:
         """Return the signal as one number from 0 (failed or empty) to 1."""
         if self.status >= 400 or self.completion_tokens == 0:
-            return EMPTY
-        if self.finish_reason not in _GOOD_ENDINGS:
-            return CUT_SHORT
+            return EMPTY_SIGNAL
+        if self.finish_reason not in _COMPLETE_FINISH_REASONS:
+            return TRUNCATED_SIGNAL
         if self.confidence is not None:
-            return min(FULL, max(EMPTY, self.confidence))
-        return FULL if self.completion_tokens >= SHORT_ANSWER_TOKENS else FULL / 2
+            return min(COMPLETE_SIGNAL, max(EMPTY_SIGNAL, self.confidence))
+        return (
+            COMPLETE_SIGNAL
+            if self.completion_tokens >= SHORT_ANSWER_TOKENS
+            else COMPLETE_SIGNAL / 2
+        )
--- a/acaciacove/decisions/cascade_planner.py
+++ b/acaciacove/decisions/cascade_planner.py
@@ -51,34 +51,34 @@
     curves = {v.id: _curve(v, first_bins[v.id], bias) for v in ladder}
     plans = [_direct(version, curves[version.id]) for version in ladder]
     if may_escalate:
-        for place, first in enumerate(ladder):
-            for second in ladder[place + 1 :]:
+        for index, first in enumerate(ladder):
+            for second in ladder[index + 1 :]:
                 before = curves[first.id]
                 expected = curves[second.id].mean
                 bins = estimates.bins(second.id, request_class, str(first.id))
                 after = _after(before, expected, bins, bias)
                 plans.append(_escalating(first, second, before, after, target))
-    meeting = [plan for plan in plans if plan.lower >= target]
-    if meeting:
-        return min(meeting, key=lambda plan: plan.cost)
+    sufficient = [plan for plan in plans if plan.lower >= target]
+    if sufficient:
+        return min(sufficient, key=lambda plan: plan.cost)
     return max(plans, key=lambda plan: plan.quality)
 
 
 def _curve(
-    version: Version, raw: tuple[tuple[float, Tally], ...], bias: ResponseBias
+    version: Version, raw_bins: tuple[tuple[float, Tally], ...], bias: ResponseBias
 ) -> _Curve:
     """Return the ratings of a version by signal bin.
 
     Each bin's mean is shrunk towards the version's mean, and that towards its prior.
     """
-    bins = [(count, bias.correct(tally)) for count, tally in raw]
-    seen = sum(count for count, _ in bins)
-    rated = sum(tally.count for _, tally in bins)
+    bins = [(count, bias.correct(tally)) for count, tally in raw_bins]
+    answer_count = sum(count for count, _ in bins)
+    rating_count = sum(tally.count for _, tally in bins)
     total = sum(tally.total for _, tally in bins)
-    overall = (total + PRIOR_RATINGS * version.quality) / (rated + PRIOR_RATINGS)
+    overall = (total + PRIOR_RATINGS * version.quality) / (rating_count + PRIOR_RATINGS)
     tallies = [tally for _, tally in bins]
     return _Curve(
-        tuple((count + 1 / SIGNAL_BINS) / (seen + 1.0) for count, _ in bins),
+        tuple((count + 1 / SIGNAL_BINS) / (answer_count + 1.0) for count, _ in bins),
         tuple(_drawn(tally, overall) for tally in tallies),
         tuple(_variance(tally) for tally in tallies),
     )
@@ -145,14 +145,14 @@
         curve = after if bin_ < bins_below else before
         quality += share * curve.means[bin_]
         variance += share**2 * curve.variances[bin_]
-    escalated = sum(before.shares[:bins_below])
+    escalated_share = sum(before.shares[:bins_below])
     return CascadePlan(
         first.id,
         second.id,
         bins_below,
         quality=quality,
         lower=_lower(quality, variance),
-        cost=first.cost_per_1k_tokens + escalated * second.cost_per_1k_tokens,
+        cost=first.cost_per_1k_tokens + escalated_share * second.cost_per_1k_tokens,
     )
 
 
--- a/acaciacove/decisions/confidence_beliefs.py
+++ b/acaciacove/decisions/confidence_beliefs.py
@@ -79,10 +79,10 @@
 
     def quality(self, model: str, is_largest: bool) -> float:
         """Return the estimated share of requests that a model answers well."""
-        known = self.qualities.get(model)
-        if known is None:
+        posterior = self.qualities.get(model)
+        if posterior is None:
             return PRIOR_QUALITY_OF_LARGEST if is_largest else PRIOR_QUALITY
-        return known.good / known.answers
+        return posterior.good / posterior.answers
 
     def offset(self, first: str, second: str, is_largest: bool = False) -> Offset:
         """Return the offset of ``second`` above ``first``, the smaller model."""
@@ -95,11 +95,11 @@
         No other model may have been queried for the request before.
         """
         prior = self.quality(model, is_largest)
-        known = self.qualities.setdefault(
+        posterior = self.qualities.setdefault(
             model, Quality(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
         )
-        known.good += self.good_share(confidence)
-        known.answers += 1.0
+        posterior.good += self.good_share(confidence)
+        posterior.answers += 1.0
 
     def learn_pair(
         self, first: str, first_told: float, second: str, second_told: float
@@ -110,16 +110,16 @@
         changes the offset only if it contradicts the current one, and never the noise.
         """
         offset = self.offset(first, second)
-        seen = second_told - first_told
+        observed = second_told - first_told
         is_bound = _is_end(first_told) or _is_end(second_told)
         if is_bound and not _contradicts(first_told, second_told, offset.margin):
             return
         if not is_bound:
-            self._square_sum += (seen - offset.margin) ** 2 / 2.0
+            self._square_sum += (observed - offset.margin) ** 2 / 2.0
             self._squares += 1.0
         offset.pairs += 1
-        share = max(LEAST_SHARE, 1.0 / (offset.pairs + 1.0))
-        offset.margin += share * (seen - offset.margin)
+        weight = max(LEAST_SHARE, 1.0 / (offset.pairs + 1.0))
+        offset.margin += weight * (observed - offset.margin)
 
     def _likely(self, margin: float) -> float:
         return 0.5 * (1.0 + erf(margin / self.noise / sqrt(2.0)))
@@ -139,11 +139,11 @@
 
 def _contradicts(first_told: float, second_told: float, margin: float) -> bool:
     """Return whether a pair with a confidence at an end contradicts an offset."""
-    seen = second_told - first_told
+    observed = second_told - first_told
     if second_told >= HIGHEST and first_told > LOWEST:
-        return margin < seen
+        return margin < observed
     if first_told <= LOWEST and second_told < HIGHEST:
-        return margin < seen
+        return margin < observed
     if second_told <= LOWEST and first_told < HIGHEST:
-        return margin > seen
+        return margin > observed
     return False
--- a/acaciacove/decisions/endpoint_backlog.py
+++ b/acaciacove/decisions/endpoint_backlog.py
@@ -62,15 +62,15 @@
         Returns the time that it took without the wait behind known requests, or None
         if the request is not pending.
         """
-        awaited = self.awaited.pop(number, None)
-        if awaited is None:
+        request = self.awaited.pop(number, None)
+        if request is None:
             return None
-        took_s = now_s - awaited.sent_s
+        took_s = now_s - request.sent_s
         # Endpoints read prompts in order of arrival: earlier requests have been read.
-        self.told = [work for work in self.told if work.told_s > awaited.sent_s]
-        self._see(max(0.0, took_s - awaited.own_s), now_s)
+        self.told = [work for work in self.told if work.told_s > request.sent_s]
+        self._see(max(0.0, took_s - request.own_s), now_s)
         self._start_over(now_s)
-        return max(0.0, took_s - (awaited.own_s - awaited.work_s))
+        return max(0.0, took_s - (request.own_s - request.work_s))
 
     def send_other(self, work_s: float, now_s: float) -> None:
         """Record a request that a peer reported to have just sent."""
@@ -81,22 +81,22 @@
 
     def drop(self, number: int, now_s: float) -> None:
         """Remove a pending request that was cancelled or lost."""
-        awaited = self.awaited.pop(number, None)
-        if awaited is None:
+        request = self.awaited.pop(number, None)
+        if request is None:
             return
-        overdue_s = now_s - awaited.sent_s - awaited.own_s
+        overdue_s = now_s - request.sent_s - request.own_s
         if overdue_s > self.others_known_s(now_s):
             self._see(overdue_s, now_s)
         self._start_over(now_s)
 
     def _start_over(self, now_s: float) -> None:
         """Recompute when the remaining known requests will have been read."""
-        own_s = sum(a.work_s for a in self.awaited.values())
-        self.free_s = now_s + own_s + sum(work.work_s for work in self.told)
+        local_s = sum(request.work_s for request in self.awaited.values())
+        self.free_s = now_s + local_s + sum(work.work_s for work in self.told)
 
     def _see(self, wait_s: float, now_s: float) -> None:
-        known_s = self.others_known_s(now_s)
-        self.others_s = known_s + NEWEST_SHARE * (wait_s - known_s)
+        previous_s = self.others_known_s(now_s)
+        self.others_s = previous_s + NEWEST_SHARE * (wait_s - previous_s)
         self.others_seen_s = now_s
 
     def freshness(self, now_s: float) -> float:
@@ -105,22 +105,22 @@
 
     def others_known_s(self, now_s: float) -> float:
         """Return the wait beyond the known requests, as far as it was observed."""
-        known_s = self.others_s * self.freshness(now_s)
-        for awaited in self.awaited.values():
-            known_s = max(known_s, now_s - awaited.sent_s - awaited.own_s)
-        return known_s
+        residual_s = self.others_s * self.freshness(now_s)
+        for request in self.awaited.values():
+            residual_s = max(residual_s, now_s - request.sent_s - request.own_s)
+        return residual_s
 
     def wait_s(self, now_s: float, usual_s: float) -> float:
         """Return the estimated wait of a request that is sent now."""
         unknown_s = UNKNOWN_SHARE * usual_s * (1.0 - self.freshness(now_s))
-        own_s = max(0.0, self.free_s - now_s)
-        return own_s + self.others_known_s(now_s) + unknown_s
+        known_s = max(0.0, self.free_s - now_s)
+        return known_s + self.others_known_s(now_s) + unknown_s
 
 
 def usual_wait_s(backlogs: Iterable[EndpointBacklog], now_s: float) -> float:
     """Return the mean residual wait of endpoints, weighted by freshness."""
-    weighed = [(b.freshness(now_s), b.others_known_s(now_s)) for b in backlogs]
-    weight = sum(freshness for freshness, _ in weighed)
+    weighted = [(b.freshness(now_s), b.others_known_s(now_s)) for b in backlogs]
+    weight = sum(freshness for freshness, _ in weighted)
     if weight <= 0.0:
         return 0.0
-    return sum(freshness * wait_s for freshness, wait_s in weighed) / weight
+    return sum(freshness * wait_s for freshness, wait_s in weighted) / weight
--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -60,11 +60,11 @@
     usable = _thinned(usable, zone_shares or {}, rng)
     homes = _homes(usable, session_endpoint, prefix_hash)
     drawn = _drawn(usable, views, rng, homes, settings)
-    usual = _usual([views[i.name] for i in drawn if i.name in views], settings)
+    baseline = _usual([views[i.name] for i in drawn if i.name in views], settings)
     scores = {
         i.name: _expected_s(
             views.get(i.name) or EndpointView(i),
-            usual,
+            baseline,
             now_s,
             _affinity(i, views, homes, session_endpoint, prefix_hash, settings),
             organisation,
@@ -104,12 +104,12 @@
     """Leave out endpoints of returning zones at random, but never all endpoints."""
     if all(share >= 1.0 for share in zone_shares.values()):
         return usable
-    kept = [
+    retained = [
         instance
         for instance in usable
         if rng.random() < zone_shares.get(instance.availability_zone, 1.0)
     ]
-    return kept or usable
+    return retained or usable
 
 
 def _drawn(
@@ -126,11 +126,11 @@
     entries would choose the endpoints that were least loaded at the last report, and
     their requests would queue there.
     """
-    known = [views[i.name] for i in usable if i.name in views]
-    own = sum(view.own_in_flight for view in known)
-    all_ = sum(view.at_endpoint for view in known)
-    exact = all_ > 0 and own >= settings.own_share * all_
-    choices = settings.exact_choices if exact else settings.choices
+    known_views = [views[i.name] for i in usable if i.name in views]
+    local_load = sum(view.own_in_flight for view in known_views)
+    total_load = sum(view.at_endpoint for view in known_views)
+    is_exact = total_load > 0 and local_load >= settings.own_share * total_load
+    choices = settings.exact_choices if is_exact else settings.choices
     drawn = rng.sample(usable, min(choices, len(usable)))
     drawn += [i for i in usable if i.name in homes and i not in drawn]
     return drawn
@@ -154,14 +154,16 @@
 
 def _usual(views: list[EndpointView], settings: EndpointSettings) -> Usual:
     """Return the average of the load reports of the compared endpoints."""
-    told = [v for v in views if v.load.limit]
-    if not told:
+    reported = [v for v in views if v.load.limit]
+    if not reported:
         return Usual(0.0, settings.default_service_s, settings.default_limit)
-    services = [v.load.service_s for v in told if v.load.service_s]
+    service_times_s = [v.load.service_s for v in reported if v.load.service_s]
     return Usual(
-        sum(v.at_endpoint for v in told) / sum(v.load.limit for v in told),
-        sum(services) / len(services) if services else settings.default_service_s,
-        max(v.load.limit for v in told),
+        sum(v.at_endpoint for v in reported) / sum(v.load.limit for v in reported),
+        sum(service_times_s) / len(service_times_s)
+        if service_times_s
+        else settings.default_service_s,
+        max(v.load.limit for v in reported),
     )
 
 
@@ -177,33 +179,37 @@
     if instance.name == session_endpoint:
         return settings.session_gain
     view = views.get(instance.name)
-    sent_there = view is not None and prefix_hash in view.prefixes
-    return settings.prefix_gain if sent_there or instance.name in homes else 0.0
+    has_prefix = view is not None and prefix_hash in view.prefixes
+    return settings.prefix_gain if has_prefix or instance.name in homes else 0.0
 
 
 def _expected_s(
     view: EndpointView,
-    usual: Usual,
+    baseline: Usual,
     now_s: float,
     affinity: float,
     organisation: str,
     settings: EndpointSettings,
 ) -> float:
     """Return the expected seconds until the answer, from a report of some age."""
-    limit = view.load.limit or usual.limit
-    fade_s = max(settings.min_fade_s, settings.fade_services * usual.service_s)
-    say = exp((view.reported_at_s - now_s) / fade_s)
-    unheard = max(float(view.own_in_flight), usual.load * limit)
-    believed = say * view.at_endpoint + (1.0 - say) * unheard
-    believed = min(believed, max(settings.queue_cap * limit, view.own_in_flight))
-    slower = view.load.service_s / (settings.slower_factor * usual.service_s)
-    service_s = usual.service_s * max(1.0, slower)
-    expected_s = service_s * (1.0 + (believed + 1.0) / limit)
-    alike = view.by_organisation[organisation]
-    expected_s += settings.spread_weight * service_s * alike / limit
-    crowding = believed + 1.0 - settings.full_share * limit
-    if crowding > 0.0:
-        return expected_s + settings.wait_weight * service_s * crowding / limit
+    limit = view.load.limit or baseline.limit
+    fade_s = max(settings.min_fade_s, settings.fade_services * baseline.service_s)
+    report_weight = exp((view.reported_at_s - now_s) / fade_s)
+    unreported_load = max(float(view.own_in_flight), baseline.load * limit)
+    estimated_load = (
+        report_weight * view.at_endpoint + (1.0 - report_weight) * unreported_load
+    )
+    estimated_load = min(
+        estimated_load, max(settings.queue_cap * limit, view.own_in_flight)
+    )
+    slowdown = view.load.service_s / (settings.slower_factor * baseline.service_s)
+    service_s = baseline.service_s * max(1.0, slowdown)
+    expected_s = service_s * (1.0 + (estimated_load + 1.0) / limit)
+    same_organisation = view.by_organisation[organisation]
+    expected_s += settings.spread_weight * service_s * same_organisation / limit
+    excess_load = estimated_load + 1.0 - settings.full_share * limit
+    if excess_load > 0.0:
+        return expected_s + settings.wait_weight * service_s * excess_load / limit
     expected_s -= affinity * service_s
     if now_s - view.failed_at_s < settings.failure_pause_s * view.failures:
         expected_s += service_s * view.failures
--- a/acaciacove/decisions/exploration.py
+++ b/acaciacove/decisions/exploration.py
@@ -38,10 +38,10 @@
 
 def draw_trial(trials: Sequence[Trial], rng: Random) -> Trial | None:
     """Return one of the trials at random by their probabilities, or None."""
-    left = rng.random()
+    remaining = rng.random()
     for trial in trials:
-        left -= trial.chance
-        if left < 0.0:
+        remaining -= trial.chance
+        if remaining < 0.0:
             return trial
     return None
 
@@ -53,19 +53,21 @@
     estimates: QualityEstimates,
     settings: ChoiceSettings,
 ) -> float:
-    rated = estimates.rated_count(version.id, request_class)
-    settled = rated >= settings.settled_ratings
-    cost_share = settings.settled_cost_share if settled else settings.eager_cost_share
+    rating_count = estimates.rated_count(version.id, request_class)
+    is_settled = rating_count >= settings.settled_ratings
+    cost_share = (
+        settings.settled_cost_share if is_settled else settings.eager_cost_share
+    )
     return cost_share * plan.cost / max(1e-9, version.cost_per_1k_tokens)
 
 
 def _trial(
     ladder: Sequence[Version], plan: CascadePlan, tried: Version, chance: float
 ) -> Trial:
-    places = {version.id: place for place, version in enumerate(ladder)}
-    if places[tried.id] < places[plan.start]:
+    positions = {version.id: position for position, version in enumerate(ladder)}
+    if positions[tried.id] < positions[plan.start]:
         return Trial((tried.id, plan.start), always_escalates=True, chance=chance)
     second = plan.escalate_to
-    if second is None or places[second] <= places[tried.id]:
+    if second is None or positions[second] <= positions[tried.id]:
         return Trial((tried.id,), always_escalates=False, chance=chance)
     return Trial((tried.id, second), always_escalates=False, chance=chance)
--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -64,23 +64,27 @@
     model may be queried after the first one.
     """
 
-    def worth(place: int) -> float:
-        option = options[place]
-        good = beliefs.quality(option.name, option.is_largest)
+    def value(index: int) -> float:
+        option = options[index]
+        good_probability = beliefs.quality(option.name, option.is_largest)
         in_time = _in_time(moment, option.piece_s)
-        rest = POOR_WORTH
-        if may_go_on and good < 1.0:
-            later = _after(moment, option)
-            rest = max(
+        poor_value = POOR_WORTH
+        if may_go_on and good_probability < 1.0:
+            later_context = _after(moment, option)
+            poor_value = max(
                 [POOR_WORTH]
                 + [
-                    _worth_of(larger, _gain(beliefs, option, larger), later)
-                    for larger in options[place + 1 :]
+                    _worth_of(larger, _gain(beliefs, option, larger), later_context)
+                    for larger in options[index + 1 :]
                 ]
             )
-        return good * in_time + (1.0 - good) * rest - _cost(option, moment)
+        return (
+            good_probability * in_time
+            + (1.0 - good_probability) * poor_value
+            - _cost(option, moment)
+        )
 
-    return options[max(range(len(options)), key=worth)].name
+    return options[max(range(len(options)), key=value)].name
 
 
 def next_model(
@@ -98,37 +102,39 @@
     be queried after the next one.
     """
     best_name = None
-    good = beliefs.good_share(confidence)
-    best = good * _in_time(moment, 0.0) + (1.0 - good) * POOR_WORTH
-    for place, option in enumerate(larger):
-        likely = beliefs.good_share_of(asked, confidence, option.name)
-        worth = _worth_of(option, likely, moment)
-        if may_go_on_twice and place + 1 < len(larger):
+    good_probability = beliefs.good_share(confidence)
+    best_value = (
+        good_probability * _in_time(moment, 0.0) + (1.0 - good_probability) * POOR_WORTH
+    )
+    for index, option in enumerate(larger):
+        probability = beliefs.good_share_of(asked, confidence, option.name)
+        value = _worth_of(option, probability, moment)
+        if may_go_on_twice and index + 1 < len(larger):
             last = larger[-1]
-            likely_last = beliefs.good_share_of(asked, confidence, last.name)
-            gain = (likely_last - likely) / max(1e-6, 1.0 - likely)
-            again = _worth_of(last, max(0.0, gain), _after(moment, option))
-            worth += (1.0 - likely) * max(0.0, again - POOR_WORTH)
-        if worth > best:
-            best, best_name = worth, option.name
+            last_probability = beliefs.good_share_of(asked, confidence, last.name)
+            recovery = (last_probability - probability) / max(1e-6, 1.0 - probability)
+            second_value = _worth_of(last, max(0.0, recovery), _after(moment, option))
+            value += (1.0 - probability) * max(0.0, second_value - POOR_WORTH)
+        if value > best_value:
+            best_value, best_name = value, option.name
     return best_name
 
 
 def _gain(beliefs: ConfidenceBeliefs, asked: ModelOption, larger: ModelOption) -> float:
     """Return the probability that ``larger`` answers well where ``asked`` does not."""
-    small = beliefs.quality(asked.name, asked.is_largest)
-    large = beliefs.quality(larger.name, larger.is_largest)
-    return max(0.0, large - small) / max(1e-6, 1.0 - small)
+    small_quality = beliefs.quality(asked.name, asked.is_largest)
+    large_quality = beliefs.quality(larger.name, larger.is_largest)
+    return max(0.0, large_quality - small_quality) / max(1e-6, 1.0 - small_quality)
 
 
-def _worth_of(option: ModelOption, likely: float, moment: Moment) -> float:
-    answered = likely * _in_time(moment, option.piece_s)
-    return answered + (1.0 - likely) * POOR_WORTH - _cost(option, moment)
+def _worth_of(option: ModelOption, probability: float, moment: Moment) -> float:
+    good_value = probability * _in_time(moment, option.piece_s)
+    return good_value + (1.0 - probability) * POOR_WORTH - _cost(option, moment)
 
 
 def _cost(option: ModelOption, moment: Moment) -> float:
-    delayed = moment.delayed_per_s * option.work_s / moment.target_s
-    return option.price + moment.delay_weight * delayed
+    delayed_targets = moment.delayed_per_s * option.work_s / moment.target_s
+    return option.price + moment.delay_weight * delayed_targets
 
 
 def _after(moment: Moment, option: ModelOption) -> Moment:
@@ -138,8 +144,8 @@
 def _in_time(moment: Moment, piece_s: float) -> float:
     """Return the value of a good answer whose first chunk arrives after this time."""
     share = (moment.elapsed_s + piece_s) / moment.target_s
-    late = share**SPREAD / (1.0 + share**SPREAD)
-    return 1.0 - LATE_LOSS * late
+    lateness = share**SPREAD / (1.0 + share**SPREAD)
+    return 1.0 - LATE_LOSS * lateness
 
 
 def late_slope(share: float) -> float:
--- a/acaciacove/decisions/placement.py
+++ b/acaciacove/decisions/placement.py
@@ -50,19 +50,19 @@
     the utilisation of the other one after the move by more than ``MIN_GAIN``.
     """
 
-    def use(version: VersionId, change: int = 0) -> float:
+    def utilisation(version: VersionId, change: int = 0) -> float:
         count = counts[version] + change
-        load = work.get(version, 0.0)
-        return load / count if count > 0 else (float("inf") if load else 0.0)
+        demand = work.get(version, 0.0)
+        return demand / count if count > 0 else (float("inf") if demand else 0.0)
 
-    receiver = max(sorted(counts), key=use)
-    givers = [v for v in sorted(counts) if v != receiver and counts[v] > 0]
-    if not givers:
+    receiver = max(sorted(counts), key=utilisation)
+    donors = [v for v in sorted(counts) if v != receiver and counts[v] > 0]
+    if not donors:
         return None
-    giver = min(givers, key=lambda v: use(v, -1))
-    if use(giver, -1) + MIN_GAIN >= use(receiver):
+    donor = min(donors, key=lambda v: utilisation(v, -1))
+    if utilisation(donor, -1) + MIN_GAIN >= utilisation(receiver):
         return None
     for name in free:
-        if placed[name] == giver:
-            return PlacementMove(name, receiver, giver)
+        if placed[name] == donor:
+            return PlacementMove(name, receiver, donor)
     return None
--- a/acaciacove/decisions/plan_cache.py
+++ b/acaciacove/decisions/plan_cache.py
@@ -32,10 +32,10 @@
     ) -> PlanInUse:
         """Return the cached plan, or a new one after ``replan_ratings`` ratings."""
         key = (tuple(v.id for v in ladder), request_class, target, may_escalate)
-        known = self._plans.get(key)
-        due = self.estimates.generation - self.settings.replan_ratings
-        if known is not None and known.generation > due:
-            return known
+        cached = self._plans.get(key)
+        stale_generation = self.estimates.generation - self.settings.replan_ratings
+        if cached is not None and cached.generation > stale_generation:
+            return cached
         if len(self._plans) >= MAX_PLANS:
             self._plans.clear()
         self._plans[key] = self._planned(ladder, request_class, target, may_escalate)
--- a/acaciacove/decisions/quality_estimates.py
+++ b/acaciacove/decisions/quality_estimates.py
@@ -122,8 +122,8 @@
             return
         self.epoch = epoch
         oldest = epoch - KEPT_EPOCHS + 1
-        past = {name for name in self._counts.names() if int(name[1]) < oldest}
-        self._counts.forget(past)
+        outdated = {name for name in self._counts.names() if int(name[1]) < oldest}
+        self._counts.forget(outdated)
 
 
 def estimate_from_bins(bins: tuple[tuple[float, Tally], ...], prior: float) -> Estimate:
@@ -131,13 +131,17 @@
 
     Each bin's mean is shrunk towards the overall mean, and that towards the prior.
     """
-    seen = sum(count for count, _ in bins)
-    rated = sum(tally.count for _, tally in bins)
+    answer_count = sum(count for count, _ in bins)
+    rating_count = sum(tally.count for _, tally in bins)
     weights = [
-        (count / seen if seen else (tally.count / rated if rated else 1 / len(bins)))
+        (
+            count / answer_count
+            if answer_count
+            else (tally.count / rating_count if rating_count else 1 / len(bins))
+        )
         for count, tally in bins
     ]
-    overall = _drawn(sum(t.total for _, t in bins), rated, prior)
+    overall = _drawn(sum(t.total for _, t in bins), rating_count, prior)
     means = [_drawn(tally.total, tally.count, overall) for _, tally in bins]
     mean = sum(w * m for w, m in zip(weights, means, strict=True))
     variance = sum(
@@ -145,14 +149,16 @@
         for w, (_, tally) in zip(weights, bins, strict=True)
     )
     margin = CONFIDENCE_DEVIATIONS * sqrt(variance)
-    return Estimate(mean, max(0.0, mean - margin), min(1.0, mean + margin), rated)
+    return Estimate(
+        mean, max(0.0, mean - margin), min(1.0, mean + margin), rating_count
+    )
 
 
 def deviation_of(tally: Tally) -> float:
     """Return the standard deviation of one rating, shrunk towards a broad prior."""
     squares = tally.squares - tally.count * tally.mean**2
-    drawn = squares + PRIOR_RATINGS * PRIOR_DEVIATION**2
-    return sqrt(max(0.0, drawn) / (tally.count + PRIOR_RATINGS))
+    shrunk = squares + PRIOR_RATINGS * PRIOR_DEVIATION**2
+    return sqrt(max(0.0, shrunk) / (tally.count + PRIOR_RATINGS))
 
 
 def _drawn(total: float, count: float, towards: float) -> float:
--- a/acaciacove/decisions/ramp.py
+++ b/acaciacove/decisions/ramp.py
@@ -43,10 +43,10 @@
         cold, warm = self.version.cold_bears, self.version.warm_bears
         if self.warm:
             return warm
-        lasts_s = max(1e-9, self.settings.stretch * self.version.warm_up_s)
-        passed = min(1.0, max(0.0, now_s - self.started_at_s) / lasts_s)
-        by_time = cold + (warm - cold) * passed**self.settings.power
-        return max(1, int(min(by_time, self._earned)))
+        ramp_s = max(1e-9, self.settings.stretch * self.version.warm_up_s)
+        elapsed_share = min(1.0, max(0.0, now_s - self.started_at_s) / ramp_s)
+        time_limit = cold + (warm - cold) * elapsed_share**self.settings.power
+        return max(1, int(min(time_limit, self._earned)))
 
     def finished(
         self,
@@ -101,14 +101,14 @@
     def _is_step(self, latency_s: float) -> bool:
         return latency_s > self.settings.latency_step * self._usual_s(latency_s)
 
-    def _usual_s(self, unknown_s: float) -> float:
+    def _usual_s(self, default_s: float) -> float:
         """Return the baseline latency, at least ``least_usual_s``.
 
-        ``unknown_s`` replaces the baseline below ``MIN_BASELINE_SAMPLES``.
+        ``default_s`` replaces the baseline below ``MIN_BASELINE_SAMPLES``.
         """
-        known = self._samples >= MIN_BASELINE_SAMPLES
-        usual_s = self._baseline_s if known else unknown_s
-        return max(usual_s, self.settings.least_usual_s)
+        has_baseline = self._samples >= MIN_BASELINE_SAMPLES
+        baseline_s = self._baseline_s if has_baseline else default_s
+        return max(baseline_s, self.settings.least_usual_s)
 
     def _learn(self, latency_s: float) -> None:
         weight = max(BASELINE_SMOOTHING, 1.0 / (self._samples + 1))
--- a/acaciacove/decisions/response_bias.py
+++ b/acaciacove/decisions/response_bias.py
@@ -27,10 +27,10 @@
             return tally
         mean = tally.mean
         variance = max(0.0, tally.squares / tally.count - mean * mean)
-        moved = mean + self.slope * variance / (1.0 + self.slope * (1.0 - mean))
-        moved = min(1.0, max(0.0, moved))
-        squares = (variance + moved * moved) * tally.count
-        return Tally(tally.count, moved * tally.count, squares)
+        corrected = mean + self.slope * variance / (1.0 + self.slope * (1.0 - mean))
+        corrected = min(1.0, max(0.0, corrected))
+        squares = (variance + corrected * corrected) * tally.count
+        return Tally(tally.count, corrected * tally.count, squares)
 
 
 def fit_response_bias(bins: Iterable[tuple[float, Tally]]) -> ResponseBias:
@@ -49,16 +49,21 @@
     total = sum(seen for seen, _, _ in points)
     if total < MIN_SEEN or len(points) < 3:
         return ResponseBias()
-    rate = sum(seen * rated for seen, rated, _ in points) / total
-    short = sum(seen * low for seen, _, low in points) / total
-    spread = sum(seen * (low - short) ** 2 for seen, _, low in points)
+    mean_rate = sum(seen * rate for seen, rate, _ in points) / total
+    mean_shortfall = sum(seen * shortfall for seen, _, shortfall in points) / total
+    spread = sum(
+        seen * (shortfall - mean_shortfall) ** 2 for seen, _, shortfall in points
+    )
     if spread <= 0.0:
         return ResponseBias()
-    covered = sum(s * (low - short) * (rated - rate) for s, rated, low in points)
-    steep = covered / spread
-    error = (rate * (1.0 - min(1.0, rate)) / spread) ** 0.5
-    steep = max(0.0, abs(steep) - error) * (1.0 if steep > 0.0 else -1.0)
-    at_best = rate - steep * short
-    if at_best <= 0.0:
-        return ResponseBias(MAX_BIAS if steep > 0.0 else 0.0)
-    return ResponseBias(min(MAX_BIAS, max(MIN_BIAS, steep / at_best)))
+    covariance = sum(
+        seen * (shortfall - mean_shortfall) * (rate - mean_rate)
+        for seen, rate, shortfall in points
+    )
+    slope = covariance / spread
+    standard_error = (mean_rate * (1.0 - min(1.0, mean_rate)) / spread) ** 0.5
+    slope = max(0.0, abs(slope) - standard_error) * (1.0 if slope > 0.0 else -1.0)
+    rate_at_best = mean_rate - slope * mean_shortfall
+    if rate_at_best <= 0.0:
+        return ResponseBias(MAX_BIAS if slope > 0.0 else 0.0)
+    return ResponseBias(min(MAX_BIAS, max(MIN_BIAS, slope / rate_at_best)))
--- a/acaciacove/decisions/subset.py
+++ b/acaciacove/decisions/subset.py
@@ -24,16 +24,16 @@
     entries, subsets grow until each endpoint is in ``MIN_COVERAGE`` of them.
     """
     ranked_entries = sorted(set(entries) | {entry}, key=_hash_rank)
-    place = ranked_entries.index(entry)
+    rank = ranked_entries.index(entry)
     picked: list[Instance] = []
     for zone in sorted({e.availability_zone for e in endpoints}):
         members = [e for e in endpoints if e.availability_zone == zone]
         members.sort(key=lambda e: _hash_rank(e.name))
         share = round(size * len(members) / len(endpoints))
-        cover = -(-MIN_COVER * len(members) // len(ranked_entries))
-        count = min(len(members), max(1, share, cover))
-        first = place * len(members) // len(ranked_entries)
-        picked += [members[(first + step) % len(members)] for step in range(count)]
+        coverage = -(-MIN_COVER * len(members) // len(ranked_entries))
+        count = min(len(members), max(1, share, coverage))
+        start = rank * len(members) // len(ranked_entries)
+        picked += [members[(start + step) % len(members)] for step in range(count)]
     return tuple(picked)
 
 
--- a/acaciacove/decisions/version_choice.py
+++ b/acaciacove/decisions/version_choice.py
@@ -61,9 +61,9 @@
     draw = _session_draw(session, api) if session else rng.random()
     exposed, substitutes = _exposed(versions, shares or {}, draw, lost)
     ladder = tuple(sorted(exposed, key=lambda v: (v.cost_per_1k_tokens, v.id)))
-    in_use = plans.plan(ladder, request_class, api.quality_target, not session)
-    trial = draw_trial(in_use.trials, rng)
-    return _decided(ladder, in_use.plan, trial, substitutes, lost)
+    cached = plans.plan(ladder, request_class, api.quality_target, not session)
+    trial = draw_trial(cached.trials, rng)
+    return _decided(ladder, cached.plan, trial, substitutes, lost)
 
 
 def _lost_versions(
@@ -152,19 +152,25 @@
     substitutes: dict[VersionId, VersionId],
     lost: dict[VersionId, Lost],
 ) -> VersionDecision:
-    steps = trial.ladder if trial else _steps(plan)
-    is_dearer = False
+    chosen_ladder = trial.ladder if trial else _steps(plan)
+    is_after_start = False
     for version in ladder:
-        if version.id == steps[0]:
-            is_dearer = True
+        if version.id == chosen_ladder[0]:
+            is_after_start = True
         else:
-            lost[version.id] = Lost.DEARER if is_dearer else Lost.BELOW_TARGET
-    for replaced in substitutes.keys() & set(steps):
+            lost[version.id] = Lost.DEARER if is_after_start else Lost.BELOW_TARGET
+    for replaced in substitutes.keys() & set(chosen_ladder):
         lost[replaced] = Lost.REPLACED
-    steps = tuple(substitutes.get(version, version) for version in steps)
-    decision = _decision(steps[0], ladder, lost, "trial" if trial else "cheapest")
+    chosen_ladder = tuple(
+        substitutes.get(version, version) for version in chosen_ladder
+    )
+    decision = _decision(
+        chosen_ladder[0], ladder, lost, "trial" if trial else "cheapest"
+    )
     always_escalates = trial is not None and trial.always_escalates
-    return VersionDecision(steps[0], plan, steps, decision, always_escalates)
+    return VersionDecision(
+        chosen_ladder[0], plan, chosen_ladder, decision, always_escalates
+    )
 
 
 def _steps(plan: CascadePlan) -> tuple[VersionId, ...]:
--- a/acaciacove/decisions/version_holders.py
+++ b/acaciacove/decisions/version_holders.py
@@ -44,8 +44,8 @@
 
     Their number is the version's exposure times the number of those endpoints.
     """
-    able = [name for name, versions in held.items() if replaced in versions]
+    eligible = [name for name, versions in held.items() if replaced in versions]
     share = fleet.exposures.get(version.id, version.first_share)
-    count = max(MIN_HOLDERS, ceil(share * len(able)))
+    count = max(MIN_HOLDERS, ceil(share * len(eligible)))
     rank = partition_of(str(version.id), RANKS)
-    return rank_owners(rank, able)[:count]
+    return rank_owners(rank, eligible)[:count]
--- a/acaciacove/decisions/zone_moves.py
+++ b/acaciacove/decisions/zone_moves.py
@@ -37,5 +37,5 @@
         returned_at_s = self._returned_at_s.get(availability_zone)
         if returned_at_s is None:
             return 1.0
-        passed = (now_s - returned_at_s) / self.return_s
-        return min(1.0, FIRST_SHARE + (1.0 - FIRST_SHARE) * passed)
+        elapsed_share = (now_s - returned_at_s) / self.return_s
+        return min(1.0, FIRST_SHARE + (1.0 - FIRST_SHARE) * elapsed_share)
