--- a/tests/test_decisions_cascade.py
+++ b/tests/test_decisions_cascade.py
@@ -33,7 +33,7 @@
 )
 
 
-def learned(small_by_bin, large, ratings=300):
+def estimates_from(small_by_bin, large, ratings=300):
     estimates = QualityEstimates("entry-1")
     for bin_, score in small_by_bin.items():
         for _ in range(ratings):
@@ -47,15 +47,15 @@
 
 
 def test_poor_answers_of_the_cheap_version_escalate_and_good_ones_do_not():
-    plan = plan_cascade(LADDER, learned({1: 0.3, 6: 0.95}, 0.92), CLASS, 0.9)
+    plan = plan_cascade(LADDER, estimates_from({1: 0.3, 6: 0.95}, 0.92), CLASS, 0.9)
     assert (plan.start, plan.escalate_to) == (SMALL, LARGE)
     assert plan.lower >= 0.9 - 1e-9
-    decided = plans_decision(plan)
+    decided = decision_for(plan)
     assert should_escalate(decided, 0.1, Random(1))
     assert not should_escalate(decided, 0.95, Random(1))
 
 
-def plans_decision(plan):
+def decision_for(plan):
     cache = PlanCache(QualityEstimates("e"), ChoiceSettings(max_tried_share=0.0))
     fleet = FleetState(apis={"guide": API}, versions={v.id: v for v in LADDER})
     decided = choose_version(fleet, EVERYTHING, API, CLASS, cache, Random(1))
@@ -63,7 +63,7 @@
 
 
 def test_a_cheap_version_that_suffices_is_asked_alone():
-    plan = plan_cascade(LADDER, learned({2: 0.85, 6: 0.95}, 0.92), CLASS, 0.8)
+    plan = plan_cascade(LADDER, estimates_from({2: 0.85, 6: 0.95}, 0.92), CLASS, 0.8)
     assert plan.start == SMALL and plan.cost == pytest.approx(1.0)
 
 
@@ -77,7 +77,7 @@
 @given(st.lists(st.floats(0, 1), min_size=8, max_size=8), st.floats(0.1, 0.99))
 @settings(derandomize=True, deadline=None, max_examples=60)
 def test_a_plan_meets_the_target_or_is_the_best_there_is(scores, target):
-    estimates = learned(dict(enumerate(scores)), 0.9, ratings=12)
+    estimates = estimates_from(dict(enumerate(scores)), 0.9, ratings=12)
     plan = plan_cascade(LADDER, estimates, CLASS, target)
     best = plan_cascade(LADDER, estimates, CLASS, 2.0)
     assert plan.lower >= target - 1e-9 or plan.quality >= best.quality - 1e-9
@@ -101,8 +101,10 @@
     return FleetState(apis={"guide": API}, versions=versions, **changes)
 
 
-def exposed(fleet, share, sessions):
-    cache = PlanCache(learned({6: 0.95}, 0.95), ChoiceSettings(max_tried_share=0.0))
+def exposed_sessions(fleet, share, sessions):
+    cache = PlanCache(
+        estimates_from({6: 0.95}, 0.95), ChoiceSettings(max_tried_share=0.0)
+    )
     return {
         s
         for s in sessions
@@ -125,7 +127,9 @@
     # or a larger share exposed other sessions, the session would change its version
     # repeatedly.
     sessions = [f"chat-{n}" for n in range(400)]
-    small, large = (exposed(rollout_fleet(), share, sessions) for share in (0.1, 0.4))
+    small, large = (
+        exposed_sessions(rollout_fleet(), share, sessions) for share in (0.1, 0.4)
+    )
     assert 0 < len(small) < len(large) < 250
     assert small <= large
 
@@ -133,4 +137,4 @@
 def test_a_quarantined_version_is_not_exposed_at_any_share():
     stopped = {NEW: Quarantine(NEW, "rating", 3)}
     fleet = rollout_fleet(quarantines=stopped)
-    assert not exposed(fleet, 1.0, [f"chat-{n}" for n in range(50)])
+    assert not exposed_sessions(fleet, 1.0, [f"chat-{n}" for n in range(50)])
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -28,10 +28,10 @@
     ]
 
 
-def view(instance, in_flight, at_s=0.0, limit=8):
-    known = EndpointView(instance)
-    known.reported(Load(in_flight=in_flight, limit=limit, service_s=1.0), at_s)
-    return known
+def view_of(instance, in_flight, at_s=0.0, limit=8):
+    endpoint_view = EndpointView(instance)
+    endpoint_view.reported(Load(in_flight=in_flight, limit=limit, service_s=1.0), at_s)
+    return endpoint_view
 
 
 @given(st.integers(1, 60), st.integers(1, 120))
@@ -86,7 +86,9 @@
     # All entries hold the same report, one second old, in which one endpoint is idle.
     # If all entries chose it, it would have the longest queue right afterwards.
     endpoints = fleet_of(12)
-    views = {e.name: view(e, in_flight=0 if e.name == "e3" else 5) for e in endpoints}
+    views = {
+        e.name: view_of(e, in_flight=0 if e.name == "e3" else 5) for e in endpoints
+    }
     chosen = Counter(
         choose_endpoint(endpoints, views, 1.0, Random(seed), FleetState()).endpoint.name
         for seed in range(300)
@@ -95,12 +97,12 @@
 
 
 def test_own_sends_count_before_any_report_shows_them():
-    known = view(fleet_of(1)[0], in_flight=2)
+    endpoint_view = view_of(fleet_of(1)[0], in_flight=2)
     for number in range(3):
-        known.sent(1.0 + number)
-    assert known.at_endpoint == 5
-    known.reported(Load(in_flight=4, limit=8), 2.5)
-    assert known.at_endpoint == 5
+        endpoint_view.sent(1.0 + number)
+    assert endpoint_view.at_endpoint == 5
+    endpoint_view.reported(Load(in_flight=4, limit=8), 2.5)
+    assert endpoint_view.at_endpoint == 5
 
 
 def test_requests_with_one_prefix_meet_where_it_is_cached():
@@ -110,7 +112,7 @@
     chosen = Counter(
         choose_endpoint(
             endpoints,
-            {e.name: view(e, in_flight=2) for e in endpoints},
+            {e.name: view_of(e, in_flight=2) for e in endpoints},
             0.0,
             Random(seed),
             FleetState(),
@@ -123,19 +125,21 @@
 
 def test_a_full_home_of_a_prefix_is_passed_over():
     endpoints = fleet_of(12)
-    home = choose_endpoint(
+    preferred = choose_endpoint(
         endpoints,
-        {e.name: view(e, in_flight=2) for e in endpoints},
+        {e.name: view_of(e, in_flight=2) for e in endpoints},
         0.0,
         Random(1),
         FleetState(),
         prefix_hash="p",
     ).endpoint
-    views = {e.name: view(e, in_flight=8 if e == home else 2) for e in endpoints}
+    views = {
+        e.name: view_of(e, in_flight=8 if e == preferred else 2) for e in endpoints
+    }
     decided = choose_endpoint(
         endpoints, views, 0.0, Random(1), FleetState(), prefix_hash="p"
     )
-    assert decided.endpoint != home
+    assert decided.endpoint != preferred
 
 
 def test_a_zone_returns_little_by_little_and_flapping_starts_over():
--- a/tests/test_decisions_limits.py
+++ b/tests/test_decisions_limits.py
@@ -26,7 +26,7 @@
     )
 
 
-def served(queue, count, step_s=1.0):
+def run_items(queue, count, step_s=1.0):
     """Run items one after the other and return them in order."""
     order, now_s = [], 0.0
     for _ in range(count):
@@ -47,7 +47,7 @@
         assert queue.offer(item(number, "flood"), 0.0) is None
     for number in range(5):
         assert queue.offer(item(number, "small"), 0.0) is None
-    order = [taken.organisation for taken in served(queue, 12)]
+    order = [taken.organisation for taken in run_items(queue, 12)]
     assert order.count("small") == 5
 
 
@@ -56,7 +56,7 @@
     for number in range(80):
         queue.offer(item(number, "large", weight=3.0), 0.0)
         queue.offer(item(number, "small", weight=1.0), 0.0)
-    order = [taken.organisation for taken in served(queue, 80)]
+    order = [taken.organisation for taken in run_items(queue, 80)]
     assert 58 <= order.count("large") <= 62
 
 
@@ -65,7 +65,7 @@
     for number in range(120):
         queue.offer(item(number, "chat"), 0.0)
         queue.offer(item(number, "reports", batch=True), 0.0)
-    batch = sum(taken.batch for taken in served(queue, 100))
+    batch = sum(taken.batch for taken in run_items(queue, 100))
     assert 8 <= batch <= 12
 
 
@@ -96,7 +96,7 @@
     queue = AdmissionQueue(limit=1)
     for number in range(10):
         queue.offer(item(number, tokens=10.0), 0.0)
-    served(queue, 10, step_s=10.0)
+    run_items(queue, 10, step_s=10.0)
     for number in range(10, 14):
         assert queue.offer(item(number), 100.0) is None
     refusal = queue.offer(item(99, deadline=120.0), 100.0)
@@ -113,28 +113,32 @@
 
 @given(steps, st.integers(1, 4))
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_every_item_runs_or_is_refused_or_cancelled_and_never_two_of_them(walk, limit):
+def test_every_item_runs_or_is_refused_or_cancelled_and_never_two_of_them(
+    actions, limit
+):
     queue = AdmissionQueue(AdmissionSettings(max_queue=6), limit=limit)
     offered, ran, refused, cancelled = set(), set(), set(), set()
-    for now_s, (step, number) in enumerate(walk):
-        if step == "offer":
+    for now_s, (action, number) in enumerate(actions):
+        if action == "offer":
             new = item(
                 f"{now_s}", f"org-{number % 3}", 1 + number, now_s + 9.0 + number
             )
             offered.add(new.request_id)
             if queue.offer(new, float(now_s)) is not None:
                 refused.add(new.request_id)
-        elif step == "next" and (taken := queue.next(float(now_s))) is not None:
+        elif action == "next" and (taken := queue.next(float(now_s))) is not None:
             assert taken.request_id not in ran
             ran.add(taken.request_id)
-        elif step == "finish" and queue.running:
+        elif action == "finish" and queue.running:
             name = sorted(queue.running)[number % len(queue.running)]
             queue.finish(queue.running[name][0], float(now_s), ok=True)
-        elif step == "cancel" and offered:
+        elif action == "cancel" and offered:
             name = sorted(offered)[number % len(offered)]
             if queue.cancel(name):
                 cancelled.add(name)
-        refused |= {gone.item.request_id for gone in queue.take_refused()}
+        refused |= {
+            refused_item.item.request_id for refused_item in queue.take_refused()
+        }
         assert len(queue.running) <= limit
         assert queue.queued <= 6
     assert not (ran & refused or ran & cancelled or refused & cancelled)
@@ -148,8 +152,8 @@
     for second in range(90):
         ramp.finished(0.03, True, float(second))
         limits.append(ramp.limit(float(second)))
-        bears = 2 + 14 * min(1.0, second / 60.0)
-        assert limits[-1] <= bears
+        capacity = 2 + 14 * min(1.0, second / 60.0)
+        assert limits[-1] <= capacity
     assert limits == sorted(limits) and limits[-1] == 16
 
 
@@ -162,22 +166,20 @@
 def test_an_endpoint_that_turns_cold_unannounced_falls_back_at_once():
     # An engine restarts within its instance, or its accelerator is throttled, without
     # any message. Answers stall, and more work makes it worse.
-    for notice in ("gap", "latency", "restart", "report"):
+    for sign in ("gap", "latency", "restart", "report"):
         ramp = Ramp(VERSION, 0.0, warm=True)
         for second in range(30):
             ramp.finished(0.03, True, float(second))
             ramp.reported(Load(), 1, float(second))
         assert ramp.limit(30.0) == 16
-        if notice == "gap":
+        if sign == "gap":
             ramp.observed_gap(0.3, 31.0)
-        elif notice == "latency":
+        elif sign == "latency":
             for _ in range(3):
                 ramp.finished(0.2, True, 31.0)
         else:
-            ramp.reported(
-                Load(cold=notice == "report"), 1 + (notice == "restart"), 31.0
-            )
-        assert ramp.limit(31.0) == 2, notice
+            ramp.reported(Load(cold=sign == "report"), 1 + (sign == "restart"), 31.0)
+        assert ramp.limit(31.0) == 2, sign
 
 
 def test_a_caller_who_leaves_or_sends_a_long_prompt_does_not_cool_an_endpoint():
--- a/tests/test_decisions_models.py
+++ b/tests/test_decisions_models.py
@@ -18,7 +18,7 @@
 from acaciacove.decisions.reading_pace import ReadingPace
 from acaciacove.decisions.telling_threshold import TellingThreshold
 
-CALM = Moment(elapsed_s=0.2, target_s=3.0)
+IDLE = Moment(elapsed_s=0.2, target_s=3.0)
 CONFIDENCES = st.floats(0.0, 100.0)
 
 
@@ -29,29 +29,33 @@
     ]
 
 
-def reading(ability, need, random):
-    told = 50.0 + 150.0 * (ability - need) + random.gauss(0.0, 8.0)
-    return min(100.0, max(0.0, told))
+def reported_confidence(ability, difficulty, random):
+    confidence = 50.0 + 150.0 * (ability - difficulty) + random.gauss(0.0, 8.0)
+    return min(100.0, max(0.0, confidence))
 
 
-def taught(abilities, requests=400, seed=1):
+def calibrated(abilities, requests=400, seed=1):
     """Return a calibration updated by requests that all models answered."""
     random, beliefs = Random(seed), ConfidenceBeliefs()
     names = [f"m{rank}" for rank in range(len(abilities))]
     for first, second in ((0, 1), (0, 2), (1, 2)):
         beliefs.offset(names[first], names[second], second == 2)
     for _ in range(requests):
-        need = random.random()
-        told = [reading(ability, need, random) for ability in abilities]
+        difficulty = random.random()
+        confidences = [
+            reported_confidence(ability, difficulty, random) for ability in abilities
+        ]
         for rank, name in enumerate(names):
-            beliefs.learn_answer(name, rank == 2, told[rank])
+            beliefs.learn_answer(name, rank == 2, confidences[rank])
         for first, second in ((0, 1), (0, 2), (1, 2)):
-            beliefs.learn_pair(names[first], told[first], names[second], told[second])
+            beliefs.learn_pair(
+                names[first], confidences[first], names[second], confidences[second]
+            )
     return beliefs
 
 
 def test_offsets_and_noise_are_learnt_from_pairs():
-    beliefs = taught((0.54, 0.64, 1.0))
+    beliefs = calibrated((0.54, 0.64, 1.0))
     assert beliefs.offset("m0", "m1").margin == pytest.approx(15.0, abs=6.0)
     assert beliefs.offset("m0", "m2").margin == pytest.approx(69.0, abs=12.0)
     assert 6.0 < beliefs.noise < 12.0
@@ -63,48 +67,49 @@
     price and a third of its time. Escalation straight to the largest would cost twice
     as much, and queues would grow at the largest model.
     """
-    beliefs = taught((0.3, 0.95, 1.0))
-    asked = [
-        next_model("m0", told, options()[1:], beliefs, CALM, True)
-        for told in (0.0, 15.0, 30.0, 45.0)
+    beliefs = calibrated((0.3, 0.95, 1.0))
+    chosen = [
+        next_model("m0", confidence, options()[1:], beliefs, IDLE, True)
+        for confidence in (0.0, 15.0, 30.0, 45.0)
     ]
-    assert set(asked) == {"m1"}
+    assert set(chosen) == {"m1"}
 
 
 def test_a_middle_model_that_is_nearly_the_smallest_is_passed_over():
-    beliefs = taught((0.54, 0.56, 1.0))
-    asked = [
-        next_model("m0", told, options()[1:], beliefs, CALM, True)
-        for told in (0.0, 15.0, 30.0)
+    beliefs = calibrated((0.54, 0.56, 1.0))
+    chosen = [
+        next_model("m0", confidence, options()[1:], beliefs, IDLE, True)
+        for confidence in (0.0, 15.0, 30.0)
     ]
-    assert set(asked) == {"m2"}
+    assert set(chosen) == {"m2"}
 
 
 def test_a_sure_answer_stays_and_a_hopeless_one_does_not():
-    beliefs = taught((0.54, 0.64, 1.0))
-    assert next_model("m0", 90.0, options()[1:], beliefs, CALM, True) is None
-    assert next_model("m0", 5.0, options()[1:], beliefs, CALM, True) is not None
+    beliefs = calibrated((0.54, 0.64, 1.0))
+    assert next_model("m0", 90.0, options()[1:], beliefs, IDLE, True) is None
+    assert next_model("m0", 5.0, options()[1:], beliefs, IDLE, True) is not None
 
 
 def test_in_a_crowd_fewer_answers_are_dropped():
     """Two of five engines are down and the queues are seconds long. Each request that
     also queries the largest model delays all requests behind it.
     """
-    beliefs = taught((0.54, 0.64, 1.0))
-    crowd = Moment(elapsed_s=1.5, target_s=3.0, delayed_per_s=5.0)
+    beliefs = calibrated((0.54, 0.64, 1.0))
+    loaded = Moment(elapsed_s=1.5, target_s=3.0, delayed_per_s=5.0)
 
-    def dropped(moment, wait_s):
+    def count_escalated(context, wait_s):
         larger = options(wait_s=wait_s)[1:]
         return sum(
-            next_model("m0", float(told), larger, beliefs, moment, True) is not None
-            for told in range(101)
+            next_model("m0", float(confidence), larger, beliefs, context, True)
+            is not None
+            for confidence in range(101)
         )
 
-    assert dropped(crowd, 1.5) < dropped(CALM, 0.0)
-    assert dropped(crowd, 1.5) > 0
+    assert count_escalated(loaded, 1.5) < count_escalated(IDLE, 0.0)
+    assert count_escalated(loaded, 1.5) > 0
 
 
-def delays_of(shares):
+def delay_cost_of(shares):
     cost = DelayCost()
     for share in shares:
         cost.learn(share * 2.0, 2.0)
@@ -116,20 +121,20 @@
     delay, even at many requests per second. Answers with low confidence escalate more
     often then.
     """
-    beliefs = taught((0.54, 0.64, 1.0))
-    short, long = delays_of([0.1] * 200), delays_of([0.7] * 200)
+    beliefs = calibrated((0.54, 0.64, 1.0))
+    short, long = delay_cost_of([0.1] * 200), delay_cost_of([0.7] * 200)
     assert short.weight < 0.2
     assert long.weight > 0.8
 
-    def dropped(cost):
-        crowd = Moment(0.3, 3.0, delayed_per_s=1.0, delay_weight=cost.weight)
+    def count_escalated(cost):
+        loaded = Moment(0.3, 3.0, delayed_per_s=1.0, delay_weight=cost.weight)
         return sum(
-            next_model("m0", float(told), options()[1:], beliefs, crowd, True)
+            next_model("m0", float(confidence), options()[1:], beliefs, loaded, True)
             is not None
-            for told in range(101)
+            for confidence in range(101)
         )
 
-    assert dropped(short) > dropped(long)
+    assert count_escalated(short) > count_escalated(long)
 
 
 def test_delays_count_in_full_until_answers_show_what_they_cost():
@@ -139,34 +144,34 @@
 @given(st.lists(st.floats(0.0, 1e6), max_size=50))
 @settings(max_examples=100, derandomize=True)
 def test_the_weight_of_delays_stays_a_share(shares):
-    assert 0.0 <= delays_of(shares).weight <= 1.0
+    assert 0.0 <= delay_cost_of(shares).weight <= 1.0
 
 
 def test_the_first_model_depends_on_prices_and_abilities():
-    beliefs = taught((0.54, 0.64, 1.0))
-    assert first_model(options(), beliefs, CALM, True) == "m0"
+    beliefs = calibrated((0.54, 0.64, 1.0))
+    assert first_model(options(), beliefs, IDLE, True) == "m0"
     dear_small = options(prices=(0.2, 0.21, 0.22), work_s=(0.3, 0.31, 0.32))
-    assert first_model(dear_small, beliefs, CALM, True) == "m2"
-    assert first_model(options(), beliefs, CALM, False) == "m2"
+    assert first_model(dear_small, beliefs, IDLE, True) == "m2"
+    assert first_model(options(), beliefs, IDLE, False) == "m2"
 
 
 def test_prices_of_nothing_and_single_models_have_a_choice():
     beliefs = ConfidenceBeliefs()
     free = options(prices=(0.0, 0.0, 0.0))
-    assert first_model(free, beliefs, CALM, True) in {"m0", "m1", "m2"}
-    assert first_model(free[:1], beliefs, CALM, True) == "m0"
-    assert next_model("m0", 10.0, [], beliefs, CALM, False) is None
+    assert first_model(free, beliefs, IDLE, True) in {"m0", "m1", "m2"}
+    assert first_model(free[:1], beliefs, IDLE, True) == "m0"
+    assert next_model("m0", 10.0, [], beliefs, IDLE, False) is None
 
 
 @given(st.lists(st.tuples(CONFIDENCES, CONFIDENCES), max_size=60), CONFIDENCES)
 @settings(max_examples=100, derandomize=True)
-def test_beliefs_stay_probabilities_whatever_models_say(pairs, told):
+def test_beliefs_stay_probabilities_whatever_models_say(pairs, confidence):
     beliefs = ConfidenceBeliefs()
     for first, second in pairs:
         beliefs.learn_answer("m0", False, first)
         beliefs.learn_pair("m0", first, "m2", second)
-    assert 0.0 <= beliefs.good_share(told) <= 1.0
-    assert 0.0 <= beliefs.good_share_of("m0", told, "m2") <= 1.0
+    assert 0.0 <= beliefs.good_share(confidence) <= 1.0
+    assert 0.0 <= beliefs.good_share_of("m0", confidence, "m2") <= 1.0
     assert 0.0 <= beliefs.quality("m0", False) <= 1.0
     assert beliefs.noise > 0.0
 
@@ -216,8 +221,8 @@
     known, unknown = EndpointBacklog(), EndpointBacklog()
     known.send(1, 0.1, 0.0)
     known.answer(1, 1.1)
-    usual = usual_wait_s([known, unknown], 1.1)
-    assert 0.0 < unknown.wait_s(1.1, usual) < known.wait_s(1.1, usual)
+    baseline_s = usual_wait_s([known, unknown], 1.1)
+    assert 0.0 < unknown.wait_s(1.1, baseline_s) < known.wait_s(1.1, baseline_s)
 
 
 def test_what_others_tell_is_waited_for_until_an_own_answer_shows_it_through():
@@ -244,20 +249,22 @@
     st.integers(1, 20_000),
 )
 @settings(max_examples=200, derandomize=True)
-def test_what_is_told_keeps_to_its_budget(moments, cost_bytes):
+def test_what_is_told_keeps_to_its_budget(offered, cost_bytes):
     threshold = TellingThreshold(bytes_per_s=2_500.0)
-    now_s, told_bytes = 0.0, 0
-    for gap_s, work_s in moments:
+    now_s, sent_bytes = 0.0, 0
+    for gap_s, work_s in offered:
         now_s += gap_s
         if threshold.admits(work_s, cost_bytes, now_s):
-            told_bytes += cost_bytes
-    assert told_bytes <= 2_500.0 * now_s + cost_bytes
+            sent_bytes += cost_bytes
+    assert sent_bytes <= 2_500.0 * now_s + cost_bytes
 
 
 def test_where_not_all_can_be_told_the_longest_work_is():
     threshold = TellingThreshold(bytes_per_s=1_000.0)
     random = Random(3)
     offered = [(step * 0.05, random.uniform(0.0, 3.0)) for step in range(4_000)]
-    told = [w for at_s, w in offered if threshold.admits(w, 1_000, at_s)]
-    assert len(told) > 150
-    assert sum(told) / len(told) > 2.0
+    admitted = [
+        work_s for at_s, work_s in offered if threshold.admits(work_s, 1_000, at_s)
+    ]
+    assert len(admitted) > 150
+    assert sum(admitted) / len(admitted) > 2.0
