--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -154,16 +154,17 @@
 
 def _usual(views: list[EndpointView], settings: EndpointSettings) -> Usual:
     """Return the average of the load reports of the compared endpoints."""
-    reported = [v for v in views if v.load.limit]
-    if not reported:
+    reported_views = [v for v in views if v.load.limit]
+    if not reported_views:
         return Usual(0.0, settings.default_service_s, settings.default_limit)
-    service_times_s = [v.load.service_s for v in reported if v.load.service_s]
+    service_times_s = [v.load.service_s for v in reported_views if v.load.service_s]
     return Usual(
-        sum(v.at_endpoint for v in reported) / sum(v.load.limit for v in reported),
+        sum(v.at_endpoint for v in reported_views)
+        / sum(v.load.limit for v in reported_views),
         sum(service_times_s) / len(service_times_s)
         if service_times_s
         else settings.default_service_s,
-        max(v.load.limit for v in reported),
+        max(v.load.limit for v in reported_views),
     )
 
 
@@ -195,9 +196,9 @@
     limit = view.load.limit or baseline.limit
     fade_s = max(settings.min_fade_s, settings.fade_services * baseline.service_s)
     report_weight = exp((view.reported_at_s - now_s) / fade_s)
-    unreported_load = max(float(view.own_in_flight), baseline.load * limit)
+    fallback_load = max(float(view.own_in_flight), baseline.load * limit)
     estimated_load = (
-        report_weight * view.at_endpoint + (1.0 - report_weight) * unreported_load
+        report_weight * view.at_endpoint + (1.0 - report_weight) * fallback_load
     )
     estimated_load = min(
         estimated_load, max(settings.queue_cap * limit, view.own_in_flight)
