--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -88,7 +88,7 @@
 
 
 def next_model(
-    asked: str,
+    queried: str,
     confidence: float,
     larger: Sequence[ModelOption],
     beliefs: ConfidenceBeliefs,
@@ -97,7 +97,7 @@
 ) -> str | None:
     """Return the model to query after an answer, or None to deliver the answer.
 
-    ``asked`` is the model that answered with ``confidence``. ``larger`` holds the
+    ``queried`` is the model that answered with ``confidence``. ``larger`` holds the
     larger models, smallest first. ``may_escalate_twice`` says whether another model may
     be queried after the next one.
     """
@@ -107,11 +107,11 @@
         good_probability * _in_time(moment, 0.0) + (1.0 - good_probability) * POOR_WORTH
     )
     for index, option in enumerate(larger):
-        probability = beliefs.good_share_of(asked, confidence, option.name)
+        probability = beliefs.good_share_of(queried, confidence, option.name)
         value = _worth_of(option, probability, moment)
         if may_go_on_twice and index + 1 < len(larger):
             last = larger[-1]
-            last_probability = beliefs.good_share_of(asked, confidence, last.name)
+            last_probability = beliefs.good_share_of(queried, confidence, last.name)
             recovery = (last_probability - probability) / max(1e-6, 1.0 - probability)
             second_value = _worth_of(last, max(0.0, recovery), _after(moment, option))
             value += (1.0 - probability) * max(0.0, second_value - POOR_WORTH)
@@ -120,9 +120,11 @@
     return best_name
 
 
-def _gain(beliefs: ConfidenceBeliefs, asked: ModelOption, larger: ModelOption) -> float:
-    """Return the probability that ``larger`` answers well where ``asked`` does not."""
-    small_quality = beliefs.quality(asked.name, asked.is_largest)
+def _gain(
+    beliefs: ConfidenceBeliefs, queried: ModelOption, larger: ModelOption
+) -> float:
+    """Return the probability that ``larger`` answers well where ``queried`` does not."""
+    small_quality = beliefs.quality(queried.name, queried.is_largest)
     large_quality = beliefs.quality(larger.name, larger.is_largest)
     return max(0.0, large_quality - small_quality) / max(1e-6, 1.0 - small_quality)
 
