--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -123,7 +123,7 @@
 def _gain(
     beliefs: ConfidenceBeliefs, queried: ModelOption, larger: ModelOption
 ) -> float:
-    """Return the probability that ``larger`` answers well where ``queried`` does not."""
+    """Return the probability that ``larger`` answers well if ``queried`` does not."""
     small_quality = beliefs.quality(queried.name, queried.is_largest)
     large_quality = beliefs.quality(larger.name, larger.is_largest)
     return max(0.0, large_quality - small_quality) / max(1e-6, 1.0 - small_quality)
