--- a/acaciacove/bench/fake_sidecar.py
+++ b/acaciacove/bench/fake_sidecar.py
@@ -88,7 +88,7 @@
             if self.engine.running:
                 self.ramp.observed_gap(self.engine.token_interval_s(), now_s)
             if not self.ramp.warm:
-                self._adaptive.restarted(self.engine.settings.warm_bears)
+                self._adaptive.reset(self.engine.settings.warm_bears)
         if self.first_come:
             self._pump_line()
         else:
--- a/acaciacove/bench/gateway_decision_cost.py
+++ b/acaciacove/bench/gateway_decision_cost.py
@@ -6,7 +6,6 @@
 from statistics import median
 from time import perf_counter
 
-from acaciacove.gateway.beliefs import Beliefs
 from acaciacove.gateway.catalogue.caller_limits import CallerLimits
 from acaciacove.gateway.catalogue.catalogue import Catalogue
 from acaciacove.gateway.catalogue.endpoint import Endpoint
@@ -21,7 +20,8 @@
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.http.caller_hints import CallerHints
 from acaciacove.gateway.http.caller_request import CallerRequest
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.routing_view import RoutingView
 from acaciacove.platform.header_fields import DIALECT
 from acaciacove.standins.gateway_fleet import gateway_settings
 
@@ -35,9 +35,9 @@
     """Return a gateway that knows this many endpoints of one service."""
     settings = gateway_settings("gateway-0", "10.0.1.1", "a")
     gateway = Gateway(
-        settings, DIALECT, Beliefs(lambda: 0.0), EventLog("gateway-0", None)
+        settings, DIALECT, RoutingView(lambda: 0.0), EventLog("gateway-0", None)
     )
-    gateway.members_known = True
+    gateway.members_loaded = True
     costs = {name: 0.05 * (rank + 1) for rank, name in enumerate(SIZES)}
     service = Service("model", 100, slots=64, model_costs=costs)
     route = Route(
@@ -52,29 +52,29 @@
         resumable=True,
         model_sizes=SIZES,
     )
-    gateway.beliefs.catalogue = Catalogue(
+    gateway.view.catalogue = Catalogue(
         0, 1, (route,), {"model": service}, {}, False, CallerLimits()
     )
     for number in range(endpoints):
         name = f"engine-{number}"
         zone = "abc"[number % 3]
-        gateway.beliefs.endpoints[name] = Endpoint(
+        gateway.view.endpoints[name] = Endpoint(
             name, "1", "model", "10.0.2.1", 9000, zone, "v1", 64, False, 0.0
         )
     return gateway
 
 
-def a_work(gateway: Gateway, number: int) -> Work:
+def a_work(gateway: Gateway, number: int) -> RequestContext:
     """Return a request with three prompt parts."""
     prompt = Prompt(
         (("all", 2500), (f"subject-{number % 40}", 3800), (str(number), 900)), 7200, 300
     )
     hints = CallerHints(str(number), None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "api", (), b"", hints, 0.0)
-    assert gateway.beliefs.catalogue is not None
-    route = gateway.beliefs.catalogue.routes[0]
-    service = gateway.beliefs.catalogue.services["model"]
-    return Work(request, route, service, None, None, 10.0, "small")
+    assert gateway.view.catalogue is not None
+    route = gateway.view.catalogue.routes[0]
+    service = gateway.view.catalogue.services["model"]
+    return RequestContext(request, route, service, None, None, 10.0, "small")
 
 
 def measure(endpoints: int) -> dict[str, float]:
--- a/acaciacove/bench/judge_plays.py
+++ b/acaciacove/bench/judge_plays.py
@@ -13,7 +13,7 @@
 from acaciacove.bench.judge_fault import JUDGE_FAULTS, JudgeFault
 from acaciacove.gateway.catalogue.rollout_order import RolloutOrder
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
-from acaciacove.gateway.rollout.rollout_progress import RolloutProgress, kind_cell
+from acaciacove.gateway.rollout.rollout_progress import RolloutProgress, kind_cell_name
 from acaciacove.gateway.rollout.rollout_settings import RolloutSettings
 from acaciacove.gateway.rollout.rollout_steps import (
     may_complete,
@@ -62,7 +62,7 @@
             next_request_s += random.expovariate(REQUESTS_PER_S)
         while answers and answers[0][0] <= now_s:
             _, number, failed, took_s = heappop(answers)
-            progress.take_answer(number, failed, None if failed else took_s)
+            progress.record_answer(number, failed, None if failed else took_s)
         step(progress, settings, capacity, now_s)
         if progress.phase is RolloutPhase.STOPPED:
             ending = "stopped" if progress.judged_bad else "unproven"
@@ -95,7 +95,9 @@
         failed = failed or fault.slower == 1.0
         took_s *= fault.slower
     endpoint = f"{is_target}-{random.randrange(ENDPOINTS)}"
-    number = progress.await_answer(is_target, kind_cell(route, model), endpoint, now_s)
+    number = progress.record_sent(
+        is_target, kind_cell_name(route, model), endpoint, now_s
+    )
     heappush(answers, (now_s + took_s, number, failed, took_s))
 
 
--- a/acaciacove/decisions/admission.py
+++ b/acaciacove/decisions/admission.py
@@ -5,13 +5,13 @@
 from attrs import define, field
 
 from acaciacove.decisions.admission_settings import AdmissionSettings
-from acaciacove.decisions.lane import Lane
+from acaciacove.decisions.organisation_queue import OrganisationQueue
 from acaciacove.decisions.refused_item import RefusedItem
 from acaciacove.decisions.waiting_item import WaitingItem
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-_MAX_LANES = 1024
+_MAX_QUEUES = 1024
 _MIN_TOKEN_S = 1e-4
 
 
@@ -29,14 +29,14 @@
     settings: AdmissionSettings = AdmissionSettings()
     limit: int = 1
     running: dict[str, tuple[WaitingItem, float]] = field(factory=dict)
-    _lanes: dict[str, Lane] = field(factory=dict)
-    _virtual: float = 0.0
+    _queues: dict[str, OrganisationQueue] = field(factory=dict)
+    _virtual_time: float = 0.0
     _kind_tags: dict[bool, float] = field(factory=lambda: {False: 0.0, True: 0.0})
     _kind_counts: dict[bool, int] = field(factory=lambda: {False: 0, True: 0})
     _refused: list[RefusedItem] = field(factory=list)
     _token_s: float = field(init=False)
     _samples: int = 0
-    _looked_at_s: float = float("-inf")
+    _expiry_checked_at_s: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
         """Start from the settings' guess of the speed."""
@@ -44,17 +44,19 @@
 
     def offer(self, item: WaitingItem, now_s: float) -> Refusal | None:
         """Queue an item, or return the refusal at once."""
-        lane = self._lane(item, now_s)
+        lane = self._queue_of(item, now_s)
         wait_s = self._expected_wait_s(lane, item.batch, now_s)
-        until_s = self._waits_until_s(item, now_s)
-        if now_s + self.settings.wait_margin * wait_s > until_s:
-            return self._overloaded(Reason.DEADLINE_EXCEEDED, wait_s)
-        if self.queued >= self.settings.max_queue and not self._push_out(lane, now_s):
-            return self._overloaded(Reason.OVERLOADED, wait_s)
+        expires_at_s = self._expires_at_s(item, now_s)
+        if now_s + self.settings.wait_margin * wait_s > expires_at_s:
+            return self._refusal(Reason.DEADLINE_EXCEEDED, wait_s)
+        if self.queued >= self.settings.max_queue and not self._evict_from_longest(
+            lane, now_s
+        ):
+            return self._refusal(Reason.OVERLOADED, wait_s)
         if not lane.queued:
-            lane.next_tag = self._start_tag(lane, now_s)
-        self._enter_kind(item.batch)
-        lane.enter(item, until_s)
+            lane.next_start_tag = self._start_tag(lane, now_s)
+        self._count_arrival(item.batch)
+        lane.append(item, expires_at_s)
         return None
 
     def next(self, now_s: float) -> WaitingItem | None:
@@ -62,17 +64,17 @@
 
         Items that have waited as long as they may are given up, see ``take_refused``.
         """
-        self._give_up_late(now_s)
+        self._refuse_expired(now_s)
         if len(self.running) >= self.limit:
             return None
-        found = self._pick(now_s)
+        found = self._select(now_s)
         if found is None:
             return None
         lane, batch = found
-        item = lane.take(batch)
+        item = lane.pop(batch)
         self._kind_counts[batch] -= 1
-        self._virtual = max(self._virtual, lane.next_tag)
-        lane.next_tag += item.cost_tokens / item.weight
+        self._virtual_time = max(self._virtual_time, lane.next_start_tag)
+        lane.next_start_tag += item.cost_tokens / item.weight
         self._kind_tags[batch] += item.cost_tokens / self._kind_share(batch)
         lane.running += 1
         self.running[item.request_id] = (item, now_s)
@@ -91,16 +93,16 @@
         using much gains nothing.
         """
         _, started_at_s = self.running.pop(item.request_id)
-        lane = self._lanes[item.organisation]
+        lane = self._queues[item.organisation]
         lane.running -= 1
         used = item.cost_tokens if used_tokens is None else used_tokens
-        lane.next_tag += (used - item.cost_tokens) / item.weight
+        lane.next_start_tag += (used - item.cost_tokens) / item.weight
         if ok and used > 0:
-            self._learn((now_s - started_at_s) / used)
+            self._update_token_s((now_s - started_at_s) / used)
 
     def cancel(self, request_id: str) -> bool:
         """Drop a waiting item; False when it is not waiting."""
-        for lane in self._lanes.values():
+        for lane in self._queues.values():
             item = lane.remove(request_id)
             if item is not None:
                 self._kind_counts[item.batch] -= 1
@@ -118,7 +120,7 @@
         """Count the waiting items."""
         return self._kind_counts[False] + self._kind_counts[True]
 
-    def _learn(self, token_s: float) -> None:
+    def _update_token_s(self, token_s: float) -> None:
         """Smooth the time per token; the first samples are averaged."""
         self._samples += 1
         weight = max(self.settings.smoothing, 1.0 / self._samples)
@@ -132,71 +134,73 @@
         known = self._samples >= self.settings.min_samples
         return item.cost_tokens * self._token_s if known else 0.0
 
-    def _lane(self, item: WaitingItem, now_s: float) -> Lane:
+    def _queue_of(self, item: WaitingItem, now_s: float) -> OrganisationQueue:
         """Return the organisation's lane, forgetting idle ones beyond a bound."""
-        lane = self._lanes.get(item.organisation)
+        lane = self._queues.get(item.organisation)
         if lane is None:
-            if len(self._lanes) >= _MAX_LANES:
-                self._forget_idle(now_s)
-            lane = self._lanes[item.organisation] = Lane(item.weight, now_s)
+            if len(self._queues) >= _MAX_QUEUES:
+                self._remove_idle(now_s)
+            lane = self._queues[item.organisation] = OrganisationQueue(
+                item.weight, now_s
+            )
         lane.weight = item.weight
-        lane.seen_at_s = now_s
+        lane.last_seen_s = now_s
         return lane
 
-    def _forget_idle(self, now_s: float) -> None:
+    def _remove_idle(self, now_s: float) -> None:
         oldest = now_s - self.settings.active_s
-        for name, lane in list(self._lanes.items()):
-            if not lane.queued and not lane.running and lane.seen_at_s < oldest:
-                del self._lanes[name]
+        for name, lane in list(self._queues.items()):
+            if not lane.queued and not lane.running and lane.last_seen_s < oldest:
+                del self._queues[name]
 
-    def _pick(self, now_s: float) -> tuple[Lane, bool] | None:
+    def _select(self, now_s: float) -> tuple[OrganisationQueue, bool] | None:
         """Pick the lane and the kind that run next."""
         free = self.limit - len(self.running)
         scarce = free <= int(self.settings.reserved_share * self.limit)
-        fits = self._fits_reserve(now_s) if scarce else _always
-        picked: dict[bool, Lane] = {}
+        fits = self._reserve_filter(now_s) if scarce else _accept_any
+        picked: dict[bool, OrganisationQueue] = {}
         for batch in (False, True):
             if not self._kind_counts[batch]:
                 continue
             if batch and scarce and not self._kind_counts[False]:
                 continue
-            lanes = [n for n in self._lanes.values() if n.waiting(batch) and fits(n)]
-            if lanes:
-                picked[batch] = min(lanes, key=lambda n: n.next_tag)
+            queues = [n for n in self._queues.values() if n.waiting(batch) and fits(n)]
+            if queues:
+                picked[batch] = min(queues, key=lambda n: n.next_start_tag)
         if not picked:
             return None
         batch = min(picked, key=lambda kind: self._kind_tags[kind])
         return picked[batch], batch
 
-    def _fits_reserve(self, now_s: float) -> Callable[[Lane], bool]:
+    def _reserve_filter(self, now_s: float) -> Callable[[OrganisationQueue], bool]:
         """Admit only lanes below their share to the last free slots.
 
         Without this, a flood holds every slot whenever a slot is free, and each
         other organisation's request waits for a whole answer to end.
         """
 
-        def fits(lane: Lane) -> bool:
-            return self._is_entitled(lane, now_s)
+        def fits(lane: OrganisationQueue) -> bool:
+            return self._is_within_share(lane, now_s)
 
         return fits
 
-    def _start_tag(self, lane: Lane, now_s: float) -> float:
+    def _start_tag(self, lane: OrganisationQueue, now_s: float) -> float:
         """Start where the lane's work before ends, at most a credit behind the present.
 
         An organisation that has used less than its share may burst. Without credit, a
         long answer or two requests at once at one endpoint put its next request
         behind a whole flood, though over a minute it uses a part of its share.
         """
-        return max(self._virtual - self._credit(now_s), lane.next_tag)
+        return max(self._virtual_time - self._credit(now_s), lane.next_start_tag)
 
     def _credit(self, now_s: float) -> float:
         """Return the tokens by weight that are served in ``credit_s``."""
         tokens_per_s = self.limit / max(_MIN_TOKEN_S, self._token_s)
         return self.settings.credit_s * tokens_per_s / self._active_weight(now_s)
 
-    def _is_entitled(self, lane: Lane, now_s: float) -> bool:
+    def _is_within_share(self, lane: OrganisationQueue, now_s: float) -> bool:
         """Tell whether a lane is in credit, or holds about its share of the slots."""
-        if lane.next_tag < self._virtual:
+        if lane.next_start_tag < self._virtual_time:
             return True
         share = self.settings.slack * self.limit / self._active_weight(now_s)
         return (lane.running + 1) / lane.weight <= share
@@ -206,11 +210,11 @@
         oldest = now_s - self.settings.active_s
         return sum(
             lane.weight
-            for lane in self._lanes.values()
-            if lane.queued or lane.running or lane.seen_at_s >= oldest
+            for lane in self._queues.values()
+            if lane.queued or lane.running or lane.last_seen_s >= oldest
         )
 
-    def _enter_kind(self, batch: bool) -> None:
+    def _count_arrival(self, batch: bool) -> None:
         """Start a kind that was idle level with the other: idling earns no credit."""
         if not self._kind_counts[batch]:
             level = max(self._kind_tags[batch], self._kind_tags[not batch])
@@ -221,58 +225,60 @@
         share = self.settings.batch_share
         return share if batch else 1.0 - share
 
-    def _expected_wait_s(self, lane: Lane, batch: bool, now_s: float) -> float:
+    def _expected_wait_s(
+        self, lane: OrganisationQueue, batch: bool, now_s: float
+    ) -> float:
         """Estimate the wait: tokens of its kind that are served before a new item."""
         is_idle = self.queued == 0 and len(self.running) < self.limit
         if is_idle or self._samples < self.settings.min_samples:
             return 0.0
         own = sum(lane.queued_tokens.values()) / lane.weight
-        start = max(0.0, self._start_tag(lane, now_s) + own - self._virtual)
+        start = max(0.0, self._start_tag(lane, now_s) + own - self._virtual_time)
         ahead = lane.queued_tokens[batch] + sum(
             min(other.queued_tokens[batch], start * other.weight)
-            for other in self._lanes.values()
+            for other in self._queues.values()
             if other is not lane and other.queued
         )
         share = self._kind_share(batch) if self._kind_counts[not batch] else 1.0
         return ahead * self._token_s / (max(1, self.limit) * share)
 
-    def _waits_until_s(self, item: WaitingItem, now_s: float) -> float:
+    def _expires_at_s(self, item: WaitingItem, now_s: float) -> float:
         """Return when waiting ends: a part of the time left, so a retry still helps."""
         time_left_s = item.deadline_at_s - now_s
         longest_s = self.settings.max_wait_share * time_left_s
         return now_s + min(longest_s, time_left_s - self._service_s(item))
 
-    def _give_up_late(self, now_s: float) -> None:
+    def _refuse_expired(self, now_s: float) -> None:
         """Refuse the items that have waited as long as they may."""
-        if now_s - self._looked_at_s < self.settings.look_every_s:
+        if now_s - self._expiry_checked_at_s < self.settings.look_every_s:
             return
-        self._looked_at_s = now_s
-        for lane in self._lanes.values():
-            for item in lane.overdue(now_s):
+        self._expiry_checked_at_s = now_s
+        for lane in self._queues.values():
+            for item in lane.expired(now_s):
                 lane.remove(item.request_id)
-                self._drop(lane, item, Reason.DEADLINE_EXCEEDED, now_s)
+                self._refuse(lane, item, Reason.DEADLINE_EXCEEDED, now_s)
 
-    def _overloaded(self, reason: Reason, wait_s: float) -> Refusal:
+    def _refusal(self, reason: Reason, wait_s: float) -> Refusal:
         retry_after_s = max(self.settings.min_retry_after_s, wait_s)
         return Refusal(reason, not_run=True, retry_after_s=retry_after_s)
 
-    def _push_out(self, arriving: Lane, now_s: float) -> bool:
+    def _evict_from_longest(self, arriving: OrganisationQueue, now_s: float) -> bool:
         """Make room at the cost of the longest lane by weight, if not the own one."""
-        longest = max(self._lanes.values(), key=lambda n: n.queued / n.weight)
+        longest = max(self._queues.values(), key=lambda n: n.queued / n.weight)
         if longest.queued / longest.weight <= (arriving.queued + 1) / arriving.weight:
             return False
-        item = longest.take(bool(longest.batch), newest=True)
-        self._drop(longest, item, Reason.OVERLOADED, now_s)
+        item = longest.pop(bool(longest.batch), newest=True)
+        self._refuse(longest, item, Reason.OVERLOADED, now_s)
         return True
 
-    def _drop(
-        self, lane: Lane, item: WaitingItem, reason: Reason, now_s: float
+    def _refuse(
+        self, lane: OrganisationQueue, item: WaitingItem, reason: Reason, now_s: float
     ) -> None:
         """Keep the refusal of an item that left its lane unserved."""
         self._kind_counts[item.batch] -= 1
         wait_s = self._expected_wait_s(lane, item.batch, now_s)
-        self._refused.append(RefusedItem(item, self._overloaded(reason, wait_s)))
+        self._refused.append(RefusedItem(item, self._refusal(reason, wait_s)))
 
 
-def _always(_: Lane) -> bool:
+def _accept_any(_: OrganisationQueue) -> bool:
     return True
--- a/acaciacove/decisions/plan_in_use.py
+++ b/acaciacove/decisions/cached_plan.py
@@ -7,7 +7,7 @@
 
 
 @frozen
-class PlanInUse:
+class CachedPlan:
     """``generation`` is that of the estimates that the plan was made from."""
 
     plan: CascadePlan
--- a/acaciacove/decisions/candidate.py
+++ b/acaciacove/decisions/candidate.py
@@ -2,7 +2,7 @@
 
 from attrs import frozen
 
-from acaciacove.decisions.lost import Lost
+from acaciacove.decisions.rejection_reason import RejectionReason
 
 
 @frozen
@@ -14,5 +14,5 @@
     """
 
     name: str
-    lost: Lost | None = None
+    lost: RejectionReason | None = None
     score: float = 0.0
--- a/acaciacove/decisions/cascade.py
+++ b/acaciacove/decisions/cascade.py
@@ -22,4 +22,4 @@
     bin_ = signal_bin(signal)
     if bin_ < plan.bins_below:
         return True
-    return bin_ == plan.bins_below and rng.random() < plan.edge_share
+    return bin_ == plan.bins_below and rng.random() < plan.boundary_share
--- a/acaciacove/decisions/cascade_plan.py
+++ b/acaciacove/decisions/cascade_plan.py
@@ -10,7 +10,7 @@
     """Start at ``start`` and escalate answers whose signal is low.
 
     Answers in bins below ``bins_below`` escalate to ``escalate_to``; those in bin
-    ``bins_below`` itself do so with probability ``edge_share``. ``quality`` and
+    ``bins_below`` itself do so with probability ``boundary_share``. ``quality`` and
     ``lower`` are the expected rating and its confidence bound, ``cost`` the expected
     cost of a request relative to the versions' prices.
     """
@@ -18,7 +18,7 @@
     start: VersionId
     escalate_to: VersionId | None = None
     bins_below: int = 0
-    edge_share: float = 0.0
+    boundary_share: float = 0.0
     quality: float = 0.0
     lower: float = 0.0
     cost: float = 0.0
--- a/acaciacove/decisions/cascade_planner.py
+++ b/acaciacove/decisions/cascade_planner.py
@@ -17,11 +17,11 @@
 from acaciacove.decisions.tally import Tally
 from acaciacove.fleet.version import Version
 
-HARDNESS_CARRIES = 0.6
+SHORTFALL_CARRY_OVER = 0.6
 
 
 @frozen
-class _Curve:
+class _QualityCurve:
     """Per signal bin: share of the answers, mean rating, variance of that mean."""
 
     shares: tuple[float, ...]
@@ -48,25 +48,25 @@
     """
     first_bins = {v.id: estimates.bins(v.id, request_class) for v in ladder}
     bias = fit_response_bias(chain.from_iterable(first_bins.values()))
-    curves = {v.id: _curve(v, first_bins[v.id], bias) for v in ladder}
-    plans = [_direct(version, curves[version.id]) for version in ladder]
+    curves = {v.id: _quality_curve(v, first_bins[v.id], bias) for v in ladder}
+    plans = [_direct_plan(version, curves[version.id]) for version in ladder]
     if may_escalate:
         for place, first in enumerate(ladder):
             for second in ladder[place + 1 :]:
                 before = curves[first.id]
                 expected = curves[second.id].mean
                 bins = estimates.bins(second.id, request_class, str(first.id))
-                after = _after(before, expected, bins, bias)
-                plans.append(_escalating(first, second, before, after, target))
+                after = _curve_after(before, expected, bins, bias)
+                plans.append(_escalating_plan(first, second, before, after, target))
     meeting = [plan for plan in plans if plan.lower >= target]
     if meeting:
         return min(meeting, key=lambda plan: plan.cost)
     return max(plans, key=lambda plan: plan.quality)
 
 
-def _curve(
+def _quality_curve(
     version: Version, raw: tuple[tuple[float, Tally], ...], bias: ResponseBias
-) -> _Curve:
+) -> _QualityCurve:
     """Draw each bin's mean towards the version's mean, that towards its prior."""
     bins = [(count, bias.correct(tally)) for count, tally in raw]
     seen = sum(count for count, _ in bins)
@@ -74,65 +74,73 @@
     total = sum(tally.total for _, tally in bins)
     overall = (total + PRIOR_RATINGS * version.quality) / (rated + PRIOR_RATINGS)
     tallies = [tally for _, tally in bins]
-    return _Curve(
+    return _QualityCurve(
         tuple((count + 1 / SIGNAL_BINS) / (seen + 1.0) for count, _ in bins),
-        tuple(_drawn(tally, overall) for tally in tallies),
+        tuple(_shrunk_mean(tally, overall) for tally in tallies),
         tuple(_variance(tally) for tally in tallies),
     )
 
 
-def _after(
-    before: _Curve,
+def _curve_after(
+    before: _QualityCurve,
     expected: float,
     bins: tuple[tuple[float, Tally], ...],
     bias: ResponseBias,
-) -> _Curve:
+) -> _QualityCurve:
     """Return the second answer's ratings by the first one's signal.
 
     What is hard for the first version is harder for the second too; until ratings
     tell how much, a part of the first one's shortfall is assumed to carry over.
     """
     priors = [
-        expected + HARDNESS_CARRIES * min(0.0, mean - before.mean)
+        expected + SHORTFALL_CARRY_OVER * min(0.0, mean - before.mean)
         for mean in before.means
     ]
     tallies = [bias.correct(tally) for _, tally in bins]
-    return _Curve(
+    return _QualityCurve(
         before.shares,
-        tuple(_drawn(t, prior) for t, prior in zip(tallies, priors, strict=True)),
+        tuple(_shrunk_mean(t, prior) for t, prior in zip(tallies, priors, strict=True)),
         tuple(_variance(tally) for tally in tallies),
     )
 
 
-def _direct(version: Version, curve: _Curve) -> CascadePlan:
+def _direct_plan(version: Version, curve: _QualityCurve) -> CascadePlan:
     variance = sum(
         s * s * v for s, v in zip(curve.shares, curve.variances, strict=True)
     )
     return CascadePlan(
         version.id,
         quality=curve.mean,
-        lower=_lower(curve.mean, variance),
+        lower=_lower_bound(curve.mean, variance),
         cost=version.cost_per_1k_tokens,
     )
 
 
-def _escalating(
-    first: Version, second: Version, before: _Curve, after: _Curve, target: float
+def _escalating_plan(
+    first: Version,
+    second: Version,
+    before: _QualityCurve,
+    after: _QualityCurve,
+    target: float,
 ) -> CascadePlan:
     """Raise the threshold bin by bin until the target is met, then share the edge."""
-    below = _at_threshold(first, second, before, after, 0)
+    below = _plan_at_threshold(first, second, before, after, 0)
     if below.lower >= target:
         return below
     for bins_below in range(1, SIGNAL_BINS + 1):
-        plan = _at_threshold(first, second, before, after, bins_below)
+        plan = _plan_at_threshold(first, second, before, after, bins_below)
         if plan.lower >= target:
-            return _on_the_edge(below, plan, target)
+            return _interpolated_plan(below, plan, target)
         below = plan
     return below
 
 
-def _at_threshold(
-    first: Version, second: Version, before: _Curve, after: _Curve, bins_below: int
+def _plan_at_threshold(
+    first: Version,
+    second: Version,
+    before: _QualityCurve,
+    after: _QualityCurve,
+    bins_below: int,
 ) -> CascadePlan:
     quality, variance = 0.0, 0.0
     for bin_, share in enumerate(before.shares):
@@ -145,25 +153,27 @@
         second.id,
         bins_below,
         quality=quality,
-        lower=_lower(quality, variance),
+        lower=_lower_bound(quality, variance),
         cost=first.cost_per_1k_tokens + escalated * second.cost_per_1k_tokens,
     )
 
 
-def _on_the_edge(below: CascadePlan, above: CascadePlan, target: float) -> CascadePlan:
+def _interpolated_plan(
+    below: CascadePlan, above: CascadePlan, target: float
+) -> CascadePlan:
     """Mix two neighbouring thresholds so that the target is just met."""
     gap = above.lower - below.lower
     share = 1.0 if gap <= 0 else min(1.0, (target - below.lower) / gap)
     return evolve(
         below,
-        edge_share=share,
+        boundary_share=share,
         quality=below.quality + share * (above.quality - below.quality),
         lower=below.lower + share * gap,
         cost=below.cost + share * (above.cost - below.cost),
     )
 
 
-def _drawn(tally: Tally, prior: float) -> float:
+def _shrunk_mean(tally: Tally, prior: float) -> float:
     return (tally.total + PRIOR_RATINGS * prior) / (tally.count + PRIOR_RATINGS)
 
 
@@ -171,5 +181,5 @@
     return deviation_of(tally) ** 2 / (tally.count + PRIOR_RATINGS)
 
 
-def _lower(quality: float, variance: float) -> float:
+def _lower_bound(quality: float, variance: float) -> float:
     return quality - CONFIDENCE_DEVIATIONS * float(variance) ** 0.5
--- a/acaciacove/decisions/concurrency_limit.py
+++ b/acaciacove/decisions/concurrency_limit.py
@@ -2,8 +2,8 @@
 
 from attrs import define
 
-SLOWER_THAN_USUAL = 2.0
-BACK_OFF = 0.8
+SLOW_FACTOR = 2.0
+DECREASE_FACTOR = 0.8
 MIN_LIMIT = 1.0
 SMOOTHING = 0.02
 MIN_SAMPLES = 20
@@ -19,26 +19,26 @@
     """
 
     limit: float
-    _usual_token_s: float = 0.0
+    _baseline_token_s: float = 0.0
     _samples: int = 0
-    _cut_at_s: float = float("-inf")
+    _decreased_at_s: float = float("-inf")
 
     def finished(
         self, token_s: float, started_at_s: float, ok: bool, now_s: float, ceiling: int
     ) -> None:
         """Learn from one finished request."""
-        slow = token_s > SLOWER_THAN_USUAL * self._usual_token_s
+        slow = token_s > SLOW_FACTOR * self._baseline_token_s
         if not ok or (self._samples >= MIN_SAMPLES and slow):
-            if started_at_s > self._cut_at_s:
-                self.limit = max(MIN_LIMIT, self.limit * BACK_OFF)
-                self._cut_at_s = now_s
+            if started_at_s > self._decreased_at_s:
+                self.limit = max(MIN_LIMIT, self.limit * DECREASE_FACTOR)
+                self._decreased_at_s = now_s
             return
         weight = max(SMOOTHING, 1.0 / (self._samples + 1))
-        self._usual_token_s += weight * (token_s - self._usual_token_s)
+        self._baseline_token_s += weight * (token_s - self._baseline_token_s)
         self._samples += 1
         self.limit = min(float(ceiling), self.limit + 1.0 / self.limit)
 
-    def restarted(self, ceiling: int) -> None:
+    def reset(self, ceiling: int) -> None:
         """Forget the cuts: a ramp has taken over, and bounds the limit itself.
 
         A restart cuts what was running. Taken for slowness, those failures would
--- a/acaciacove/decisions/confidence_beliefs.py
+++ b/acaciacove/decisions/confidence_calibration.py
@@ -10,10 +10,10 @@
 
 from attrs import define, field
 
-EVEN_ODDS = 50.0
-LOWEST, HIGHEST = 0.0, 100.0
+EVEN_CONFIDENCE = 50.0
+MIN_CONFIDENCE, MAX_CONFIDENCE = 0.0, 100.0
 # Readings end at 0 and 100, margins do not: beyond the ends they lie about here.
-BEYOND = 10.0
+SATURATION_EXCESS = 10.0
 # Deviation of a reading before any pair of answers has shown it, and how many pairs
 # that is worth.
 PRIOR_NOISE = 12.0
@@ -23,7 +23,7 @@
 PRIOR_OFFSET = 20.0
 PRIOR_OFFSET_OF_LARGEST = 60.0
 # An offset follows the newest pairs with this share at least, the first ones faster.
-LEAST_SHARE = 0.05
+MIN_OFFSET_WEIGHT = 0.05
 # The share of requests that a model answers well before it has answered any, and how
 # many answers that is worth.
 PRIOR_QUALITY = 0.6
@@ -32,7 +32,7 @@
 
 
 @define
-class Offset:
+class AbilityOffset:
     """How far one model's margin lies above another's, and pairs that showed it."""
 
     margin: float
@@ -40,7 +40,7 @@
 
 
 @define
-class Quality:
+class QualityPosterior:
     """Expected good answers among ``answers`` of a model."""
 
     good: float
@@ -48,29 +48,33 @@
 
 
 @define
-class ConfidenceBeliefs:
+class ConfidenceCalibration:
     """Beliefs on the models of one service.
 
     Models are named by their callers; one that is new starts from what is usual.
     """
 
-    offsets: dict[tuple[str, str], Offset] = field(factory=dict)
-    qualities: dict[str, Quality] = field(factory=dict)
-    _square_sum: float = PRIOR_PAIRS * PRIOR_NOISE**2
-    _squares: float = PRIOR_PAIRS
+    offsets: dict[tuple[str, str], AbilityOffset] = field(factory=dict)
+    qualities: dict[str, QualityPosterior] = field(factory=dict)
+    _squared_errors: float = PRIOR_PAIRS * PRIOR_NOISE**2
+    _error_count: float = PRIOR_PAIRS
 
     @property
     def noise(self) -> float:
         """Deviation of one reading."""
-        return sqrt(self._square_sum / self._squares)
+        return sqrt(self._squared_errors / self._error_count)
 
-    def good_share(self, confidence: float) -> float:
+    def good_probability(self, confidence: float) -> float:
         """Return how likely an answer with this confidence is good."""
-        return self._likely(_margin(confidence))
+        return self._probability(_margin(confidence))
 
-    def good_share_of(self, first: str, confidence: float, second: str) -> float:
+    def good_probability_after(
+        self, first: str, confidence: float, second: str
+    ) -> float:
         """Return how likely ``second`` answers well where ``first`` was unsure."""
-        return self._likely(_margin(confidence) + self.offset(first, second).margin)
+        return self._probability(
+            _margin(confidence) + self.offset(first, second).margin
+        )
 
     def quality(self, model: str, is_largest: bool) -> float:
         """Return the share of requests that a model answers well."""
@@ -79,22 +83,24 @@
             return PRIOR_QUALITY_OF_LARGEST if is_largest else PRIOR_QUALITY
         return known.good / known.answers
 
-    def offset(self, first: str, second: str, is_largest: bool = False) -> Offset:
+    def offset(
+        self, first: str, second: str, is_largest: bool = False
+    ) -> AbilityOffset:
         """Return how far ``second`` lies above ``first``, which is smaller."""
         prior = PRIOR_OFFSET_OF_LARGEST if is_largest else PRIOR_OFFSET
-        return self.offsets.setdefault((first, second), Offset(prior))
+        return self.offsets.setdefault((first, second), AbilityOffset(prior))
 
     def learn_answer(self, model: str, is_largest: bool, confidence: float) -> None:
         """Take a model's answer to a request that no other was asked before."""
         prior = self.quality(model, is_largest)
         known = self.qualities.setdefault(
-            model, Quality(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
+            model, QualityPosterior(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
         )
-        known.good += self.good_share(confidence)
+        known.good += self.good_probability(confidence)
         known.answers += 1.0
 
     def learn_pair(
-        self, first: str, first_told: float, second: str, second_told: float
+        self, first: str, first_confidence: float, second: str, second_confidence: float
     ) -> None:
         """Take two models' opinions on the same request.
 
@@ -102,40 +108,44 @@
         contradicts it.
         """
         offset = self.offset(first, second)
-        seen = second_told - first_told
-        is_bound = _is_end(first_told) or _is_end(second_told)
-        if is_bound and not _contradicts(first_told, second_told, offset.margin):
+        seen = second_confidence - first_confidence
+        is_bound = _is_end(first_confidence) or _is_end(second_confidence)
+        if is_bound and not _contradicts(
+            first_confidence, second_confidence, offset.margin
+        ):
             return
         if not is_bound:
-            self._square_sum += (seen - offset.margin) ** 2 / 2.0
-            self._squares += 1.0
+            self._squared_errors += (seen - offset.margin) ** 2 / 2.0
+            self._error_count += 1.0
         offset.pairs += 1
-        share = max(LEAST_SHARE, 1.0 / (offset.pairs + 1.0))
+        share = max(MIN_OFFSET_WEIGHT, 1.0 / (offset.pairs + 1.0))
         offset.margin += share * (seen - offset.margin)
 
-    def _likely(self, margin: float) -> float:
+    def _probability(self, margin: float) -> float:
         return 0.5 * (1.0 + erf(margin / self.noise / sqrt(2.0)))
 
 
 def _margin(confidence: float) -> float:
-    if confidence <= LOWEST:
-        return LOWEST - BEYOND - EVEN_ODDS
-    if confidence >= HIGHEST:
-        return HIGHEST + BEYOND - EVEN_ODDS
-    return confidence - EVEN_ODDS
+    if confidence <= MIN_CONFIDENCE:
+        return MIN_CONFIDENCE - SATURATION_EXCESS - EVEN_CONFIDENCE
+    if confidence >= MAX_CONFIDENCE:
+        return MAX_CONFIDENCE + SATURATION_EXCESS - EVEN_CONFIDENCE
+    return confidence - EVEN_CONFIDENCE
 
 
 def _is_end(confidence: float) -> bool:
-    return not LOWEST < confidence < HIGHEST
+    return not MIN_CONFIDENCE < confidence < MAX_CONFIDENCE
 
 
-def _contradicts(first_told: float, second_told: float, margin: float) -> bool:
+def _contradicts(
+    first_confidence: float, second_confidence: float, margin: float
+) -> bool:
     """Tell whether a pair with a reading at an end speaks against an offset."""
-    seen = second_told - first_told
-    if second_told >= HIGHEST and first_told > LOWEST:
+    seen = second_confidence - first_confidence
+    if second_confidence >= MAX_CONFIDENCE and first_confidence > MIN_CONFIDENCE:
         return margin < seen
-    if first_told <= LOWEST and second_told < HIGHEST:
+    if first_confidence <= MIN_CONFIDENCE and second_confidence < MAX_CONFIDENCE:
         return margin < seen
-    if second_told <= LOWEST and first_told < HIGHEST:
+    if second_confidence <= MIN_CONFIDENCE and first_confidence < MAX_CONFIDENCE:
         return margin > seen
     return False
--- a/acaciacove/decisions/crash_evidence.py
+++ b/acaciacove/decisions/crash_evidence.py
@@ -7,7 +7,7 @@
 
 # Crashes that are remembered, the oldest forgotten first; and requests of each.
 MAX_CRASHES = 128
-MAX_SUSPECTS = 128
+MAX_SUSPECTS_PER_CRASH = 128
 
 
 @define(eq=False)
@@ -36,33 +36,33 @@
         too many.
         """
         known = self._suspects.setdefault(endpoint, set())
-        new = sorted(set(suspects) - known, key=self.crashes_under, reverse=True)
-        new = new[: MAX_SUSPECTS - len(known)]
+        new = sorted(set(suspects) - known, key=self.crash_count, reverse=True)
+        new = new[: MAX_SUSPECTS_PER_CRASH - len(known)]
         known.update(new)
         for fingerprint in new:
             self._crashes.setdefault(fingerprint, set()).add(endpoint)
         while len(self._suspects) > MAX_CRASHES:
             oldest, forgotten = self._suspects.popitem(last=False)
             for fingerprint in forgotten:
-                self._drop(fingerprint, oldest)
+                self._remove_crash(fingerprint, oldest)
         return new
 
-    def _drop(self, fingerprint: int, endpoint: int) -> None:
+    def _remove_crash(self, fingerprint: int, endpoint: int) -> None:
         crashes = self._crashes[fingerprint]
         crashes.discard(endpoint)
         if not crashes:
             del self._crashes[fingerprint]
 
-    def forget(self, fingerprint: int) -> None:
+    def discard(self, fingerprint: int) -> None:
         """Take a request off all crashes: one that was served has caused none."""
         for endpoint in self._crashes.pop(fingerprint, ()):
             self._suspects[endpoint].discard(fingerprint)
 
-    def crashes_under(self, fingerprint: int) -> int:
+    def crash_count(self, fingerprint: int) -> int:
         """Return how many endpoints crashed while the request was there."""
         return len(self._crashes.get(fingerprint, ()))
 
-    def was_at(self, endpoint: int, fingerprint: int) -> bool:
+    def was_in_flight_at(self, endpoint: int, fingerprint: int) -> bool:
         """Tell whether the request was at an endpoint when it crashed."""
         return endpoint in self._crashes.get(fingerprint, ())
 
@@ -72,9 +72,9 @@
         Those that most endpoints crashed under come first.
         """
         found = self._suspects.get(endpoint, ())
-        return sorted(found, key=self.crashes_under, reverse=True)
+        return sorted(found, key=self.crash_count, reverse=True)
 
-    def is_explained(self, fingerprint: int) -> bool:
+    def has_likelier_suspect(self, fingerprint: int) -> bool:
         """Tell whether another request was there at all the same crashes, and more.
 
         That one is the likelier cause. Without this, requests that share endpoints
--- a/acaciacove/decisions/delay_cost.py
+++ b/acaciacove/decisions/delay_cost.py
@@ -2,12 +2,12 @@
 
 from attrs import define
 
-from acaciacove.decisions.model_plan import late_slope
+from acaciacove.decisions.model_plan import lateness_slope
 
 # The newest answer counts this much.
-NEWEST_SHARE = 0.04
+EWMA_WEIGHT = 0.04
 # A delayed request delays others in turn; this many feel a delay in the end.
-DELAYED_IN_TURN = 3.0
+DELAY_PROPAGATION = 3.0
 
 
 @define
@@ -18,13 +18,13 @@
     delay, those near it lose most. Nothing is known at the start: delays count in full.
     """
 
-    slope: float = 1.0 / DELAYED_IN_TURN
+    slope: float = 1.0 / DELAY_PROPAGATION
 
     def learn(self, took_s: float, target_s: float) -> None:
         """Take how long a caller waited for the first piece of an answer."""
-        self.slope += NEWEST_SHARE * (late_slope(took_s / target_s) - self.slope)
+        self.slope += EWMA_WEIGHT * (lateness_slope(took_s / target_s) - self.slope)
 
     @property
     def weight(self) -> float:
         """Return what a delay of one target costs, as a share of an answer's worth."""
-        return min(1.0, DELAYED_IN_TURN * self.slope)
+        return min(1.0, DELAY_PROPAGATION * self.slope)
--- a/acaciacove/decisions/usual.py
+++ b/acaciacove/decisions/endpoint_baseline.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class Usual:
+class EndpointBaseline:
     """Requests per admitted slot, seconds of service, and slots of an endpoint."""
 
     load: float
--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -8,11 +8,11 @@
 from acaciacove.decisions.candidate import Candidate
 from acaciacove.decisions.decision import Decision
 from acaciacove.decisions.decision_kind import DecisionKind
+from acaciacove.decisions.endpoint_baseline import EndpointBaseline
 from acaciacove.decisions.endpoint_decision import EndpointDecision
 from acaciacove.decisions.endpoint_settings import EndpointSettings
 from acaciacove.decisions.endpoint_view import EndpointView
-from acaciacove.decisions.lost import Lost
-from acaciacove.decisions.usual import Usual
+from acaciacove.decisions.rejection_reason import RejectionReason
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.instance_status import InstanceStatus
@@ -21,9 +21,9 @@
 
 DEFAULT_SETTINGS = EndpointSettings()
 _REFUSALS = (
-    (Lost.LEAVING, Reason.LEAVING),
-    (Lost.INSTANCE_OUT, Reason.INSTANCE_OUT),
-    (Lost.ZONE_OUT, Reason.AVAILABILITY_ZONE_OUT),
+    (RejectionReason.LEAVING, Reason.LEAVING),
+    (RejectionReason.INSTANCE_OUT, Reason.INSTANCE_OUT),
+    (RejectionReason.ZONE_OUT, Reason.AVAILABILITY_ZONE_OUT),
 )
 
 
@@ -51,53 +51,53 @@
     lost = {
         instance.name: reason
         for instance in candidates
-        if (reason := _unusable(instance, fleet, excluded)) is not None
+        if (reason := _exclusion_reason(instance, fleet, excluded)) is not None
     }
     usable = [instance for instance in candidates if instance.name not in lost]
     if not usable:
         return _refusal(set(lost.values()))
-    usable = _thinned(usable, zone_shares or {}, rng)
-    homes = _homes(usable, session_endpoint, prefix_hash)
-    drawn = _drawn(usable, views, rng, homes, settings)
-    usual = _usual([views[i.name] for i in drawn if i.name in views], settings)
+    usable = _without_returning(usable, zone_shares or {}, rng)
+    preferred = _preferred_endpoints(usable, session_endpoint, prefix_hash)
+    sampled = _sample(usable, views, rng, preferred, settings)
+    usual = _baseline([views[i.name] for i in sampled if i.name in views], settings)
     scores = {
         i.name: _expected_s(
             views.get(i.name) or EndpointView(i),
             usual,
             now_s,
-            _affinity(i, views, homes, session_endpoint, prefix_hash, settings),
+            _affinity(i, views, preferred, session_endpoint, prefix_hash, settings),
             organisation,
             settings,
         )
-        for i in drawn
+        for i in sampled
     }
-    best = min(drawn, key=lambda i: scores[i.name])
-    decision = _decision(best, drawn, scores, lost)
+    best = min(sampled, key=lambda i: scores[i.name])
+    decision = _decision(best, sampled, scores, lost)
     return EndpointDecision(best, scores[best.name], decision)
 
 
-def _unusable(
+def _exclusion_reason(
     instance: Instance, fleet: FleetState, excluded: Collection[str]
-) -> Lost | None:
+) -> RejectionReason | None:
     if instance.status is not InstanceStatus.LIVE:
-        return Lost.LEAVING
+        return RejectionReason.LEAVING
     if instance.availability_zone in fleet.availability_zones_out:
-        return Lost.ZONE_OUT
+        return RejectionReason.ZONE_OUT
     if instance.name in fleet.instances_out:
-        return Lost.INSTANCE_OUT
+        return RejectionReason.INSTANCE_OUT
     if instance.name in excluded:
-        return Lost.EXCLUDED
+        return RejectionReason.EXCLUDED
     return None
 
 
-def _refusal(lost: set[Lost]) -> Refusal:
+def _refusal(lost: set[RejectionReason]) -> Refusal:
     for why, reason in _REFUSALS:
         if why in lost and len(lost) == 1:
             return Refusal(reason, not_run=True)
     return Refusal(Reason.NO_ENDPOINT, not_run=True)
 
 
-def _thinned(
+def _without_returning(
     usable: list[Instance], zone_shares: Mapping[str, float], rng: Random
 ) -> list[Instance]:
     """Leave out endpoints of a returning zone by chance, but never all endpoints."""
@@ -111,11 +111,11 @@
     return kept or usable
 
 
-def _drawn(
+def _sample(
     usable: list[Instance],
     views: Mapping[str, EndpointView],
     rng: Random,
-    homes: Collection[str],
+    preferred: Collection[str],
     settings: EndpointSettings,
 ) -> list[Instance]:
     """Draw a few at random, and those with affinity.
@@ -129,34 +129,38 @@
     all_ = sum(view.at_endpoint for view in known)
     exact = all_ > 0 and own >= settings.own_share * all_
     choices = settings.exact_choices if exact else settings.choices
-    drawn = rng.sample(usable, min(choices, len(usable)))
-    drawn += [i for i in usable if i.name in homes and i not in drawn]
-    return drawn
+    sampled = rng.sample(usable, min(choices, len(usable)))
+    sampled += [i for i in usable if i.name in preferred and i not in sampled]
+    return sampled
 
 
-def _homes(usable: list[Instance], session_endpoint: str, prefix_hash: str) -> set[str]:
+def _preferred_endpoints(
+    usable: list[Instance], session_endpoint: str, prefix_hash: str
+) -> set[str]:
     """Name the endpoints of the session and of the prompt's prefix.
 
     A prefix lives where rendezvous hashing puts it. Every entry computes the same
     place, so no cache event has to arrive for its requests to meet there.
     """
-    homes = {session_endpoint} if session_endpoint else set()
+    preferred = {session_endpoint} if session_endpoint else set()
     if prefix_hash:
-        homes.add(max(usable, key=lambda i: _rank(i.name, prefix_hash)).name)
-    return homes
+        preferred.add(max(usable, key=lambda i: _rank(i.name, prefix_hash)).name)
+    return preferred
 
 
 def _rank(name: str, prefix_hash: str) -> int:
     return crc32(f"{prefix_hash}/{name}".encode())
 
 
-def _usual(views: list[EndpointView], settings: EndpointSettings) -> Usual:
+def _baseline(
+    views: list[EndpointView], settings: EndpointSettings
+) -> EndpointBaseline:
     """Average the reports of the endpoints that are compared."""
     told = [v for v in views if v.load.limit]
     if not told:
-        return Usual(0.0, settings.default_service_s, settings.default_limit)
+        return EndpointBaseline(0.0, settings.default_service_s, settings.default_limit)
     services = [v.load.service_s for v in told if v.load.service_s]
-    return Usual(
+    return EndpointBaseline(
         sum(v.at_endpoint for v in told) / sum(v.load.limit for v in told),
         sum(services) / len(services) if services else settings.default_service_s,
         max(v.load.limit for v in told),
@@ -166,7 +170,7 @@
 def _affinity(
     instance: Instance,
     views: Mapping[str, EndpointView],
-    homes: Collection[str],
+    preferred: Collection[str],
     session_endpoint: str,
     prefix_hash: str,
     settings: EndpointSettings,
@@ -176,12 +180,12 @@
         return settings.session_gain
     view = views.get(instance.name)
     sent_there = view is not None and prefix_hash in view.prefixes
-    return settings.prefix_gain if sent_there or instance.name in homes else 0.0
+    return settings.prefix_gain if sent_there or instance.name in preferred else 0.0
 
 
 def _expected_s(
     view: EndpointView,
-    usual: Usual,
+    usual: EndpointBaseline,
     now_s: float,
     affinity: float,
     organisation: str,
@@ -210,13 +214,15 @@
 
 def _decision(
     best: Instance,
-    drawn: list[Instance],
+    sampled: list[Instance],
     scores: dict[str, float],
-    lost: dict[str, Lost],
+    lost: dict[str, RejectionReason],
 ) -> Decision:
     candidates = [Candidate(best.name, None, scores[best.name])]
     candidates += [
-        Candidate(i.name, Lost.BUSY, scores[i.name]) for i in drawn if i is not best
+        Candidate(i.name, RejectionReason.BUSY, scores[i.name])
+        for i in sampled
+        if i is not best
     ]
     candidates += [Candidate(name, why) for name, why in lost.items()]
     return Decision(DecisionKind.ENDPOINT, best.name, tuple(candidates), "least_time")
--- a/acaciacove/decisions/exploration.py
+++ b/acaciacove/decisions/exploration.py
@@ -39,7 +39,7 @@
     """Draw at most one of the trials."""
     left = rng.random()
     for trial in trials:
-        left -= trial.chance
+        left -= trial.probability
         if left < 0.0:
             return trial
     return None
@@ -63,8 +63,8 @@
 ) -> Trial:
     places = {version.id: place for place, version in enumerate(ladder)}
     if places[tried.id] < places[plan.start]:
-        return Trial((tried.id, plan.start), always_escalates=True, chance=chance)
+        return Trial((tried.id, plan.start), always_escalates=True, probability=chance)
     second = plan.escalate_to
     if second is None or places[second] <= places[tried.id]:
-        return Trial((tried.id,), always_escalates=False, chance=chance)
-    return Trial((tried.id, second), always_escalates=False, chance=chance)
+        return Trial((tried.id,), always_escalates=False, probability=chance)
+    return Trial((tried.id, second), always_escalates=False, probability=chance)
--- a/acaciacove/decisions/telling_threshold.py
+++ b/acaciacove/decisions/gossip_threshold.py
@@ -3,17 +3,17 @@
 from attrs import define
 
 # Shorter work ends before word of it changes anything.
-LEAST_WORK_S = 0.1
+MIN_WORK_S = 0.1
 # How much the threshold rises when the budget refuses something above it, and how
 # fast it comes down again.
-RISE = 1.25
+RISE_FACTOR = 1.25
 HALF_LIFE_S = 5.0
 # What is saved up for a burst.
-BURST_S = 2.0
+BURST_WINDOW_S = 2.0
 
 
 @define
-class TellingThreshold:
+class GossipThreshold:
     """Lets the longest work through that a budget of bytes allows.
 
     In a larger fleet each word goes to more receivers and costs more: then only
@@ -21,22 +21,22 @@
     """
 
     bytes_per_s: float
-    least_s: float = LEAST_WORK_S
-    left_bytes: float = 0.0
-    seen_s: float = 0.0
+    min_work_s: float = MIN_WORK_S
+    budget_bytes: float = 0.0
+    updated_s: float = 0.0
 
     def admits(self, work_s: float, cost_bytes: int, now_s: float) -> bool:
         """Tell whether to say it now; what is said may overdraw the budget."""
-        passed_s = now_s - self.seen_s
-        self.seen_s = now_s
-        earned_bytes = self.left_bytes + passed_s * self.bytes_per_s
-        self.left_bytes = min(BURST_S * self.bytes_per_s, earned_bytes)
-        fallen_s = self.least_s * 0.5 ** (passed_s / HALF_LIFE_S)
-        self.least_s = max(LEAST_WORK_S, fallen_s)
-        if work_s < self.least_s:
+        passed_s = now_s - self.updated_s
+        self.updated_s = now_s
+        earned_bytes = self.budget_bytes + passed_s * self.bytes_per_s
+        self.budget_bytes = min(BURST_WINDOW_S * self.bytes_per_s, earned_bytes)
+        fallen_s = self.min_work_s * 0.5 ** (passed_s / HALF_LIFE_S)
+        self.min_work_s = max(MIN_WORK_S, fallen_s)
+        if work_s < self.min_work_s:
             return False
-        if self.left_bytes <= 0.0:
-            self.least_s *= RISE
+        if self.budget_bytes <= 0.0:
+            self.min_work_s *= RISE_FACTOR
             return False
-        self.left_bytes -= cost_bytes
+        self.budget_bytes -= cost_bytes
         return True
--- a/acaciacove/decisions/hedging.py
+++ b/acaciacove/decisions/hedging.py
@@ -15,21 +15,21 @@
 class HedgeDelays:
     """First-token latencies per request class, and the delay before a hedge."""
 
-    _now: dict[str, DDSketch] = field(factory=dict)
-    _before: dict[str, DDSketch] = field(factory=dict)
+    _current: dict[str, DDSketch] = field(factory=dict)
+    _previous: dict[str, DDSketch] = field(factory=dict)
 
     def record(self, request_class: str, first_token_s: float) -> None:
         """Count the latency of a first attempt."""
-        sketch = self._now.get(request_class)
+        sketch = self._current.get(request_class)
         if sketch is None:
-            sketch = self._now[request_class] = DDSketch(SKETCH_ACCURACY)
+            sketch = self._current[request_class] = DDSketch(SKETCH_ACCURACY)
         sketch.add(first_token_s)
         if sketch.count >= ROTATE_SAMPLES:
-            self._before[request_class] = self._now.pop(request_class)
+            self._previous[request_class] = self._current.pop(request_class)
 
     def delay_s(self, request_class: str) -> float | None:
         """Return how long to wait for a first token; None while unknown."""
-        sketch = self._before.get(request_class) or self._now.get(request_class)
+        sketch = self._previous.get(request_class) or self._current.get(request_class)
         if sketch is None or sketch.count < MIN_SAMPLES:
             return None
         return float(sketch.get_quantile_value(HEDGE_QUANTILE))
--- a/acaciacove/decisions/plan_cache.py
+++ b/acaciacove/decisions/plan_cache.py
@@ -2,10 +2,10 @@
 
 from attrs import define, field
 
+from acaciacove.decisions.cached_plan import CachedPlan
 from acaciacove.decisions.cascade_planner import plan_cascade
 from acaciacove.decisions.choice_settings import ChoiceSettings
 from acaciacove.decisions.exploration import list_trials
-from acaciacove.decisions.plan_in_use import PlanInUse
 from acaciacove.decisions.quality_estimates import QualityEstimates
 from acaciacove.fleet.version import Version
 
@@ -18,7 +18,7 @@
 
     estimates: QualityEstimates
     settings: ChoiceSettings = ChoiceSettings()
-    _plans: dict[object, PlanInUse] = field(factory=dict)
+    _plans: dict[object, CachedPlan] = field(factory=dict)
 
     def plan(
         self,
@@ -26,7 +26,7 @@
         request_class: str,
         target: float,
         may_escalate: bool,
-    ) -> PlanInUse:
+    ) -> CachedPlan:
         """Return the plan in use, made anew after ``replan_ratings`` ratings."""
         key = (tuple(v.id for v in ladder), request_class, target, may_escalate)
         known = self._plans.get(key)
@@ -35,18 +35,18 @@
             return known
         if len(self._plans) >= MAX_PLANS:
             self._plans.clear()
-        self._plans[key] = self._planned(ladder, request_class, target, may_escalate)
+        self._plans[key] = self._make_plan(ladder, request_class, target, may_escalate)
         return self._plans[key]
 
-    def _planned(
+    def _make_plan(
         self,
         ladder: tuple[Version, ...],
         request_class: str,
         target: float,
         may_escalate: bool,
-    ) -> PlanInUse:
+    ) -> CachedPlan:
         plan = plan_cascade(ladder, self.estimates, request_class, target, may_escalate)
         trials = list_trials(ladder, plan, request_class, self.estimates, self.settings)
-        return PlanInUse(
+        return CachedPlan(
             plan, trials if may_escalate else (), self.estimates.generation
         )
--- a/acaciacove/decisions/ramp.py
+++ b/acaciacove/decisions/ramp.py
@@ -62,13 +62,13 @@
         """
         if started_at_s is not None and started_at_s < self._fell_back_at_s:
             return
-        if not ok or self._is_step(latency_s):
+        if not ok or self._is_latency_step(latency_s):
             self._bad_in_a_row += 1
             if self._bad_in_a_row >= self.settings.bad_in_a_row:
                 self.fall_back(now_s)
             return
         self._bad_in_a_row = 0
-        self._learn(latency_s)
+        self._update_baseline(latency_s)
         self._earned += self.settings.earned_per_request
         if not self.warm and self.limit(now_s) >= self.version.warm_bears:
             self.warm = True
@@ -79,7 +79,7 @@
         An endpoint that thrashes may take minutes to complete anything; the gap
         between tokens tells within a fraction of a second.
         """
-        if gap_s > self.settings.gap_steps * self._usual_s(gap_s):
+        if gap_s > self.settings.gap_steps * self._effective_baseline_s(gap_s):
             self.fall_back(now_s)
 
     def reported(self, load: Load, restarts: int, now_s: float) -> None:
@@ -97,16 +97,18 @@
         self._bad_in_a_row = 0
         self.warm = False
 
-    def _is_step(self, latency_s: float) -> bool:
-        return latency_s > self.settings.latency_step * self._usual_s(latency_s)
+    def _is_latency_step(self, latency_s: float) -> bool:
+        return latency_s > self.settings.latency_step * self._effective_baseline_s(
+            latency_s
+        )
 
-    def _usual_s(self, unknown_s: float) -> float:
+    def _effective_baseline_s(self, unknown_s: float) -> float:
         """Return the usual latency, or the given one while too little is known."""
         known = self._samples >= MIN_BASELINE_SAMPLES
         usual_s = self._baseline_s if known else unknown_s
         return max(usual_s, self.settings.least_usual_s)
 
-    def _learn(self, latency_s: float) -> None:
+    def _update_baseline(self, latency_s: float) -> None:
         weight = max(BASELINE_SMOOTHING, 1.0 / (self._samples + 1))
         self._baseline_s += weight * (latency_s - self._baseline_s)
         self._samples += 1
--- a/acaciacove/decisions/lost.py
+++ b/acaciacove/decisions/rejection_reason.py
@@ -3,7 +3,7 @@
 from enum import StrEnum
 
 
-class Lost(StrEnum):
+class RejectionReason(StrEnum):
     """Stable codes that the log line of a decision carries."""
 
     NOT_ALLOWED = "not_allowed"
--- a/acaciacove/decisions/request_class.py
+++ b/acaciacove/decisions/request_class.py
@@ -21,10 +21,10 @@
     """
     if api.kind is ApiKind.SERVICE:
         return SERVICE_CLASS
-    return f"{'batch' if batch else 'interactive'}-{_size(prompt_tokens)}"
+    return f"{'batch' if batch else 'interactive'}-{_size_class(prompt_tokens)}"
 
 
-def _size(prompt_tokens: int) -> str:
+def _size_class(prompt_tokens: int) -> str:
     if prompt_tokens < SHORT_PROMPT_TOKENS:
         return "short"
     if prompt_tokens < LONG_PROMPT_TOKENS:
--- a/acaciacove/decisions/request_quarantine.py
+++ b/acaciacove/decisions/request_quarantine.py
@@ -12,8 +12,8 @@
 from attrs import define, field
 
 from acaciacove.decisions.crash_evidence import CrashEvidence
-from acaciacove.decisions.request_standing import RequestStanding
-from acaciacove.decisions.trial_of_request import TrialOfRequest
+from acaciacove.decisions.request_status import RequestStatus
+from acaciacove.decisions.request_trial import RequestTrial
 from acaciacove.messages.request_verdict import (
     CLEARED,
     QUARANTINED,
@@ -21,17 +21,17 @@
     RequestVerdict,
 )
 
-SUSPICIOUS_CRASHES = 3
+MIN_CRASHES_TO_SUSPECT = 3
 # Tries of a suspected request, in case that one has no clear end.
 MAX_TRIALS = 2
 # How long others wait for the end of a try.
-TRIAL_S = 10.0
+TRIAL_TIMEOUT_S = 10.0
 # When the end of another's try is likely known.
-TRIAL_ENDS_S = 1.0
-QUARANTINE_S = 86_400.0
+TRIAL_RETRY_AFTER_S = 1.0
+QUARANTINE_DURATION_S = 86_400.0
 # Gateways that have not heard of it may still tell old crashes of a cleared request.
-CLEARED_S = 60.0
-MAX_HELD = 1024
+CLEARED_RETENTION_S = 60.0
+MAX_ENTRIES = 1024
 
 
 @define(eq=False)
@@ -43,7 +43,7 @@
     """
 
     evidence: CrashEvidence = field(factory=CrashEvidence)
-    _trials: OrderedDict[int, TrialOfRequest] = field(factory=OrderedDict)
+    _trials: OrderedDict[int, RequestTrial] = field(factory=OrderedDict)
     _quarantined: OrderedDict[int, float] = field(factory=OrderedDict)
     _cleared: OrderedDict[int, float] = field(factory=OrderedDict)
 
@@ -53,58 +53,58 @@
         return not (self.evidence or self._trials or self._quarantined)
 
     @property
-    def held(self) -> int:
+    def quarantined_count(self) -> int:
         """How many requests are in quarantine."""
         return len(self._quarantined)
 
-    def standing(self, fingerprint: int, now_s: float) -> RequestStanding:
+    def status(self, fingerprint: int, now_s: float) -> RequestStatus:
         """Return what the request may do now."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         if fingerprint in self._quarantined:
-            return RequestStanding.QUARANTINED
+            return RequestStatus.QUARANTINED
         trial = self._trials.get(fingerprint)
         if trial is None:
-            return RequestStanding.FREE
+            return RequestStatus.FREE
         if trial.until_s > now_s:
-            return RequestStanding.WAITING
+            return RequestStatus.WAITING
         if trial.number < MAX_TRIALS:
-            return RequestStanding.TRIAL
-        self._hold(fingerprint, now_s + QUARANTINE_S)
-        return RequestStanding.QUARANTINED
+            return RequestStatus.TRIAL
+        self._quarantine(fingerprint, now_s + QUARANTINE_DURATION_S)
+        return RequestStatus.QUARANTINED
 
     def retry_after_s(self, fingerprint: int, now_s: float) -> float:
         """Return when a request that is held back may do better."""
         until_s = self._quarantined.get(fingerprint)
-        return TRIAL_ENDS_S if until_s is None else until_s - now_s
+        return TRIAL_RETRY_AFTER_S if until_s is None else until_s - now_s
 
-    def note_crash(
+    def record_crash(
         self, endpoint: int, suspects: Iterable[int], now_s: float
     ) -> list[int]:
         """Note a crash; returns the suspects that were not known of it."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         new = self.evidence.add(
             endpoint, [each for each in suspects if each not in self._cleared]
         )
         for fingerprint in new:
-            self._judge(fingerprint, now_s)
+            self._update_suspicion(fingerprint, now_s)
         return new
 
-    def _judge(self, fingerprint: int, now_s: float) -> None:
+    def _update_suspicion(self, fingerprint: int, now_s: float) -> None:
         """Suspect a request, or quarantine one that crashed the endpoint of its try."""
         trial = self._trials.get(fingerprint)
         if trial is not None:
-            if self.evidence.was_at(trial.endpoint, fingerprint):
-                self._hold(fingerprint, now_s + QUARANTINE_S)
+            if self.evidence.was_in_flight_at(trial.endpoint, fingerprint):
+                self._quarantine(fingerprint, now_s + QUARANTINE_DURATION_S)
             return
-        crashes = self.evidence.crashes_under(fingerprint)
-        is_many = crashes >= SUSPICIOUS_CRASHES
-        if is_many and not self.evidence.is_explained(fingerprint):
+        crashes = self.evidence.crash_count(fingerprint)
+        is_many = crashes >= MIN_CRASHES_TO_SUSPECT
+        if is_many and not self.evidence.has_likelier_suspect(fingerprint):
             self.suspect(fingerprint)
 
-    def _hold(self, fingerprint: int, until_s: float) -> None:
+    def _quarantine(self, fingerprint: int, until_s: float) -> None:
         self._trials.pop(fingerprint, None)
         self._quarantined[fingerprint] = until_s
-        while len(self._quarantined) > MAX_HELD:
+        while len(self._quarantined) > MAX_ENTRIES:
             self._quarantined.popitem(last=False)
 
     def claim_trial(
@@ -115,12 +115,12 @@
         Others may claim it at the same moment: it is had by who still has it once
         word of theirs would have come.
         """
-        number = self._trials.get(fingerprint, TrialOfRequest()).number + 1
-        trial = TrialOfRequest(number, endpoint, claim, now_s + TRIAL_S)
-        self._try(fingerprint, trial)
-        return _verdict_of(fingerprint, trial)
+        number = self._trials.get(fingerprint, RequestTrial()).number + 1
+        trial = RequestTrial(number, endpoint, claim, now_s + TRIAL_TIMEOUT_S)
+        self._set_trial(fingerprint, trial)
+        return _trial_verdict(fingerprint, trial)
 
-    def has_trial(self, fingerprint: int, claim: int) -> bool:
+    def holds_trial(self, fingerprint: int, claim: int) -> bool:
         """Tell whether the try is still that of a claim."""
         trial = self._trials.get(fingerprint)
         return trial is not None and trial.claim == claim
@@ -128,91 +128,93 @@
     def suspect(self, fingerprint: int) -> None:
         """Hold a request back but for tries of one at a time."""
         if fingerprint not in self._trials and fingerprint not in self._quarantined:
-            self._try(fingerprint, TrialOfRequest())
+            self._set_trial(fingerprint, RequestTrial())
 
-    def _try(self, fingerprint: int, trial: TrialOfRequest) -> None:
+    def _set_trial(self, fingerprint: int, trial: RequestTrial) -> None:
         self._trials[fingerprint] = trial
-        while len(self._trials) > MAX_HELD:
+        while len(self._trials) > MAX_ENTRIES:
             self._trials.popitem(last=False)
 
     def clear(self, fingerprint: int, now_s: float) -> bool:
         """Note that the request was served; tells whether others should know."""
         held = self._trials.pop(fingerprint, None) is not None
         held = self._quarantined.pop(fingerprint, None) is not None or held
-        matters = held or self.evidence.crashes_under(fingerprint) > 1
-        self.evidence.forget(fingerprint)
+        matters = held or self.evidence.crash_count(fingerprint) > 1
+        self.evidence.discard(fingerprint)
         if matters:
-            self._note_cleared(fingerprint, now_s + CLEARED_S)
+            self._record_cleared(fingerprint, now_s + CLEARED_RETENTION_S)
         return matters
 
-    def take(self, verdict: RequestVerdict, now_s: float) -> bool:
+    def apply(self, verdict: RequestVerdict, now_s: float) -> bool:
         """Take another gateway's word; tells whether it was news."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         fingerprint = verdict.fingerprint
         if fingerprint in self._cleared:
             return False
         if verdict.kind == CLEARED:
-            return self._take_cleared(verdict, now_s)
+            return self._apply_cleared(verdict, now_s)
         if fingerprint in self._quarantined:
             return False
         if verdict.kind == QUARANTINED:
-            self._hold(fingerprint, now_s + min(verdict.left_s, QUARANTINE_S))
+            self._quarantine(
+                fingerprint, now_s + min(verdict.left_s, QUARANTINE_DURATION_S)
+            )
             return True
-        return self._take_trial(verdict, now_s)
+        return self._apply_trial(verdict, now_s)
 
-    def _take_cleared(self, verdict: RequestVerdict, now_s: float) -> bool:
+    def _apply_cleared(self, verdict: RequestVerdict, now_s: float) -> bool:
         if verdict.left_s <= 0:
             return False
         self.clear(verdict.fingerprint, now_s)
-        until_s = now_s + min(verdict.left_s, CLEARED_S)
-        self._note_cleared(verdict.fingerprint, until_s)
+        until_s = now_s + min(verdict.left_s, CLEARED_RETENTION_S)
+        self._record_cleared(verdict.fingerprint, until_s)
         return True
 
-    def _note_cleared(self, fingerprint: int, until_s: float) -> None:
+    def _record_cleared(self, fingerprint: int, until_s: float) -> None:
         self._cleared[fingerprint] = until_s
-        while len(self._cleared) > MAX_HELD:
+        while len(self._cleared) > MAX_ENTRIES:
             self._cleared.popitem(last=False)
 
-    def _take_trial(self, verdict: RequestVerdict, now_s: float) -> bool:
+    def _apply_trial(self, verdict: RequestVerdict, now_s: float) -> bool:
         known = self._trials.get(verdict.fingerprint)
-        if known is not None and _is_ahead(known, verdict):
+        if known is not None and _supersedes(known, verdict):
             return False
         if not verdict.trials:
             self.suspect(verdict.fingerprint)
             return True
-        trial = TrialOfRequest(
-            verdict.trials, verdict.endpoint, verdict.claim, now_s + TRIAL_S
+        trial = RequestTrial(
+            verdict.trials, verdict.endpoint, verdict.claim, now_s + TRIAL_TIMEOUT_S
         )
-        self._try(verdict.fingerprint, trial)
-        self._judge(verdict.fingerprint, now_s)
+        self._set_trial(verdict.fingerprint, trial)
+        self._update_suspicion(verdict.fingerprint, now_s)
         return True
 
     def verdicts(self, now_s: float) -> list[RequestVerdict]:
         """Return all that others should hold, too."""
-        self._forget_old(now_s)
+        self._remove_expired(now_s)
         found = [
             RequestVerdict(each, QUARANTINED, left_s=until_s - now_s)
             for each, until_s in self._quarantined.items()
         ]
-        found += [_verdict_of(each, trial) for each, trial in self._trials.items()]
+        found += [_trial_verdict(each, trial) for each, trial in self._trials.items()]
         return found + [
             RequestVerdict(each, CLEARED, left_s=until_s - now_s)
             for each, until_s in self._cleared.items()
         ]
 
-    def _forget_old(self, now_s: float) -> None:
+    def _remove_expired(self, now_s: float) -> None:
         for ends in (self._cleared, self._quarantined):
             while ends and next(iter(ends.values())) <= now_s:
                 ends.popitem(last=False)
 
 
-def _verdict_of(fingerprint: int, trial: TrialOfRequest) -> RequestVerdict:
+def _trial_verdict(fingerprint: int, trial: RequestTrial) -> RequestVerdict:
     return RequestVerdict(
         fingerprint, TRIED, trial.number, trial.endpoint, claim=trial.claim
     )
 
 
-def _is_ahead(known: TrialOfRequest, told: RequestVerdict) -> bool:
+def _supersedes(known: RequestTrial, told: RequestVerdict) -> bool:
     """Tell whether a trial is as good as another gateway's word, or better."""
     return known.number > told.trials or (
         known.number == told.trials and known.claim <= told.claim
--- a/acaciacove/decisions/request_standing.py
+++ b/acaciacove/decisions/request_status.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class RequestStanding(Enum):
+class RequestStatus(Enum):
     """What the crashes under a request let it do.
 
     FREE is any request's. One of TRIAL may be sent once, while nobody else tries
--- a/acaciacove/decisions/trial_of_request.py
+++ b/acaciacove/decisions/request_trial.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class TrialOfRequest:
+class RequestTrial:
     """The ``number``-th try; others wait for its end until ``until_s``.
 
     ``endpoint`` stands for the life of an endpoint that got it. Number 0 means that
--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -5,18 +5,18 @@
 from attrs import define, field
 
 from acaciacove.decisions.evidence_kind import EvidenceKind
-from acaciacove.decisions.evidence_test import (
+from acaciacove.decisions.exposures import FULL_SHARE, exposure
+from acaciacove.decisions.guard_action import GuardAction
+from acaciacove.decisions.guard_settings import GuardSettings
+from acaciacove.decisions.guard_verdict import GuardVerdict
+from acaciacove.decisions.sequential_test import (
     BUCKETS,
     evidence_above,
     evidence_below,
     score_bucket,
 )
-from acaciacove.decisions.exposures import FULL_SHARE, exposure
-from acaciacove.decisions.guard_action import GuardAction
-from acaciacove.decisions.guard_settings import GuardSettings
-from acaciacove.decisions.guard_verdict import GuardVerdict
 from acaciacove.decisions.shared_cell import CellName, SharedCell
-from acaciacove.decisions.shared_counts import DEFAULT_EXPORT, SharedCounts
+from acaciacove.decisions.shared_counts import DEFAULT_EXPORT_LIMIT, SharedCounts
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.version import Version
 from acaciacove.fleet.version_id import VersionId
@@ -41,7 +41,7 @@
     settings: GuardSettings = GuardSettings()
     window: int = 0
     _counts: SharedCounts = field(init=False)
-    _rows: dict[CellName, list[float]] = field(factory=dict)
+    _histograms: dict[CellName, list[float]] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
         """Count under the own name."""
@@ -62,11 +62,11 @@
         """
         self.turn_to(sequence // self.settings.window_ratings)
         bucket = str(score_bucket(score))
-        self._count(_name(str(self.window), fleet, version, kind, bucket))
-        total = _name(BASELINE, fleet, version, kind, ALL_BUCKETS)
+        self._count(_cell_name(str(self.window), fleet, version, kind, bucket))
+        total = _cell_name(BASELINE, fleet, version, kind, ALL_BUCKETS)
         if self._counts.tally(total).count < self.settings.baseline_scores:
             self._counts.add(total)
-            self._count(_name(BASELINE, fleet, version, kind, bucket))
+            self._count(_cell_name(BASELINE, fleet, version, kind, bucket))
 
     def verdict(self, fleet: FleetState, version: Version) -> GuardVerdict:
         """Weigh all evidence on a version; the caller records what is not KEEP.
@@ -87,7 +87,7 @@
             return GuardVerdict(GuardAction.KEEP, share)
         return GuardVerdict(GuardAction.WIDEN, earned, f"as good as {reference}")
 
-    def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
+    def export_delta(self, limit: int = DEFAULT_EXPORT_LIMIT) -> tuple[SharedCell, ...]:
         """Take up to ``limit`` counters to send to a peer."""
         return self._counts.export_delta(limit)
 
@@ -98,17 +98,17 @@
         oldest = self.window - self.settings.kept_windows
         wanted = [c for c in cells if c.name[0] == BASELINE or int(c.name[0]) > oldest]
         for name, grown in self._counts.merge(tuple(wanted)):
-            self._add_to_row(name, grown)
+            self._add_to_histogram(name, grown)
 
     def _count(self, name: CellName) -> None:
         self._counts.add(name)
-        self._add_to_row(name, 1.0)
+        self._add_to_histogram(name, 1.0)
 
-    def _add_to_row(self, name: CellName, count: float) -> None:
+    def _add_to_histogram(self, name: CellName, count: float) -> None:
         """Keep a histogram per window, version and kind beside the counters."""
         if name[-1] == ALL_BUCKETS:
             return
-        row = self._rows.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
+        row = self._histograms.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
         row[int(name[-1])] += count
 
     def turn_to(self, window: int) -> None:
@@ -122,9 +122,9 @@
             for name in self._counts.names()
             if name[0] != BASELINE and int(name[0]) < oldest
         }
-        self._counts.forget(past)
+        self._counts.remove(past)
         for name in past:
-            self._rows.pop(name[:-1], None)
+            self._histograms.pop(name[:-1], None)
 
     def _is_worse(
         self,
@@ -139,7 +139,7 @@
             return False
         needed = log(1.0 / self.settings.false_alarm)
         since = [0.0] * (BUCKETS + 1)
-        for window in self._kept():
+        for window in self._retained_windows():
             counts = self._histogram(str(window), fleet, version, kind)
             if not any(counts):
                 continue
@@ -167,14 +167,14 @@
         fleet: FleetState,
         version: VersionId,
         kind: EvidenceKind,
-        lately: bool,
+        is_recent: bool,
     ) -> float | None:
         """Return the mean to compare with; None while too little is known.
 
-        A version that still serves is taken as it is ``lately``, under the same
+        A version that still serves is taken as it is ``is_recent``, under the same
         requests as the new one; compared with itself, as it was at first.
         """
-        counts = self._lately(fleet, version, kind) if lately else []
+        counts = self._recent_histogram(fleet, version, kind) if is_recent else []
         if sum(counts) < self.settings.min_reference_scores:
             counts = self._histogram(BASELINE, fleet, version, kind)
         count = sum(counts)
@@ -182,17 +182,17 @@
             return None
         return sum(n * b / BUCKETS for b, n in enumerate(counts)) / count
 
-    def _lately(
+    def _recent_histogram(
         self, fleet: FleetState, version: VersionId, kind: EvidenceKind
     ) -> list[float]:
         """Sum the kept windows."""
         since = [0.0] * (BUCKETS + 1)
-        for window in self._kept():
+        for window in self._retained_windows():
             counts = self._histogram(str(window), fleet, version, kind)
             since = [a + b for a, b in zip(since, counts, strict=True)]
         return since
 
-    def _kept(self) -> range:
+    def _retained_windows(self) -> range:
         """Return the kept windows, newest first."""
         oldest = max(-1, self.window - self.settings.kept_windows)
         return range(self.window, oldest, -1)
@@ -200,11 +200,11 @@
     def _histogram(
         self, window: str, fleet: FleetState, version: VersionId, kind: EvidenceKind
     ) -> list[float]:
-        prefix = _name(window, fleet, version, kind, ALL_BUCKETS)[:-1]
-        return self._rows.get(prefix, _NO_SCORES)
+        prefix = _cell_name(window, fleet, version, kind, ALL_BUCKETS)[:-1]
+        return self._histograms.get(prefix, _NO_SCORES)
 
 
-def _name(
+def _cell_name(
     window: str, fleet: FleetState, version: VersionId, kind: EvidenceKind, bucket: str
 ) -> CellName:
     declared = str(fleet.declared_at.get(version, -1))
--- a/acaciacove/decisions/evidence_test.py
+++ b/acaciacove/decisions/sequential_test.py
@@ -3,7 +3,7 @@
 from math import exp, log
 
 BUCKETS = 10
-_BET_SIZES = (0.1, 0.25, 0.5, 0.75, 0.95)
+_BET_FRACTIONS = (0.1, 0.25, 0.5, 0.75, 0.95)
 _MIN_MEAN = 0.02
 
 
@@ -22,16 +22,16 @@
     depends on the counts alone, so entries that share counts agree.
     """
     largest = 1.0 / max(_MIN_MEAN, 1.0 - mean)
-    return _log_stake(counts, [(mean, size * largest) for size in _BET_SIZES])
+    return _log_wealth(counts, [(mean, size * largest) for size in _BET_FRACTIONS])
 
 
 def evidence_above(counts: list[float], mean: float) -> float:
     """Return the log odds against "the true mean is at most ``mean``"."""
     largest = 1.0 / max(_MIN_MEAN, mean)
-    return _log_stake(counts, [(mean, -size * largest) for size in _BET_SIZES])
+    return _log_wealth(counts, [(mean, -size * largest) for size in _BET_FRACTIONS])
 
 
-def _log_stake(counts: list[float], bets: list[tuple[float, float]]) -> float:
+def _log_wealth(counts: list[float], bets: list[tuple[float, float]]) -> float:
     """Return the log of the mean stake over several bet sizes."""
     logs = [_log_growth(counts, mean, bet) for mean, bet in bets]
     top = max(logs)
--- a/acaciacove/decisions/shared_counts.py
+++ b/acaciacove/decisions/shared_counts.py
@@ -5,7 +5,7 @@
 from acaciacove.decisions.shared_cell import CellName, SharedCell
 from acaciacove.decisions.tally import Tally
 
-DEFAULT_EXPORT = 32
+DEFAULT_EXPORT_LIMIT = 32
 
 
 @define
@@ -23,7 +23,7 @@
     _cells: dict[tuple[str, CellName], SharedCell] = field(factory=dict)
     _totals: dict[CellName, Tally] = field(factory=dict)
     _changed: dict[tuple[str, CellName], None] = field(factory=dict)
-    _rounds: list[tuple[str, CellName]] = field(factory=list)
+    _unsent_in_round: list[tuple[str, CellName]] = field(factory=list)
 
     def add(self, name: CellName, score: float = 0.0, count: float = 1.0) -> None:
         """Count ``count`` scores of the same value."""
@@ -42,15 +42,15 @@
         """Return the sum over all origins."""
         return self._totals.get(name, Tally())
 
-    def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
+    def export_delta(self, limit: int = DEFAULT_EXPORT_LIMIT) -> tuple[SharedCell, ...]:
         """Take up to ``limit`` cells to send to a peer."""
         keys = list(self._changed)[:limit]
         for key in keys:
             del self._changed[key]
-        if len(keys) < limit and not self._rounds:
-            self._rounds = list(self._cells)
-        while len(keys) < limit and self._rounds:
-            keys.append(self._rounds.pop())
+        if len(keys) < limit and not self._unsent_in_round:
+            self._unsent_in_round = list(self._cells)
+        while len(keys) < limit and self._unsent_in_round:
+            keys.append(self._unsent_in_round.pop())
         return tuple(self._cells[key] for key in keys if key in self._cells)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> list[tuple[CellName, float]]:
@@ -67,7 +67,7 @@
                 grown.append((cell.name, cell.count - before))
         return grown
 
-    def forget(self, names: set[CellName]) -> None:
+    def remove(self, names: set[CellName]) -> None:
         """Drop cells of withdrawn versions or past epochs."""
         for key in [key for key in self._cells if key[1] in names]:
             del self._cells[key]
--- a/acaciacove/decisions/subset.py
+++ b/acaciacove/decisions/subset.py
@@ -6,7 +6,7 @@
 from acaciacove.fleet.instance import Instance
 
 DEFAULT_SIZE = 24
-MIN_COVER = 2
+MIN_COVERAGE = 2
 
 
 def choose_subset(
@@ -22,7 +22,7 @@
     So every endpoint is picked by the same number of entries, give or take one,
     and an arrival or departure shifts ranks by one and changes an entry's set by an
     endpoint or so. With few entries the set grows until each endpoint is covered
-    ``MIN_COVER`` times.
+    ``MIN_COVERAGE`` times.
     """
     ranked_entries = sorted(set(entries) | {entry}, key=_hash_rank)
     place = ranked_entries.index(entry)
@@ -31,7 +31,7 @@
         members = [e for e in endpoints if e.availability_zone == zone]
         members.sort(key=lambda e: _hash_rank(e.name))
         share = round(size * len(members) / len(endpoints))
-        cover = -(-MIN_COVER * len(members) // len(ranked_entries))
+        cover = -(-MIN_COVERAGE * len(members) // len(ranked_entries))
         count = min(len(members), max(1, share, cover))
         first = place * len(members) // len(ranked_entries)
         picked += [members[(first + step) % len(members)] for step in range(count)]
--- a/acaciacove/decisions/trial.py
+++ b/acaciacove/decisions/trial.py
@@ -7,11 +7,11 @@
 
 @frozen
 class Trial:
-    """``ladder`` to use instead of the plan's, on a ``chance`` of the requests.
+    """``ladder`` to use instead of the plan's, on a ``probability`` of the requests.
 
     With ``always_escalates`` the first answer is only rated, never delivered.
     """
 
     ladder: tuple[VersionId, ...]
     always_escalates: bool
-    chance: float
+    probability: float
--- a/acaciacove/decisions/version_holders.py
+++ b/acaciacove/decisions/version_holders.py
@@ -10,7 +10,7 @@
 from acaciacove.state.rendezvous import partition_of, rank_owners
 
 MIN_HOLDERS = 2
-RANKS = 2**31
+HASH_PARTITIONS = 2**31
 
 
 def planned_versions(
@@ -28,13 +28,13 @@
     for version in fleet.versions.values():
         if version.replaces is None or not fleet.is_usable(version.id):
             continue
-        for name in _holders(fleet, version, version.replaces, held):
+        for name in _rollout_holders(fleet, version, version.replaces, held):
             held[name].add(version.id)
     listed = {e.name: set(e.versions) for e in endpoints}
     return {name: frozenset(held[name] - listed[name]) for name in held}
 
 
-def _holders(
+def _rollout_holders(
     fleet: FleetState,
     version: Version,
     replaced: VersionId,
@@ -44,5 +44,5 @@
     able = [name for name, versions in held.items() if replaced in versions]
     share = fleet.exposures.get(version.id, version.first_share)
     count = max(MIN_HOLDERS, ceil(share * len(able)))
-    rank = partition_of(str(version.id), RANKS)
+    rank = partition_of(str(version.id), HASH_PARTITIONS)
     return rank_owners(rank, able)[:count]
--- a/acaciacove/decisions/zone_moves.py
+++ b/acaciacove/decisions/zone_moves.py
@@ -4,7 +4,7 @@
 
 from acaciacove.fleet.fleet_state import FleetState
 
-RETURN_S = 30.0
+RETURN_RAMP_S = 30.0
 FIRST_SHARE = 0.1
 
 
@@ -12,12 +12,12 @@
 class ZoneMoves:
     """The share of its normal traffic that each availability zone gets.
 
-    A zone goes out at once. It returns over ``RETURN_S``: its endpoints' caches and
-    connections are cold, and a full share at once would make them the slowest. A
+    A zone goes out at once. It returns over ``RETURN_RAMP_S``: its endpoints' caches
+    and connections are cold, and a full share at once would make them the slowest. A
     zone that flaps starts over each time, so it cannot swing traffic to and fro.
     """
 
-    return_s: float = RETURN_S
+    return_s: float = RETURN_RAMP_S
     _returned_at_s: dict[str, float] = field(factory=dict)
     _out: frozenset[str] = frozenset()
 
--- a/acaciacove/explain/losses.py
+++ b/acaciacove/explain/losses.py
@@ -7,7 +7,7 @@
 
 from attrs import define, field
 
-from acaciacove.decisions.confidence_beliefs import ConfidenceBeliefs
+from acaciacove.decisions.confidence_calibration import ConfidenceCalibration
 from acaciacove.explain.log_line import LogLine
 from acaciacove.gateway.log_events import Event
 
@@ -90,7 +90,7 @@
         row.tokens_kept += tokens if is_kept else 0
         row.tokens_dropped += 0 if is_kept else tokens
         if is_kept and confidence is not None:
-            row.poor += 1.0 - ConfidenceBeliefs().good_share(confidence)
+            row.poor += 1.0 - ConfidenceCalibration().good_probability(confidence)
 
 
 def _loss(fields: dict[str, Any]) -> Loss | None:
--- a/acaciacove/gateway/admit.py
+++ b/acaciacove/gateway/admit.py
@@ -7,59 +7,59 @@
 from acaciacove.gateway.catalogue.service import Service
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.http.caller_request import CallerRequest
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.request_context import RequestContext
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
 # API keys are honoured up to this share of the time within which a revocation
 # must be in force; the rest covers what is already on its way to this process.
-KEY_SHARE = 0.9
+REVOCATION_AGE_SHARE = 0.9
 # While the newest decisions are older than this share of the time within which one is
 # in force, "there is no such route" and "there is no such key" may be false: the
 # decision that adds them may be missing.
-DOUBT_SHARE = 0.9
+STALE_AGE_SHARE = 0.9
 # When a caller may do better: after a start, the log's first answer is due; after
 # an outage of the log, its return.
-STARTING_RETRY_S = 0.5
-STALE_RETRY_S = 1.0
+STARTING_RETRY_AFTER_S = 0.5
+STALE_RETRY_AFTER_S = 1.0
 
 
-def admit(gateway: Gateway, request: CallerRequest) -> Work | Refusal:
+def admit(gateway: Gateway, request: CallerRequest) -> RequestContext | Refusal:
     """Find route, organisation and service of a request, or say why not."""
-    beliefs = gateway.beliefs
-    catalogue = beliefs.catalogue
-    if catalogue is None or not beliefs.is_usable:
+    view = gateway.view
+    catalogue = view.catalogue
+    if catalogue is None or not view.is_usable:
         return Refusal(
-            Reason.NOT_READY, True, "no catalogue is known yet", STARTING_RETRY_S
+            Reason.NOT_READY, True, "no catalogue is known yet", STARTING_RETRY_AFTER_S
         )
-    doubt_s = DOUBT_SHARE * gateway.settings.propagation_s
-    in_doubt = beliefs.confirmed_age_s > doubt_s
+    stale_after_s = STALE_AGE_SHARE * gateway.settings.propagation_s
+    is_stale = view.confirmed_age_s > stale_after_s
     route = catalogue.match(request.host, request.path)
     if route is None:
-        return _doubtful(in_doubt, Reason.UNKNOWN_API, "no route has this prefix")
+        return _refuse_unknown(is_stale, Reason.UNKNOWN_API, "no route has this prefix")
     organisation: Organisation | None = None
     if catalogue.has_organisations and not route.anonymous:
         key = request.hints.api_key
         organisation = catalogue.organisations.get(key or "")
         if organisation is None:
-            return _doubtful(in_doubt, Reason.BAD_TOKEN, "the key is not known")
+            return _refuse_unknown(is_stale, Reason.BAD_TOKEN, "the key is not known")
         if _keys_may_be_revoked(gateway):
             return Refusal(
                 Reason.STALE_REVISION,
                 True,
                 "revoked keys cannot be told from valid ones for now",
-                STALE_RETRY_S,
+                STALE_RETRY_AFTER_S,
             )
     service = _pick_service(gateway, route)
     if service is None:
         return Refusal(Reason.NO_ENDPOINT, True, "the route has no service", 1.0)
-    return _work(gateway, request, route, organisation, service)
+    return _build_context(gateway, request, route, organisation, service)
 
 
-def _doubtful(in_doubt: bool, reason: Reason, detail: str) -> Refusal:
+def _refuse_unknown(is_stale: bool, reason: Reason, detail: str) -> Refusal:
     """Say 503 instead of "there is none" while decisions may be missing."""
-    if in_doubt:
-        return Refusal(Reason.STALE_REVISION, True, detail, STALE_RETRY_S)
+    if is_stale:
+        return Refusal(Reason.STALE_REVISION, True, detail, STALE_RETRY_AFTER_S)
     return Refusal(reason, True, detail)
 
 
@@ -72,28 +72,28 @@
     """
     if not gateway.settings.revocation_strict:
         return False
-    limit_s = KEY_SHARE * gateway.settings.revocation_s
-    return gateway.beliefs.confirmed_age_s > limit_s
+    limit_s = REVOCATION_AGE_SHARE * gateway.settings.revocation_s
+    return gateway.view.confirmed_age_s > limit_s
 
 
 def _pick_service(gateway: Gateway, route: Route) -> Service | None:
     """Draw one of the route's services by weight."""
-    assert gateway.beliefs.catalogue is not None
+    assert gateway.view.catalogue is not None
     shares = [s for s in route.shares if s.weight > 0] or list(route.shares)
     if not shares:
         return None
     drawn = gateway.random.choices(shares, [s.weight or 1.0 for s in shares])[0]
-    services = gateway.beliefs.catalogue.services
+    services = gateway.view.catalogue.services
     return services.get(drawn.service) or Service(drawn.service, 0)
 
 
-def _work(
+def _build_context(
     gateway: Gateway,
     request: CallerRequest,
     route: Route,
     organisation: Organisation | None,
     service: Service,
-) -> Work:
+) -> RequestContext:
     hints = request.hints
     time_s = route.timeout_s
     if hints.deadline_s is not None:
@@ -104,13 +104,13 @@
         session = hints.session or shared
     now_s = asyncio.get_running_loop().time()
     gateway.budget(service.name).count_request(now_s)
-    return Work(
+    return RequestContext(
         request=request,
         route=route,
         service=service,
         organisation=organisation,
         session=session,
-        until_s=request.arrived_s + time_s,
+        deadline_s=request.arrived_s + time_s,
         model=hints.model,
         last_event_id=None,
     )
--- a/acaciacove/gateway/attempt.py
+++ b/acaciacove/gateway/attempt.py
@@ -10,88 +10,92 @@
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.exchange import Exchange
 from acaciacove.gateway.gateway import Gateway
-from acaciacove.gateway.head_seen import HeadSeen
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.errors import (
-    BadAnswerError,
     ConnectFailedError,
     ConnectionLostError,
+    InvalidResponseError,
 )
 from acaciacove.gateway.http.event_splitter import EventSplitter
 from acaciacove.gateway.http.front_connection import FrontConnection
+from acaciacove.gateway.http.response_head import ResponseHead
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.log_limit import log_limit
 from acaciacove.gateway.metric import Metric
 from acaciacove.gateway.quarantine.trial_taken_error import TrialTakenError
-from acaciacove.gateway.usable_endpoints import cold_part
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.response_summary import ResponseSummary
+from acaciacove.gateway.usable_endpoints import cold_share
 
 # Connections within a region are made in a few milliseconds; one that takes this
 # long goes to a machine that is gone.
 CONNECT_TIMEOUT_S = 0.4
 # Whole answers up to this size are read before they are passed on, which lets a
 # broken one be asked for again unnoticed; larger ones flow through.
-WHOLE_ANSWER_BYTES = 65_536
+MAX_BUFFERED_BYTES = 65_536
 # A first attempt that may be followed by another waits this many latency targets,
 # and at least this long, for the head of its answer.
-HEAD_WAIT_TARGETS = 1.5
-HEAD_WAIT_LEAST_S = 0.35
+HEAD_TIMEOUT_TARGETS = 1.5
+MIN_HEAD_TIMEOUT_S = 0.35
 # The same for the pause between two events of a stream that may be resumed.
-PAUSE_LIMIT_S = 2.5
+EVENT_TIMEOUT_S = 2.5
 SERVER_ERROR = 500
 
 
 async def attempt(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     state: EndpointState,
     front: FrontConnection,
-    may_follow: bool,
-    may_enlarge: bool,
+    may_retry: bool,
+    may_escalate: bool,
 ) -> AttemptOutcome:
     """Send the request to an endpoint and pass its answer on.
 
-    ``may_follow`` tells that another attempt could follow, ``may_enlarge`` that
+    ``may_retry`` tells that another attempt could follow, ``may_escalate`` that
     a doubtful answer could be asked of a larger model.
     """
-    exchange = Exchange(gateway, work, state)
+    exchange = Exchange(gateway, context, state)
     try:
-        with _counted(gateway, work, state):
-            with _reserved(gateway, work, state):
+        with _track_in_flight(gateway, context, state):
+            with _reserve_limits(gateway, context, state):
                 await exchange.open(CONNECT_TIMEOUT_S)
-                if work.on_trial:
-                    await gateway.guard.take_trial(work.fingerprint, state.endpoint)
-                _note_sent(gateway, work, state)
+                if context.on_trial:
+                    await gateway.guard.acquire_trial(
+                        context.fingerprint, state.endpoint
+                    )
+                _record_sent(gateway, context, state)
             exchange.send()
-            outcome = await _answer(
-                gateway, work, exchange, front, may_follow, may_enlarge
+            outcome = await _process_response(
+                gateway, context, exchange, front, may_retry, may_escalate
             )
     except TrialTakenError:
         outcome = AttemptOutcome.NOT_SENT
     except ConnectFailedError as error:
         outcome = AttemptOutcome.NOT_SENT
-        _note_failure(gateway, state, outcome, str(error))
-    except (ConnectionLostError, BadAnswerError) as error:
-        broken = work.events_delivered
+        _record_failure(gateway, state, outcome, str(error))
+    except (ConnectionLostError, InvalidResponseError) as error:
+        broken = context.events_delivered
         outcome = AttemptOutcome.BROKEN if broken else AttemptOutcome.LOST
-        _note_failure(gateway, state, outcome, str(error))
+        _record_failure(gateway, state, outcome, str(error))
         if exchange.sent:
-            gateway.crash_watch.note_lost(state, work.fingerprint)
+            gateway.crash_detector.record_lost_request(state, context.fingerprint)
     except TimeoutError:
-        broken = work.events_delivered
-        outcome = AttemptOutcome.BROKEN if broken else AttemptOutcome.SILENT
-        _note_failure(gateway, state, outcome, "silence")
+        broken = context.events_delivered
+        outcome = AttemptOutcome.BROKEN if broken else AttemptOutcome.TIMED_OUT
+        _record_failure(gateway, state, outcome, "silence")
     finally:
         exchange.close()
     if exchange.sent and outcome is not AttemptOutcome.NOT_RUN:
-        work.may_have_run = True
+        context.may_have_run = True
     return outcome
 
 
 @contextmanager
-def _counted(gateway: Gateway, work: Work, state: EndpointState) -> Iterator[None]:
+def _track_in_flight(
+    gateway: Gateway, context: RequestContext, state: EndpointState
+) -> Iterator[None]:
     """Count the request at the endpoint, and at the old version of a roll-out."""
-    progress = gateway.rollouts.get(work.service.name)
+    progress = gateway.rollouts.get(context.service.name)
     is_old = progress is not None and state.endpoint.version != progress.order.target
     state.load.in_flight += 1
     if progress is not None and is_old:
@@ -105,43 +109,47 @@
 
 
 @contextmanager
-def _reserved(gateway: Gateway, work: Work, state: EndpointState) -> Iterator[None]:
+def _reserve_limits(
+    gateway: Gateway, context: RequestContext, state: EndpointState
+) -> Iterator[None]:
     """Keep the request's place in the limits while its connection is made."""
-    progress = gateway.rollouts.get(work.service.name)
+    progress = gateway.rollouts.get(context.service.name)
     is_target = progress is not None and state.endpoint.version == progress.order.target
-    state.cold.reserve()
-    state.limit.reserve()
+    state.cold_limiter.reserve()
+    state.stated_limit.reserve()
     if progress is not None and is_target:
         progress.reserved_target += 1
     try:
         yield
     finally:
-        state.cold.release()
-        state.limit.release()
+        state.cold_limiter.release()
+        state.stated_limit.release()
         if progress is not None and is_target:
             progress.reserved_target -= 1
 
 
-def _note_sent(gateway: Gateway, work: Work, state: EndpointState) -> None:
+def _record_sent(
+    gateway: Gateway, context: RequestContext, state: EndpointState
+) -> None:
     now_s = asyncio.get_running_loop().time()
-    work.sent += 1
-    work.tried.add(state.endpoint.instance)
-    work.trail.append(f"{state.endpoint.instance}@{state.endpoint.version}")
-    service = work.service.name
-    gateway.note_sent(service, now_s)
-    state.limit.count(now_s)
-    if cold_part(gateway, work, state, now_s) is not None:
-        state.cold.count(now_s)
+    context.sent += 1
+    context.tried_instances.add(state.endpoint.instance)
+    context.trail.append(f"{state.endpoint.instance}@{state.endpoint.version}")
+    service = context.service.name
+    gateway.record_sent(service, now_s)
+    state.stated_limit.count(now_s)
+    if cold_share(gateway, context, state, now_s) is not None:
+        state.cold_limiter.count(now_s)
     progress = gateway.rollouts.get(service)
     if progress is not None:
         progress.sent_all += 1
         if state.endpoint.version == progress.order.target:
             progress.sent_target += 1
-    if work.session is not None:
-        gateway.sessions.put(service, work.session, state.endpoint.version, now_s)
+    if context.session is not None:
+        gateway.sessions.put(service, context.session, state.endpoint.version, now_s)
 
 
-def _note_failure(
+def _record_failure(
     gateway: Gateway, state: EndpointState, outcome: AttemptOutcome, detail: str
 ) -> None:
     now_s = asyncio.get_running_loop().time()
@@ -161,133 +169,139 @@
         )
 
 
-async def _answer(
+async def _process_response(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     exchange: Exchange,
     front: FrontConnection,
-    may_follow: bool,
-    may_enlarge: bool,
+    may_retry: bool,
+    may_escalate: bool,
 ) -> AttemptOutcome:
     """Read the head and decide what becomes of the answer."""
-    async with asyncio.timeout(_head_wait_s(work, may_follow)):
+    async with asyncio.timeout(_head_timeout_s(context, may_retry)):
         head = await exchange.read_head()
     state = exchange.state
     now_s = asyncio.get_running_loop().time()
     if head.load is not None:
         running, waiting, _ = head.load
-        state.load.report(running, waiting, now_s)
+        state.load.apply_report(running, waiting, now_s)
     if not head.misdirected:
-        _note_limit(gateway, exchange, head, now_s)
+        _update_limit(gateway, exchange, head, now_s)
     assert exchange.connection is not None
     if head.idle_timeout_s is not None:
         exchange.connection.idle_timeout_s = head.idle_timeout_s
-    work.heads.append(_head_seen(exchange, head, now_s))
+    context.responses.append(_summarise_response(exchange, head, now_s))
     if head.is_success:
-        exchange.note_first_piece(now_s)
+        exchange.record_first_chunk(now_s)
     if head.not_run:
-        await exchange.read_whole(WHOLE_ANSWER_BYTES)
+        await exchange.read_body(MAX_BUFFERED_BYTES)
         # Refusals come at once and leave nothing under way: an endpoint that refuses
         # everything would look idle, and get every request first.
-        work.refused_by.add(state.endpoint.instance)
-        _note_failure(gateway, state, AttemptOutcome.NOT_RUN, "refused")
+        context.refused_by.add(state.endpoint.instance)
+        _record_failure(gateway, state, AttemptOutcome.NOT_RUN, "refused")
         return AttemptOutcome.NOT_RUN
-    if not head.is_success or not head.signed or head.encoded:
-        return await _failure(gateway, work, exchange, head)
-    told = learn_confidence(gateway, work, state, head)
-    if told is not None and may_enlarge:
-        work.next_model = choose_next_model(gateway, work, told, now_s)
-    if work.next_model is not None:
-        _note_answer(gateway, exchange, False, now_s - exchange.began_s)
-        gateway.metrics.count(Metric.CASCADE, _size_of(work), "no")
-        return AttemptOutcome.UNSURE
-    if work.route.repetition is Repetition.STREAMING:
-        return await _stream(gateway, work, exchange, head, front, may_follow)
-    return await _whole(gateway, work, exchange, head, front)
-
-
-def _note_limit(
-    gateway: Gateway, exchange: Exchange, head: AnswerHead, now_s: float
+    if not head.is_success or not head.has_receipt or head.encoded:
+        return await _read_failure(gateway, context, exchange, head)
+    told = learn_confidence(gateway, context, state, head)
+    if told is not None and may_escalate:
+        context.next_model = choose_next_model(gateway, context, told, now_s)
+    if context.next_model is not None:
+        _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
+        gateway.metrics.count(Metric.CASCADE, _size_label(context), "no")
+        return AttemptOutcome.LOW_CONFIDENCE
+    if context.route.repetition is Repetition.STREAMING:
+        return await _forward_stream(gateway, context, exchange, head, front, may_retry)
+    return await _forward_buffered(gateway, context, exchange, head, front)
+
+
+def _update_limit(
+    gateway: Gateway, exchange: Exchange, head: ResponseHead, now_s: float
 ) -> None:
     """Take the endpoint's word on how many requests it takes."""
     state = exchange.state
-    if state.limit.hear(head.rate_limit_per_s, exchange.began_s, now_s):
-        log_limit(gateway.log, state, told=False)
-        gateway.tell_limit(state)
+    if state.stated_limit.apply_response(
+        head.rate_limit_per_s, exchange.sent_at_s, now_s
+    ):
+        log_limit(gateway.log, state, from_peer=False)
+        gateway.gossip_limit(state)
 
 
-def _head_seen(exchange: Exchange, head: AnswerHead, now_s: float) -> HeadSeen:
-    return HeadSeen(
+def _summarise_response(
+    exchange: Exchange, head: ResponseHead, now_s: float
+) -> ResponseSummary:
+    return ResponseSummary(
         endpoint=exchange.state.endpoint.instance,
-        model=exchange.work.model,
+        model=exchange.context.model,
         status=head.status,
         confidence=head.confidence,
-        took_s=now_s - exchange.began_s,
+        head_latency_s=now_s - exchange.sent_at_s,
         predicted_s=exchange.predicted_s,
     )
 
 
-def _head_wait_s(work: Work, may_follow: bool) -> float | None:
+def _head_timeout_s(context: RequestContext, may_retry: bool) -> float | None:
     """Bound the silence of an endpoint when another could still serve."""
-    if not may_follow or not work.route.may_repeat:
+    if not may_retry or not context.route.may_repeat:
         return None
-    return max(HEAD_WAIT_LEAST_S, HEAD_WAIT_TARGETS * work.route.latency_target_s)
+    return max(
+        MIN_HEAD_TIMEOUT_S, HEAD_TIMEOUT_TARGETS * context.route.latency_target_s
+    )
 
 
-def _note_answer(
-    gateway: Gateway, exchange: Exchange, failed: bool, first_piece_s: float | None
+def _record_result(
+    gateway: Gateway, exchange: Exchange, failed: bool, first_chunk_s: float | None
 ) -> None:
     """Count an answer for the endpoint's health and for a roll-out's evidence."""
     state = exchange.state
     if failed:
-        _note_failure(gateway, state, AttemptOutcome.FAILED, "failure answer")
+        _record_failure(gateway, state, AttemptOutcome.FAILED, "failure answer")
     else:
         state.health.count_success()
-    exchange.count_evidence(failed, first_piece_s)
+    exchange.record_evidence(failed, first_chunk_s)
 
 
-async def _failure(
-    gateway: Gateway, work: Work, exchange: Exchange, head: AnswerHead
+async def _read_failure(
+    gateway: Gateway, context: RequestContext, exchange: Exchange, head: ResponseHead
 ) -> AttemptOutcome:
     """Keep a complete failure of an endpoint; it may become the final answer."""
-    is_fault = head.status >= SERVER_ERROR or head.is_success
-    if is_fault:
-        _note_answer(gateway, exchange, True, None)
-    body = await exchange.read_whole(WHOLE_ANSWER_BYTES)
+    is_endpoint_failure = head.status >= SERVER_ERROR or head.is_success
+    if is_endpoint_failure:
+        _record_result(gateway, exchange, True, None)
+    body = await exchange.read_body(MAX_BUFFERED_BYTES)
     if body is None or head.is_success:
         return AttemptOutcome.LOST
-    work.kept_failure = (head, body)
+    context.last_failure = (head, body)
     return AttemptOutcome.FAILED
 
 
-async def _whole(
+async def _forward_buffered(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
     front: FrontConnection,
 ) -> AttemptOutcome:
     """Pass a whole answer on once all of it is here."""
-    body = await exchange.read_whole(WHOLE_ANSWER_BYTES)
+    body = await exchange.read_body(MAX_BUFFERED_BYTES)
     now_s = asyncio.get_running_loop().time()
     if body is None:
-        raise BadAnswerError("the answer is larger than this gateway passes on")
-    _note_answer(gateway, exchange, False, now_s - exchange.began_s)
-    work.first_piece_s = now_s
+        raise InvalidResponseError("the answer is larger than this gateway passes on")
+    _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
+    context.first_chunk_s = now_s
     exchange.close()
-    front.start(head.status, head.reason, list(head.headers))
+    front.start_response(head.status, head.reason, list(head.headers))
     await front.write(body)
-    front.finish()
+    front.finish_response()
     return AttemptOutcome.DELIVERED
 
 
-async def _stream(
+async def _forward_stream(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     exchange: Exchange,
-    head: AnswerHead,
+    head: ResponseHead,
     front: FrontConnection,
-    may_follow: bool,
+    may_retry: bool,
 ) -> AttemptOutcome:
     """Pass events on as they come, whole ones only.
 
@@ -295,49 +309,49 @@
     breaks before it can still be asked for elsewhere unnoticed.
     """
     splitter = EventSplitter()
-    may_resume = may_follow and work.route.may_repeat
+    may_resume = may_retry and context.route.may_repeat
     while True:
-        async with asyncio.timeout(PAUSE_LIMIT_S if may_resume else None):
-            data = await exchange.next_event()
+        async with asyncio.timeout(EVENT_TIMEOUT_S if may_resume else None):
+            data = await exchange.next_data()
         if data is None:
             break
         whole = splitter.push(data)
         if not whole:
             continue
-        if not work.events_delivered:
+        if not context.events_delivered:
             now_s = asyncio.get_running_loop().time()
-            work.first_piece_s = now_s
-            waited_s = now_s - work.request.arrived_s
-            target_s = work.route.latency_target_s
-            gateway.delay_cost(work.service.name).learn(waited_s, target_s)
-            _note_answer(gateway, exchange, False, now_s - exchange.began_s)
-            _note_size(gateway, work)
+            context.first_chunk_s = now_s
+            waited_s = now_s - context.request.arrived_s
+            target_s = context.route.latency_target_s
+            gateway.delay_cost(context.service.name).learn(waited_s, target_s)
+            _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
+            _count_model_size(gateway, context)
             _start_stream(front, head)
-            work.events_delivered = True
+            context.events_delivered = True
         await front.write(whole)
-        work.last_event_id = splitter.last_id or work.last_event_id
-    if not work.events_delivered:
+        context.last_event_id = splitter.last_id or context.last_event_id
+    if not context.events_delivered:
         _start_stream(front, head)
-        work.events_delivered = True
+        context.events_delivered = True
     if splitter.rest:
         await front.write(splitter.rest)
-    front.finish()
+    front.finish_response()
     return AttemptOutcome.DELIVERED
 
 
-def _note_size(gateway: Gateway, work: Work) -> None:
+def _count_model_size(gateway: Gateway, context: RequestContext) -> None:
     """Count an answer of a model size that its caller gets."""
-    if work.route.model_sizes:
-        gateway.metrics.count(Metric.CASCADE, _size_of(work), "yes")
+    if context.route.model_sizes:
+        gateway.metrics.count(Metric.CASCADE, _size_label(context), "yes")
 
 
-def _size_of(work: Work) -> str:
+def _size_label(context: RequestContext) -> str:
     """Return the place of the model among the route's sizes, 0 the smallest."""
-    sizes = work.route.model_sizes
-    return str(sizes.index(work.model)) if work.model in sizes else "caller's"
+    sizes = context.route.model_sizes
+    return str(sizes.index(context.model)) if context.model in sizes else "caller's"
 
 
-def _start_stream(front: FrontConnection, head: AnswerHead) -> None:
+def _start_stream(front: FrontConnection, head: ResponseHead) -> None:
     """Send the head; the stream's length is left open, as it may be resumed."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
-    front.start(head.status, head.reason, headers)
+    front.start_response(head.status, head.reason, headers)
--- a/acaciacove/gateway/attempt_outcome.py
+++ b/acaciacove/gateway/attempt_outcome.py
@@ -8,9 +8,9 @@
 
     ``DELIVERED``: the caller has the whole answer. ``NOT_SENT``: no byte left.
     ``NOT_RUN``: the endpoint says so. ``FAILED``: a complete answer that tells
-    a failure. ``LOST``: it may have run. ``UNSURE``: a small model doubts its
+    a failure. ``LOST``: it may have run. ``LOW_CONFIDENCE``: a small model doubts its
     answer, of which the caller has nothing. ``BROKEN``: part of a stream has
-    been delivered. ``SILENT``: no head came in the time for one attempt.
+    been delivered. ``TIMED_OUT``: no head came in the time for one attempt.
     """
 
     DELIVERED = "delivered"
@@ -18,6 +18,6 @@
     NOT_RUN = "not_run"
     FAILED = "failed"
     LOST = "lost"
-    UNSURE = "unsure"
+    LOW_CONFIDENCE = "unsure"
     BROKEN = "broken"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
--- a/acaciacove/gateway/catalogue/endpoint.py
+++ b/acaciacove/gateway/catalogue/endpoint.py
@@ -7,22 +7,22 @@
 class Endpoint:
     """A running instance of a service.
 
-    ``generation`` names one life of the endpoint: a restart, also under the
+    ``incarnation`` names one life of the endpoint: a restart, also under the
     same ``instance``, is another one. ``cold_until_s`` is on the runtime's clock.
     """
 
     instance: str
-    generation: str
+    incarnation: str
     service: str
     host: str
     port: int
     availability_zone: str
     version: str
     slots: int
-    leaving: bool
+    draining: bool
     cold_until_s: float
 
     @property
     def key(self) -> tuple[str, str]:
         """The identity of this life of the endpoint."""
-        return (self.instance, self.generation)
+        return (self.instance, self.incarnation)
--- a/acaciacove/gateway/choice/cold_limiter.py
+++ b/acaciacove/gateway/choice/cold_limiter.py
@@ -1,6 +1,6 @@
 """How many requests a second a cold endpoint gets from this gateway."""
 
-from acaciacove.gateway.choice.sliding_count import SlidingCount
+from acaciacove.gateway.choice.sliding_window_counter import SlidingWindowCounter
 from acaciacove.gateway.choice.stable_hash import stable_hash
 
 WINDOW_S = 1.0
@@ -19,12 +19,12 @@
 
     def __init__(self) -> None:
         """Begin without sent requests."""
-        self._sent = SlidingCount(WINDOW_S + WINDOW_MARGIN_S)
+        self._sent = SlidingWindowCounter(WINDOW_S + WINDOW_MARGIN_S)
         self._reserved = 0
 
-    def allows(self, now_s: float, part: int) -> bool:
+    def allows(self, now_s: float, share: int) -> bool:
         """Tell whether one more request may be sent now."""
-        return self._sent.total(now_s) + self._reserved + 1 <= part
+        return self._sent.total(now_s) + self._reserved + 1 <= share
 
     def reserve(self) -> None:
         """Keep a place for a request that has been chosen and is not sent yet.
@@ -43,13 +43,13 @@
         self._sent.add(now_s)
 
 
-def own_part(
+def gateway_share(
     limit: float, endpoint: str, gateway: str, gateways: frozenset[str]
 ) -> int:
     """Return how many requests a second ``gateway`` may send to ``endpoint``."""
-    everyone = gateways | {gateway}
-    whole = int(limit // len(everyone))
+    all_gateways = gateways | {gateway}
+    whole = int(limit // len(all_gateways))
     if whole >= 1:
         return whole
-    ranked = sorted(everyone, key=lambda name: stable_hash(f"{endpoint}/{name}"))
+    ranked = sorted(all_gateways, key=lambda name: stable_hash(f"{endpoint}/{name}"))
     return 1 if ranked.index(gateway) < int(limit) else 0
--- a/acaciacove/gateway/choice/limit_share.py
+++ b/acaciacove/gateway/choice/limit_share.py
@@ -5,9 +5,9 @@
 
 @define(eq=False)
 class LimitShare:
-    """``own`` of ``total`` requests among ``gateways``; last checked ``checked_s``."""
+    """``allotted`` of ``total`` requests among ``gateways``, as of ``checked_s``."""
 
     total: int = -1
-    own: int = 0
+    allotted: int = 0
     gateways: frozenset[str] = frozenset()
     checked_s: float = float("-inf")
--- a/acaciacove/gateway/choice/weigh_endpoint.py
+++ b/acaciacove/gateway/choice/prefix_affinity.py
@@ -1,16 +1,16 @@
 """What one endpoint would have to read for a request."""
 
 from acaciacove.gateway.choice.prompt import Prompt
-from acaciacove.gateway.choice.stable_hash import mixed, part_key, stable_hash
+from acaciacove.gateway.choice.stable_hash import mix_bits, part_key, stable_hash
 from acaciacove.gateway.endpoint_state import EndpointState
 
 
-def shared_keys(prompt: Prompt, model: str | None) -> tuple[int, ...]:
+def prefix_keys(prompt: Prompt, model: str | None) -> tuple[int, ...]:
     """Return the keys of a prompt's shared parts, as a model reads them."""
     return tuple(part_key(model, part) for part, _ in prompt.parts[:-1])
 
 
-def unread_tokens(
+def uncached_tokens(
     state: EndpointState, prompt: Prompt, keys: tuple[int, ...], home_share: float
 ) -> float:
     """Return the tokens of a prompt that the endpoint does not hold.
@@ -21,7 +21,7 @@
     unread = 0.0
     held = True
     for key, (_, tokens) in zip(keys, prompt.parts, strict=False):
-        held = held and state.holds(key)
+        held = held and state.is_cached(key)
         if not held:
             unread += tokens * (1.0 - home_share)
     if prompt.parts:
@@ -29,10 +29,12 @@
     return unread
 
 
-def home_of(key: str, model: str | None, states: list[EndpointState]) -> EndpointState:
+def preferred_endpoint(
+    key: str, model: str | None, states: list[EndpointState]
+) -> EndpointState:
     """Return the endpoint that all gateways prefer for a shared part.
 
     Rendezvous hashing: ``states`` may come in any order, and must not be empty.
     """
     number = int.from_bytes(stable_hash(f"{key}/{model}"))
-    return max(states, key=lambda state: mixed(state.rank ^ number))
+    return max(states, key=lambda state: mix_bits(state.instance_hash ^ number))
--- a/acaciacove/gateway/choice/retry_budget.py
+++ b/acaciacove/gateway/choice/retry_budget.py
@@ -1,8 +1,8 @@
 """How many requests may be sent a second time, summed over all gateways."""
 
-from acaciacove.gateway.choice.sliding_count import SlidingCount
+from acaciacove.gateway.choice.sliding_window_counter import SlidingWindowCounter
 
-COUNT_STEP_S = 0.05
+BUCKET_S = 0.05
 
 
 class RetryBudget:
@@ -18,10 +18,10 @@
         """Begin without requests; ``ratio`` and ``extra`` are those to keep to."""
         self._ratio = ratio
         self._extra = extra
-        self._requests = SlidingCount(window_s, COUNT_STEP_S)
-        self._repeats = SlidingCount(window_s, COUNT_STEP_S)
+        self._requests = SlidingWindowCounter(window_s, BUCKET_S)
+        self._retries = SlidingWindowCounter(window_s, BUCKET_S)
 
-    def keep_to(self, ratio: float, extra: float) -> None:
+    def set_bounds(self, ratio: float, extra: float) -> None:
         """Take new bounds; what was counted stays counted."""
         self._ratio = ratio
         self._extra = extra
@@ -30,14 +30,14 @@
         """Count a caller's request for the service."""
         self._requests.add(now_s)
 
-    def left(self, now_s: float, gateways: int) -> float:
+    def remaining(self, now_s: float, gateways: int) -> float:
         """Return how many repeats may still be sent now."""
         allowed = self._ratio * self._requests.total(now_s) + self._extra / gateways
-        return allowed - self._repeats.total(now_s)
+        return allowed - self._retries.total(now_s)
 
-    def take(self, now_s: float, gateways: int) -> bool:
+    def consume(self, now_s: float, gateways: int) -> bool:
         """Use one repeat; false when there is none."""
-        if self.left(now_s, gateways) < 1.0:
+        if self.remaining(now_s, gateways) < 1.0:
             return False
-        self._repeats.add(now_s)
+        self._retries.add(now_s)
         return True
--- a/acaciacove/gateway/choice/session_versions.py
+++ b/acaciacove/gateway/choice/session_versions.py
@@ -9,24 +9,24 @@
 
 # A session's requests reach other gateways too, so one that has been idle here may
 # be alive: it is remembered for this many lives.
-REMEMBERED_LIVES = 4.0
+RETAINED_LIFETIMES = 4.0
 
 
 class SessionVersions:
     """Remembers the version of each session that may still be alive.
 
-    ``life_s`` is how long a session is idle before it has ended.
+    ``lifetime_s`` is how long a session is idle before it has ended.
     """
 
-    def __init__(self, life_s: float) -> None:
+    def __init__(self, lifetime_s: float) -> None:
         """Begin without sessions."""
-        self.life_s = life_s
+        self.lifetime_s = lifetime_s
         self._sessions: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
     def get(self, service: str, session: str, now_s: float) -> str | None:
         """Return the version that the session is on."""
         known = self._sessions.get((service, session))
-        if known is None or now_s - known[1] > REMEMBERED_LIVES * self.life_s:
+        if known is None or now_s - known[1] > RETAINED_LIFETIMES * self.lifetime_s:
             return None
         return known[0]
 
--- a/acaciacove/gateway/choice/stated_limit.py
+++ b/acaciacove/gateway/choice/stated_limit.py
@@ -4,15 +4,15 @@
 
 # Over which time a gateway keeps to its share; longer for a rate so low that not even
 # one request falls into it.
-SHORTEST_WINDOW_S = 4.0
-LONGEST_WINDOW_S = 20.0
+MIN_WINDOW_S = 4.0
+MAX_WINDOW_S = 20.0
 # A request is counted where it arrives: some take longer on the way than others.
 WINDOW_MARGIN_S = 0.15
 # A limit that neither an answer nor another gateway has confirmed for this long is
 # forgotten: the endpoint may have lifted it while nobody asked.
-LIFE_S = 30.0
+LIMIT_EXPIRY_S = 30.0
 # A change of the rate by less is no news.
-NEWS_SHARE = 0.2
+MIN_CHANGE_SHARE = 0.2
 # Rounding of a product must not cost a request.
 ROUNDING = 1e-6
 
@@ -30,17 +30,17 @@
     _sent: list[float] = field(factory=list)
     _reserved: int = 0
 
-    def hear(self, per_s: float | None, asked_s: float, now_s: float) -> bool:
+    def apply_response(self, per_s: float | None, sent_s: float, now_s: float) -> bool:
         """Take what an answer says or leaves out; tells whether that is news.
 
         An answer to what was asked before the limit was last seen may have been
         made before it was set, and does not lift it.
         """
-        if per_s is None and (self.per_s is None or asked_s < self.seen_s):
+        if per_s is None and (self.per_s is None or sent_s < self.seen_s):
             return False
         return self._set(per_s, now_s)
 
-    def hear_told(self, per_s: float | None, seen_s: float) -> bool:
+    def apply_gossip(self, per_s: float | None, seen_s: float) -> bool:
         """Take another gateway's word, if it is newer; tells whether that is news."""
         return seen_s > self.seen_s and self._set(per_s, seen_s)
 
@@ -48,11 +48,11 @@
         before, self.per_s, self.seen_s = self.per_s, per_s, seen_s
         if before is None or per_s is None:
             return before is not per_s
-        return abs(per_s - before) > NEWS_SHARE * before
+        return abs(per_s - before) > MIN_CHANGE_SHARE * before
 
     def is_set(self, now_s: float) -> bool:
         """Tell whether the endpoint has a limit now."""
-        if self.per_s is not None and now_s - self.seen_s > LIFE_S:
+        if self.per_s is not None and now_s - self.seen_s > LIMIT_EXPIRY_S:
             self.per_s = None
         return self.per_s is not None
 
@@ -60,8 +60,8 @@
     def window_s(self) -> float:
         """The time over which sent requests are counted."""
         if not self.per_s:
-            return LONGEST_WINDOW_S
-        return min(LONGEST_WINDOW_S, max(SHORTEST_WINDOW_S, 1.0 / self.per_s))
+            return MAX_WINDOW_S
+        return min(MAX_WINDOW_S, max(MIN_WINDOW_S, 1.0 / self.per_s))
 
     @property
     def per_window(self) -> int:
@@ -70,14 +70,14 @@
 
     def allows(self, now_s: float, share: int) -> bool:
         """Tell whether one more of this gateway's ``share`` may be sent now."""
-        self._forget(now_s)
+        self._expire(now_s)
         return len(self._sent) + self._reserved + 1 <= share
 
-    def room_in_s(self, now_s: float, share: int) -> float | None:
+    def next_slot_in_s(self, now_s: float, share: int) -> float | None:
         """Return when the next request may be sent; None where none ever may."""
         if share < 1:
             return None
-        self._forget(now_s)
+        self._expire(now_s)
         if len(self._sent) < share:
             return 0.0
         return self._sent[-share] + self.window_s + WINDOW_MARGIN_S - now_s
@@ -95,7 +95,7 @@
         if self.per_s is not None:
             self._sent.append(now_s)
 
-    def _forget(self, now_s: float) -> None:
+    def _expire(self, now_s: float) -> None:
         since_s = now_s - self.window_s - WINDOW_MARGIN_S
         while self._sent and self._sent[0] <= since_s:
             del self._sent[0]
--- a/acaciacove/gateway/choose_endpoint.py
+++ b/acaciacove/gateway/choose_endpoint.py
@@ -1,47 +1,51 @@
 """Chooses the endpoint for one attempt."""
 
+from acaciacove.gateway.choice.prefix_affinity import preferred_endpoint
 from acaciacove.gateway.choice.prompt import Prompt
-from acaciacove.gateway.choice.weigh_endpoint import home_of
-from acaciacove.gateway.endpoint_cost import plain_cost, prompt_costs
+from acaciacove.gateway.endpoint_cost import load_cost, prompt_cost
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.gateway import Gateway
+from acaciacove.gateway.request_context import RequestContext
 from acaciacove.gateway.usable_endpoints import usable_endpoints
-from acaciacove.gateway.work import Work
 
 # Endpoints whose costs are compared for one prompt: more would take milliseconds of
 # each request, and the best of so many is hardly worse than the best of all.
-MOST_COMPARED = 48
+MAX_COMPARED = 48
 
 
-def choose_endpoint(gateway: Gateway, work: Work, now_s: float) -> EndpointState | None:
+def choose_endpoint(
+    gateway: Gateway, context: RequestContext, now_s: float
+) -> EndpointState | None:
     """Return the endpoint with the least cost, or None where none may be used."""
-    states = usable_endpoints(gateway, work, now_s)
+    states = usable_endpoints(gateway, context, now_s)
     if not states:
         return None
-    prompt = work.request.hints.prompt
-    if prompt is not None and work.service.model_costs:
-        return _best_for_prompt(gateway, work, prompt, states, now_s)
-    return min(states, key=lambda state: plain_cost(gateway, state, now_s))
+    prompt = context.request.hints.prompt
+    if prompt is not None and context.service.model_costs:
+        return _best_for_prompt(gateway, context, prompt, states, now_s)
+    return min(states, key=lambda state: load_cost(gateway, state, now_s))
 
 
 def _best_for_prompt(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     prompt: Prompt,
     states: list[EndpointState],
     now_s: float,
 ) -> EndpointState:
     """Return the endpoint whose first piece is expected soonest, other things equal."""
-    home = home_of(prompt.shared_key or "", work.model, states)
-    compared = _compared(gateway, states, home)
-    return min(compared, key=prompt_costs(gateway, work, prompt, compared, home, now_s))
+    preferred = preferred_endpoint(prompt.shared_key or "", context.model, states)
+    compared = _sample(gateway, states, preferred)
+    return min(
+        compared, key=prompt_cost(gateway, context, prompt, compared, preferred, now_s)
+    )
 
 
-def _compared(
-    gateway: Gateway, states: list[EndpointState], home: EndpointState
+def _sample(
+    gateway: Gateway, states: list[EndpointState], preferred: EndpointState
 ) -> list[EndpointState]:
     """Return all endpoints of a small service, of a large one the home and a draw."""
-    if len(states) <= MOST_COMPARED:
+    if len(states) <= MAX_COMPARED:
         return states
-    drawn = gateway.random.sample(states, MOST_COMPARED)
-    return drawn if home in drawn else [home, *drawn]
+    drawn = gateway.random.sample(states, MAX_COMPARED)
+    return drawn if preferred in drawn else [preferred, *drawn]
--- a/acaciacove/gateway/choose_version.py
+++ b/acaciacove/gateway/choose_version.py
@@ -3,6 +3,7 @@
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.choice.stable_hash import SIZE_BYTES, stable_hash
 from acaciacove.gateway.gateway import Gateway
+from acaciacove.gateway.request_context import RequestContext
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
 from acaciacove.gateway.rollout.rollout_progress import RolloutProgress
 from acaciacove.gateway.rollout.rollout_state import RolloutState
@@ -10,22 +11,21 @@
     may_send_to_target,
     target_share,
 )
-from acaciacove.gateway.work import Work
 
 HASH_RANGE = 2.0 ** (8 * SIZE_BYTES)
 
 
-def admissible(
-    gateway: Gateway, work: Work, endpoints: list[Endpoint], now_s: float
+def filter_by_version(
+    gateway: Gateway, context: RequestContext, endpoints: list[Endpoint], now_s: float
 ) -> list[Endpoint]:
     """Leave the endpoints of the version that this request is to meet."""
-    service = work.service.name
-    order = gateway.beliefs.orders.get(service)
+    service = context.service.name
+    order = gateway.view.orders.get(service)
     if order is None:
         return endpoints
     target = [e for e in endpoints if e.version == order.target]
     old = [e for e in endpoints if e.version != order.target]
-    outcome = gateway.beliefs.outcomes.get(service)
+    outcome = gateway.view.outcomes.get(service)
     if outcome is not None and outcome.target == order.target:
         if outcome.state is RolloutState.COMPLETED:
             return target or old
@@ -34,12 +34,12 @@
     progress = gateway.rollouts.get(service)
     if progress is None or progress.phase is RolloutPhase.STOPPED:
         return old
-    return _by_share(gateway, work, progress, old, target, now_s)
+    return _by_share(gateway, context, progress, old, target, now_s)
 
 
 def _by_share(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     progress: RolloutProgress,
     old: list[Endpoint],
     target: list[Endpoint],
@@ -52,20 +52,20 @@
     if not target:
         return old
     if not old:
-        return _without_old(gateway, progress, target)
+        return _without_old_endpoints(gateway, progress, target)
     known = None
-    if work.session is not None:
-        known = gateway.sessions.get(work.service.name, work.session, now_s)
+    if context.session is not None:
+        known = gateway.sessions.get(context.service.name, context.session, now_s)
     is_known = known == progress.order.target
-    if not is_known and not _draws_target(gateway, work, progress, now_s):
+    if not is_known and not _is_drawn_for_target(gateway, context, progress, now_s):
         return old
-    fits = may_send_to_target(
+    allowed = may_send_to_target(
         progress, gateway.rollout_settings, gateway.gateway_count, is_known
     )
-    return target if fits else old
+    return target if allowed else old
 
 
-def _without_old(
+def _without_old_endpoints(
     gateway: Gateway, progress: RolloutProgress, target: list[Endpoint]
 ) -> list[Endpoint]:
     """Return what may serve while no endpoint of the old version may.
@@ -76,25 +76,25 @@
     order = progress.order
     if not any(
         e.service == order.service and e.version != order.target
-        for e in gateway.beliefs.endpoints.values()
+        for e in gateway.view.endpoints.values()
     ):
         return target
-    fits = may_send_to_target(
+    allowed = may_send_to_target(
         progress, gateway.rollout_settings, gateway.gateway_count, True
     )
-    return target if fits else []
+    return target if allowed else []
 
 
-def _draws_target(
-    gateway: Gateway, work: Work, progress: RolloutProgress, now_s: float
+def _is_drawn_for_target(
+    gateway: Gateway, context: RequestContext, progress: RolloutProgress, now_s: float
 ) -> bool:
     """Tell whether a request that is not on the new version goes there now."""
-    drawn = work.session or work.request.hints.request_id or ""
-    has_session = work.session is not None
+    drawn = context.session or context.request.hints.request_id or ""
+    has_session = context.session is not None
     share = target_share(progress, gateway.rollout_settings, has_session, now_s)
-    return position(f"{progress.order.revision}/{drawn}") < share
+    return unit_hash(f"{progress.order.revision}/{drawn}") < share
 
 
-def position(text: str) -> float:
+def unit_hash(text: str) -> float:
     """Return a number from 0 to 1 that is the same in every process."""
     return int.from_bytes(stable_hash(text)) / HASH_RANGE
--- a/acaciacove/gateway/daemon.py
+++ b/acaciacove/gateway/daemon.py
@@ -19,7 +19,7 @@
 # Settings may change without a signal; looking costs a read of two kilobytes.
 RELOAD_EVERY_S = 5.0
 # Settings that a running process cannot follow: it stands where it stands.
-FIXED = frozenset(
+RESTART_ONLY = frozenset(
     {"name", "host", "front_address", "readiness_address", "peer_port", "log_address"}
 )
 
@@ -45,14 +45,14 @@
     loop.add_signal_handler(
         signal.SIGHUP, lambda: reload(running, read_settings, signalled=True)
     )
-    watch = asyncio.create_task(_watch(running, read_settings))
+    watch = asyncio.create_task(_reload_periodically(running, read_settings))
     try:
         await running.run(stop)
     finally:
         watch.cancel()
 
 
-async def _watch(
+async def _reload_periodically(
     running: RunningGateway, read_settings: Callable[[], GatewaySettings]
 ) -> None:
     while True:
@@ -79,9 +79,9 @@
     ]
     if not changed and not signalled:
         return
-    fixed = sorted(FIXED.intersection(changed))
+    fixed = sorted(RESTART_ONLY.intersection(changed))
     if not fixed:
-        gateway.take_settings(settings)
+        gateway.apply_settings(settings)
     gateway.log.write(
         Event.RELOADED, changed=changed, need_restart=fixed, signalled=signalled
     )
--- a/acaciacove/gateway/endpoint_cost.py
+++ b/acaciacove/gateway/endpoint_cost.py
@@ -2,68 +2,69 @@
 
 from collections.abc import Callable
 
-from acaciacove.decisions.endpoint_backlog import usual_wait_s
-from acaciacove.gateway.choice.endpoint_load import usual_others
+from acaciacove.decisions.endpoint_backlog import baseline_wait_s
+from acaciacove.gateway.choice.endpoint_load import baseline_peer_requests
+from acaciacove.gateway.choice.prefix_affinity import prefix_keys, uncached_tokens
 from acaciacove.gateway.choice.prompt import Prompt
-from acaciacove.gateway.choice.weigh_endpoint import shared_keys, unread_tokens
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.gateway import Gateway
-from acaciacove.gateway.usable_endpoints import was_just_broken
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.usable_endpoints import is_suspect
 
 # What each failure in a row counts for beside requests under way.
-FAILURE_REQUESTS = 2.0
+REQUESTS_PER_FAILURE = 2.0
 MS = 1000.0
 TOKENS_PER_1K = 1000.0
 
 
-def plain_cost(
+def load_cost(
     gateway: Gateway, state: EndpointState, now_s: float
 ) -> tuple[float, float]:
     """Return the cost at a plain service, in requests, with a draw to settle ties."""
     is_near = state.endpoint.availability_zone == gateway.settings.availability_zone
     zone = 0.0 if is_near else gateway.choice.other_zone_requests
-    load = state.load.estimate(now_s) + _suspicion(gateway, state, now_s)
+    load = state.load.estimate(now_s) + _health_penalty(gateway, state, now_s)
     return (load + zone, gateway.random.random())
 
 
-def _suspicion(gateway: Gateway, state: EndpointState, now_s: float) -> float:
+def _health_penalty(gateway: Gateway, state: EndpointState, now_s: float) -> float:
     """Return how many requests an endpoint's doubtful health counts for."""
-    failures = FAILURE_REQUESTS * state.health.failures_in_a_row
-    if was_just_broken(state, now_s):
+    failures = REQUESTS_PER_FAILURE * state.health.consecutive_failures
+    if is_suspect(state, now_s):
         return gateway.choice.suspect_requests + failures
     return failures
 
 
-def prompt_costs(
+def prompt_cost(
     gateway: Gateway,
-    work: Work,
+    context: RequestContext,
     prompt: Prompt,
     states: list[EndpointState],
-    home: EndpointState,
+    preferred: EndpointState,
     now_s: float,
 ) -> Callable[[EndpointState], float]:
     """Return what a prompt costs at an endpoint, in seconds of waiting.
 
-    ``home`` is the endpoint that all gateways prefer for the prompt's shared parts.
+    ``preferred`` is the endpoint that all gateways prefer for the prompt's shared
+    parts.
     """
     choice = gateway.choice
     own_zone = gateway.settings.availability_zone
-    usual_load = usual_others((state.load for state in states), now_s)
-    usual_s = usual_wait_s((state.backlog for state in states), now_s)
-    keys = shared_keys(prompt, work.model)
-    pace = gateway.reading_pace(work.service.name, work.model)
+    baseline_load = baseline_peer_requests((state.load for state in states), now_s)
+    baseline_s = baseline_wait_s((state.backlog for state in states), now_s)
+    keys = prefix_keys(prompt, context.model)
+    pace = gateway.prefill_latency(context.service.name, context.model)
     memory_s = choice.memory_ms_per_1k / MS / TOKENS_PER_1K
 
     def cost_s(state: EndpointState) -> float:
-        home_share = choice.home_share if state is home else 0.0
-        tokens = unread_tokens(state, prompt, keys, home_share)
+        home_share = choice.home_share if state is preferred else 0.0
+        tokens = uncached_tokens(state, prompt, keys, home_share)
         reading_s = choice.reading_weight * pace.predict_s(tokens) + tokens * memory_s
-        load = state.load.estimate(now_s, usual_load)
-        load += _suspicion(gateway, state, now_s)
+        load = state.load.estimate(now_s, baseline_load)
+        load += _health_penalty(gateway, state, now_s)
         is_near = state.endpoint.availability_zone == own_zone
         zone_ms = 0.0 if is_near else choice.other_zone_ms
         other_s = (zone_ms + load * choice.request_ms) / MS
-        return state.backlog.wait_s(now_s, usual_s) + reading_s + other_s
+        return state.backlog.wait_s(now_s, baseline_s) + reading_s + other_s
 
     return cost_s
--- a/acaciacove/gateway/endpoint_reader.py
+++ b/acaciacove/gateway/endpoint_reader.py
@@ -4,9 +4,8 @@
 
 from attrs import define, field
 
-from acaciacove.decisions.entry_lapses import EntryLapses
+from acaciacove.decisions.entry_retention import EntryRetention
 from acaciacove.errors import MalformedMessageError
-from acaciacove.gateway.beliefs import Beliefs
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.endpoint_report import EndpointReport
 from acaciacove.gateway.event_log import EventLog
@@ -16,6 +15,7 @@
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.record_codec import RecordCodec
+from acaciacove.gateway.routing_view import RoutingView
 
 
 @define(eq=False)
@@ -24,13 +24,13 @@
 
     gateway: Gateway
     codec: RecordCodec
-    _lapses: EntryLapses = field(factory=EntryLapses)
+    _retention: EntryRetention = field(factory=EntryRetention)
     _offsets: dict[str, int] = field(factory=dict)
 
     @property
-    def beliefs(self) -> Beliefs:
+    def view(self) -> RoutingView:
         """What the records are folded into."""
-        return self.gateway.beliefs
+        return self.gateway.view
 
     @property
     def log(self) -> EventLog:
@@ -39,28 +39,28 @@
 
     def apply_reading(self, reading: LogReading) -> None:
         """Take what one look at the stream has shown."""
-        returned_s = reading.returned_boot_s(self.gateway.settings.heartbeat_s)
-        self._lapses.begin_look(
-            self.beliefs.clock_s(), returned_s, reading.failing_boot_s
+        returned_s = reading.recovered_boot_s(self.gateway.settings.heartbeat_s)
+        self._retention.begin_read(
+            self.view.clock_s(), returned_s, reading.failing_since_boot_s
         )
         if returned_s is not None:
-            self.gateway.tails[LogStream.ENDPOINTS].returned_boot_s = returned_s
-        if reading.is_newest:
-            self.apply_newest(reading.page.records)
+            self.gateway.tails[LogStream.ENDPOINTS].recovered_boot_s = returned_s
+        if reading.is_snapshot:
+            self.apply_snapshot(reading.page.records)
         else:
             for record in reading.page.records:
                 self.apply(record)
-        self._lapses.end_look(reading.complete_boot_s)
-        self.beliefs.confirm_endpoints(reading.complete_boot_s)
+        self._retention.end_read(reading.complete_boot_s)
+        self.view.confirm_endpoints(reading.complete_boot_s)
 
-    def apply_newest(self, records: tuple[LogRecord, ...]) -> None:
+    def apply_snapshot(self, records: tuple[LogRecord, ...]) -> None:
         """Take the newest of each key; keys that are missing were removed."""
         listed = {record.key for record in records}
-        for key in [k for k in self.beliefs.endpoints if k not in listed]:
+        for key in [k for k in self.view.endpoints if k not in listed]:
             self._remove(key)
         for record in sorted(records, key=lambda r: r.offset):
             self.apply(record)
-        self.beliefs.endpoints_known = True
+        self.view.endpoints_loaded = True
 
     def apply(self, record: LogRecord) -> None:
         """Take one record."""
@@ -80,29 +80,29 @@
                 detail=str(error),
             )
             return
-        self._take(report)
+        self._apply_report(report)
 
-    def _take(self, report: EndpointReport) -> None:
+    def _apply_report(self, report: EndpointReport) -> None:
         now_s = asyncio.get_running_loop().time()
-        self._lapses.note_written(report.instance)
-        before = self.beliefs.endpoints.get(report.instance)
+        self._retention.record_write(report.instance)
+        before = self.view.endpoints.get(report.instance)
         endpoint = Endpoint(
             instance=report.instance,
-            generation=report.generation,
+            incarnation=report.incarnation,
             service=report.service,
             host=report.host,
             port=report.port,
             availability_zone=report.availability_zone,
             version=report.version,
             slots=report.slots,
-            leaving=report.leaving,
+            draining=report.draining,
             cold_until_s=now_s + report.cold_remaining_s,
         )
-        self.beliefs.endpoints[report.instance] = endpoint
+        self.view.endpoints[report.instance] = endpoint
         if (
             before is None
             or before.key != endpoint.key
-            or before.leaving != endpoint.leaving
+            or before.draining != endpoint.draining
             or (before.cold_until_s <= now_s) != (endpoint.cold_until_s <= now_s)
         ):
             self.log.write(
@@ -111,16 +111,16 @@
                 service=report.service,
                 version=report.version,
                 zone=report.availability_zone,
-                leaving=report.leaving,
+                leaving=report.draining,
                 cold_s=round(report.cold_remaining_s, 3),
                 first=before is None,
             )
 
     def _remove(self, instance: str) -> None:
-        if instance not in self.beliefs.endpoints or self._lapses.is_kept(instance):
+        if instance not in self.view.endpoints or self._retention.is_retained(instance):
             return
-        now_s, drain_s = self.beliefs.clock_s(), self.gateway.settings.drain_s
-        if self._lapses.keep_removed(instance, now_s, drain_s):
+        now_s, drain_s = self.view.clock_s(), self.gateway.settings.drain_s
+        if self._retention.retain_removed(instance, now_s, drain_s):
             self.log.write(
                 Event.ENDPOINT_LAPSED,
                 endpoint=instance,
@@ -131,11 +131,11 @@
 
     def expire(self) -> None:
         """Drop entries that may have lapsed with an outage and have not come back."""
-        for instance in self._lapses.take_overdue(self.beliefs.clock_s()):
+        for instance in self._retention.pop_expired(self.view.clock_s()):
             self._drop(instance, "not_back")
 
     def _drop(self, instance: str, reason: str) -> None:
-        self.beliefs.endpoints.pop(instance, None)
+        self.view.endpoints.pop(instance, None)
         self.log.write(
             Event.ENDPOINT_GONE,
             endpoint=instance,
@@ -145,4 +145,4 @@
 
     def _known_age_s(self) -> float:
         """How long ago the entries were last known to be complete."""
-        return round(self.beliefs.endpoints_age_s, 3)
+        return round(self.view.endpoints_age_s, 3)
--- a/acaciacove/gateway/endpoint_report.py
+++ b/acaciacove/gateway/endpoint_report.py
@@ -8,12 +8,12 @@
     """What an endpoint says of itself; times are spans from now on."""
 
     instance: str
-    generation: str
+    incarnation: str
     service: str
     host: str
     port: int
     availability_zone: str
     version: str
     slots: int
-    leaving: bool
+    draining: bool
     cold_remaining_s: float
--- a/acaciacove/gateway/endpoint_state.py
+++ b/acaciacove/gateway/endpoint_state.py
@@ -17,7 +17,7 @@
 
 # Prompt parts that one gateway believes to be in an endpoint's memory; parts
 # that nobody has sent there lately are likely gone.
-MAX_KNOWN_PARTS = 512
+MAX_CACHED_PARTS = 512
 
 
 @define(eq=False)
@@ -25,7 +25,7 @@
     """Connections, load, queue, health and probable cache of an endpoint.
 
     ``crashed`` is set once this life of it is known to have ended without a word.
-    ``rank`` stands for it where all gateways are to prefer the same endpoint.
+    ``instance_hash`` stands for it where all gateways are to prefer the same endpoint.
     """
 
     endpoint: Endpoint
@@ -33,25 +33,25 @@
     load: EndpointLoad = field(factory=EndpointLoad)
     backlog: EndpointBacklog = field(factory=EndpointBacklog)
     health: EndpointHealth = field(factory=EndpointHealth)
-    cold: ColdLimiter = field(factory=ColdLimiter)
-    limit: StatedLimit = field(factory=StatedLimit)
+    cold_limiter: ColdLimiter = field(factory=ColdLimiter)
+    stated_limit: StatedLimit = field(factory=StatedLimit)
     limit_share: LimitShare = field(factory=LimitShare)
-    parts: OrderedDict[int, None] = field(factory=OrderedDict)
+    cached_parts: OrderedDict[int, None] = field(factory=OrderedDict)
     crashed: bool = False
-    rank: int = field(init=False)
+    instance_hash: int = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Work out the rank once."""
-        self.rank = int.from_bytes(stable_hash(self.endpoint.instance))
+        self.instance_hash = int.from_bytes(stable_hash(self.endpoint.instance))
 
-    def remember_parts(self, keys: Iterable[int]) -> None:
+    def record_cached(self, keys: Iterable[int]) -> None:
         """Note by their keys that shared parts have just been read."""
         for key in keys:
-            self.parts.pop(key, None)
-            self.parts[key] = None
-        while len(self.parts) > MAX_KNOWN_PARTS:
-            self.parts.popitem(last=False)
+            self.cached_parts.pop(key, None)
+            self.cached_parts[key] = None
+        while len(self.cached_parts) > MAX_CACHED_PARTS:
+            self.cached_parts.popitem(last=False)
 
-    def holds(self, key: int) -> bool:
+    def is_cached(self, key: int) -> bool:
         """Tell whether a part is probably in the endpoint's memory."""
-        return key in self.parts
+        return key in self.cached_parts
--- a/acaciacove/gateway/event_log.py
+++ b/acaciacove/gateway/event_log.py
@@ -12,7 +12,7 @@
 
 # Bytes that wait for a slow reader of standard output; beyond, lines are dropped
 # and counted. At the budget below this holds about four seconds.
-MAX_WAITING_BYTES = 1_000_000
+MAX_BUFFERED_BYTES = 1_000_000
 # Lines a second that one process writes; a request has one line and an attempt
 # that did not serve it another, so this carries about 150 requests a second.
 LINES_PER_S = 300.0
@@ -28,14 +28,14 @@
         """Write to a file descriptor; None keeps lines in ``lines`` for tests."""
         self._process = process
         self._descriptor = descriptor
-        self._waiting: deque[bytes] = deque()
-        self._waiting_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._tokens = BURST_LINES
         self._refilled_s: float | None = None
         self.dropped = 0
-        self._dropped_told = 0
+        self._dropped_reported = 0
         self.lines: list[dict[str, Any]] = []
-        self._watching = False
+        self._writer_registered = False
         if descriptor is not None:
             os.set_blocking(descriptor, False)
 
@@ -44,16 +44,16 @@
         if not self._take_token(routine):
             self.dropped += 1
             return
-        if self.dropped != self._dropped_told:
-            self._dropped_told = self.dropped
-            self._put(Event.LINES_DROPPED, {"total": self.dropped})
-        self._put(event, fields)
+        if self.dropped != self._dropped_reported:
+            self._dropped_reported = self.dropped
+            self._emit(Event.LINES_DROPPED, {"total": self.dropped})
+        self._emit(event, fields)
 
     def _take_token(self, routine: bool) -> bool:
         now_s = asyncio.get_running_loop().time()
         if self._refilled_s is not None:
-            earned = (now_s - self._refilled_s) * LINES_PER_S
-            self._tokens = min(BURST_LINES, self._tokens + earned)
+            refilled = (now_s - self._refilled_s) * LINES_PER_S
+            self._tokens = min(BURST_LINES, self._tokens + refilled)
         self._refilled_s = now_s
         floor = BURST_LINES * ROUTINE_RESERVE if routine else 0.0
         if self._tokens - 1.0 < floor:
@@ -61,7 +61,7 @@
         self._tokens -= 1.0
         return True
 
-    def _put(self, event: Event, fields: dict[str, Any]) -> None:
+    def _emit(self, event: Event, fields: dict[str, Any]) -> None:
         document = {
             "time": datetime.now(UTC).isoformat(timespec="milliseconds"),
             "process": self._process,
@@ -72,48 +72,48 @@
             self.lines.append(document)
             return
         line = orjson.dumps(document, default=str) + b"\n"
-        if self._waiting_bytes + len(line) > MAX_WAITING_BYTES:
+        if self._buffered_bytes + len(line) > MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._waiting.append(line)
-        self._waiting_bytes += len(line)
-        if not self._watching:
+        self._buffer.append(line)
+        self._buffered_bytes += len(line)
+        if not self._writer_registered:
             self._flush()
 
     def _flush(self) -> None:
         """Write what fits; the rest waits until the reader has taken some."""
         assert self._descriptor is not None
-        while self._waiting:
-            line = self._waiting[0]
+        while self._buffer:
+            line = self._buffer[0]
             try:
                 written = os.write(self._descriptor, line)
             except BlockingIOError:
-                self._watch(True)
+                self._set_writer(True)
                 return
             except OSError:
                 # Nobody reads any more: there is nobody to tell either.
-                self.dropped += len(self._waiting)
-                self._waiting.clear()
-                self._waiting_bytes = 0
+                self.dropped += len(self._buffer)
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 break
-            self._waiting_bytes -= written
+            self._buffered_bytes -= written
             if written < len(line):
-                self._waiting[0] = line[written:]
-                self._watch(True)
+                self._buffer[0] = line[written:]
+                self._set_writer(True)
                 return
-            self._waiting.popleft()
-        self._watch(False)
+            self._buffer.popleft()
+        self._set_writer(False)
 
-    def _watch(self, wanted: bool) -> None:
-        if wanted == self._watching or self._descriptor is None:
+    def _set_writer(self, enabled: bool) -> None:
+        if enabled == self._writer_registered or self._descriptor is None:
             return
         loop = asyncio.get_running_loop()
         try:
-            if wanted:
+            if enabled:
                 loop.add_writer(self._descriptor, self._flush)
             else:
                 loop.remove_writer(self._descriptor)
         except (OSError, ValueError, NotImplementedError):
             # A regular file cannot be watched, and never makes a writer wait.
             return
-        self._watching = wanted
+        self._writer_registered = enabled
--- a/acaciacove/gateway/exchange.py
+++ b/acaciacove/gateway/exchange.py
@@ -6,165 +6,165 @@
 import h11
 from attrs import define
 
-from acaciacove.gateway.choice.weigh_endpoint import shared_keys, unread_tokens
+from acaciacove.gateway.choice.prefix_affinity import prefix_keys, uncached_tokens
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.endpoint_states import endpoint_id
 from acaciacove.gateway.gateway import Gateway
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.endpoint_connection import EndpointConnection
-from acaciacove.gateway.http.errors import BadAnswerError, ConnectionLostError
+from acaciacove.gateway.http.errors import ConnectionLostError, InvalidResponseError
 from acaciacove.gateway.http.forward_hints import ForwardHints
-from acaciacove.gateway.rollout.rollout_progress import RolloutProgress, kind_cell
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.http.response_head import ResponseHead
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.rollout.rollout_progress import RolloutProgress, kind_cell_name
 from acaciacove.messages.work_sent import WorkSent
 
 # Answers to earlier requests that are passed over on one connection before it is
 # given up.
-MAX_FOREIGN_ANSWERS = 3
+MAX_SKIPPED_RESPONSES = 3
 
 
 @define(eq=False)
 class Exchange:
     """One request on its way at an endpoint.
 
-    ``unread_tokens`` is what the endpoint has to read of the prompt, ``piece_number``
+    ``uncached_tokens`` is what the endpoint has to read of the prompt, ``backlog_id``
     names its first piece in the endpoint's queue. ``rollout`` is the roll-out that its
-    answer is evidence for, and ``awaited`` its number there. ``connection`` is None
+    answer is evidence for, and ``evidence_id`` its number there. ``connection`` is None
     before one is made. ``sent`` is set with the first byte: from then on the endpoint
     may run the request. ``complete`` is set when the whole answer has been read.
     """
 
     gateway: Gateway
-    work: Work
+    context: RequestContext
     state: EndpointState
     connection: EndpointConnection | None = None
     sent: bool = False
     complete: bool = False
-    began_s: float = 0.0
-    unread_tokens: float = 0.0
-    piece_number: int = 0
+    sent_at_s: float = 0.0
+    uncached_tokens: float = 0.0
+    backlog_id: int = 0
     predicted_s: float = 0.0
     rollout: RolloutProgress | None = None
-    awaited: int = 0
+    evidence_id: int = 0
 
     async def open(self, timeout_s: float) -> None:
         """Take a connection; raises ConnectFailedError."""
-        once = not self.work.route.may_repeat
-        self.connection = await self.state.pool.take(once, timeout_s)
+        once = not self.context.route.may_repeat
+        self.connection = await self.state.pool.acquire(once, timeout_s)
 
     def send(self) -> None:
         """Write the request; raises ConnectionLostError."""
         assert self.connection is not None
-        work = self.work
+        context = self.context
         now_s = asyncio.get_running_loop().time()
-        self.began_s = now_s
+        self.sent_at_s = now_s
         hints = ForwardHints(
             instance=self.state.endpoint.instance,
-            time_left_s=work.until_s - now_s,
-            organisation=work.organisation.name if work.organisation else None,
-            model=work.model,
-            priority=work.priority if work.service.model_costs else None,
-            last_event_id=work.last_event_id,
+            time_left_s=context.deadline_s - now_s,
+            organisation=context.organisation.name if context.organisation else None,
+            model=context.model,
+            priority=context.priority if context.service.model_costs else None,
+            last_event_id=context.last_event_id,
         )
-        request = work.request
+        request = context.request
         headers = self.gateway.dialect.forward_headers(request.headers, hints)
-        if request.body or _had_body(request.headers):
+        if request.body or _has_body_framing(request.headers):
             length = str(len(request.body)).encode()
             headers.append((b"content-length", length))
         self.sent = True
-        self._await_first_piece(now_s)
-        self._await_evidence(now_s)
+        self._enqueue(now_s)
+        self._register_evidence(now_s)
         self.connection.send_request(
             h11.Request(method=request.method, target=request.target, headers=headers),
             request.body,
         )
 
-    def _await_first_piece(self, now_s: float) -> None:
+    def _enqueue(self, now_s: float) -> None:
         """Note the request in the endpoint's queue, with what it has to read."""
-        prompt = self.work.request.hints.prompt
+        prompt = self.context.request.hints.prompt
         if prompt is None:
             return
-        gateway, work, state = self.gateway, self.work, self.state
-        keys = shared_keys(prompt, work.model)
-        self.unread_tokens = unread_tokens(state, prompt, keys, 0.0)
-        pace = gateway.reading_pace(work.service.name, work.model)
-        self.piece_number = gateway.next_number()
-        work_s = pace.predict_s(self.unread_tokens)
+        gateway, context, state = self.gateway, self.context, self.state
+        keys = prefix_keys(prompt, context.model)
+        self.uncached_tokens = uncached_tokens(state, prompt, keys, 0.0)
+        pace = gateway.prefill_latency(context.service.name, context.model)
+        self.backlog_id = gateway.next_exchange_number()
+        work_s = pace.predict_s(self.uncached_tokens)
         self.predicted_s = state.backlog.wait_s(now_s, 0.0) + work_s
-        state.backlog.send(self.piece_number, work_s, now_s)
-        state.remember_parts(keys)
+        state.backlog.send(self.backlog_id, work_s, now_s)
+        state.record_cached(keys)
         endpoint = endpoint_id(state.endpoint.instance)
-        gateway.tell_work(WorkSent(endpoint, work_s, keys), now_s)
+        gateway.gossip_work(WorkSent(endpoint, work_s, keys), now_s)
 
-    def note_first_piece(self, now_s: float) -> None:
+    def record_first_chunk(self, now_s: float) -> None:
         """Learn from the head of an answer how busy the endpoint is, and how fast."""
-        took_s = self.state.backlog.answer(self.piece_number, now_s)
+        took_s = self.state.backlog.record_first_chunk(self.backlog_id, now_s)
         if took_s is not None:
-            work = self.work
-            pace = self.gateway.reading_pace(work.service.name, work.model)
-            pace.learn(self.unread_tokens, took_s)
+            context = self.context
+            pace = self.gateway.prefill_latency(context.service.name, context.model)
+            pace.learn(self.uncached_tokens, took_s)
 
-    def _await_evidence(self, now_s: float) -> None:
-        work, endpoint = self.work, self.state.endpoint
-        self.rollout = self.gateway.rollouts.get(work.service.name)
+    def _register_evidence(self, now_s: float) -> None:
+        context, endpoint = self.context, self.state.endpoint
+        self.rollout = self.gateway.rollouts.get(context.service.name)
         if self.rollout is not None:
-            self.awaited = self.rollout.await_answer(
+            self.evidence_id = self.rollout.record_sent(
                 is_target=endpoint.version == self.rollout.order.target,
-                kind=kind_cell(work.route.name, work.model),
+                kind=kind_cell_name(context.route.name, context.model),
                 endpoint=endpoint.instance,
                 now_s=now_s,
             )
 
-    def count_evidence(self, failed: bool, first_piece_s: float | None) -> None:
+    def record_evidence(self, failed: bool, first_chunk_s: float | None) -> None:
         """Count the answer as evidence on the version of a roll-out."""
         if self.rollout is not None:
-            self.rollout.take_answer(self.awaited, failed, first_piece_s)
+            self.rollout.record_answer(self.evidence_id, failed, first_chunk_s)
 
-    async def read_head(self) -> AnswerHead:
+    async def read_head(self) -> ResponseHead:
         """Return the head of the answer to this request.
 
         An answer that bears another request's id is passed over: an endpoint may
         send a second answer late, where the next one is expected.
         """
         assert self.connection is not None
-        for _ in range(MAX_FOREIGN_ANSWERS + 1):
-            event = await self._next_final_event()
+        for _ in range(MAX_SKIPPED_RESPONSES + 1):
+            event = await self._next_final_response()
             headers = tuple((bytes(n), bytes(v)) for n, v in event.headers)
-            head = self.gateway.dialect.read_answer(
+            head = self.gateway.dialect.read_response(
                 event.status_code, bytes(event.reason), headers
             )
-            own = self.work.request.hints.request_id
+            own = self.context.request.hints.request_id
             if own is None or head.request_id in (own, None):
                 return head
-            await self.connection.skip_answer()
-        raise BadAnswerError("only answers to other requests")
+            await self.connection.skip_response()
+        raise InvalidResponseError("only answers to other requests")
 
-    async def _next_final_event(self) -> h11.Response:
+    async def _next_final_response(self) -> h11.Response:
         assert self.connection is not None
         while True:
-            event = await self.connection.next_answer_event()
+            event = await self.connection.next_response_event()
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
                 raise ConnectionLostError("no answer")
             return event
 
-    async def next_event(self) -> Any:
+    async def next_data(self) -> Any:
         """Return the next h11.Data, or None at the complete end."""
         assert self.connection is not None
         while True:
-            event = await self.connection.next_answer_event()
+            event = await self.connection.next_response_event()
             if isinstance(event, h11.EndOfMessage):
                 self.complete = True
                 return None
             if isinstance(event, h11.Data):
                 return bytes(event.data)
 
-    async def read_whole(self, limit_bytes: int) -> bytes | None:
+    async def read_body(self, limit_bytes: int) -> bytes | None:
         """Return the whole body, or None when it is over the limit."""
         pieces: list[bytes] = []
         size = 0
-        while (data := await self.next_event()) is not None:
+        while (data := await self.next_data()) is not None:
             pieces.append(data)
             size += len(data)
             if size > limit_bytes:
@@ -174,14 +174,14 @@
     def close(self) -> None:
         """Give the connection back, or end it with whatever runs on it."""
         now_s = asyncio.get_running_loop().time()
-        self.state.backlog.drop(self.piece_number, now_s)
+        self.state.backlog.discard(self.backlog_id, now_s)
         if self.rollout is not None:
-            self.rollout.forget(self.awaited, now_s)
+            self.rollout.abandon(self.evidence_id, now_s)
         if self.connection is not None:
-            self.state.pool.give_back(self.connection, self.complete)
+            self.state.pool.release(self.connection, self.complete)
             self.connection = None
 
 
-def _had_body(headers: tuple[tuple[bytes, bytes], ...]) -> bool:
+def _has_body_framing(headers: tuple[tuple[bytes, bytes], ...]) -> bool:
     """Tell whether the caller framed a body, if only an empty one."""
     return any(n in (b"content-length", b"transfer-encoding") for n, _ in headers)
--- a/acaciacove/gateway/keep_limit.py
+++ b/acaciacove/gateway/fleet_limits.py
@@ -1,36 +1,38 @@
 """Keeps to bounds on an endpoint that hold over all gateways together."""
 
-from acaciacove.gateway.choice.share_of import draws, name_number, share_of
+from acaciacove.gateway.choice.share_of import is_drawn, name_hash, share_of
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.gateway import Gateway
 
 # How often it is checked whether members have come or gone.
-CHECK_EVERY_S = 1.0
+MEMBER_CHECK_EVERY_S = 1.0
 # The part of an endpoint's connections that gateways use, all together.
 CONNECTION_MARGIN = 0.8
 
 
 def may_send(gateway: Gateway, state: EndpointState, now_s: float) -> bool:
     """Tell whether an endpoint's limit leaves room for one more from this gateway."""
-    if not state.limit.is_set(now_s):
+    if not state.stated_limit.is_set(now_s):
         return True
-    return state.limit.allows(now_s, own_share(gateway, state, now_s))
+    return state.stated_limit.allows(now_s, local_share(gateway, state, now_s))
 
 
-def own_share(gateway: Gateway, state: EndpointState, now_s: float) -> int:
+def local_share(gateway: Gateway, state: EndpointState, now_s: float) -> int:
     """Return how many requests this gateway may send in the limit's window."""
-    if not gateway.members_known:
+    if not gateway.members_loaded:
         # How many share the limit is not known yet; others keep to it meanwhile.
         return 0
-    total, share = state.limit.per_window, state.limit_share
-    if share.total == total and now_s - share.checked_s < CHECK_EVERY_S:
-        return share.own
+    total, share = state.stated_limit.per_window, state.limit_share
+    if share.total == total and now_s - share.checked_s < MEMBER_CHECK_EVERY_S:
+        return share.allotted
     gateways = gateway.peers
     if share.total != total or share.gateways is not gateways:
-        share.own = share_of(total, state.rank, gateway.settings.name, gateways)
+        share.allotted = share_of(
+            total, state.instance_hash, gateway.settings.name, gateways
+        )
         share.total, share.gateways = total, gateways
     share.checked_s = now_s
-    return share.own
+    return share.allotted
 
 
 def with_free_connections(
@@ -44,14 +46,17 @@
     """
     count = gateway.gateway_count
     whole, rest = divmod(int(CONNECTION_MARGIN * limit), count)
-    if not gateway.members_known:
+    if not gateway.members_loaded:
         whole, rest = max(1, whole), 0
-    own = name_number(gateway.settings.name)
+    own = name_hash(gateway.settings.name)
     free = [
         state
         for state in states
         if state.load.in_flight < whole
-        or (state.load.in_flight == whole and draws(rest, count, state.rank ^ own))
+        or (
+            state.load.in_flight == whole
+            and is_drawn(rest, count, state.instance_hash ^ own)
+        )
     ]
     if free or whole:
         return free
--- a/acaciacove/gateway/follow_log.py
+++ b/acaciacove/gateway/follow_log.py
@@ -14,10 +14,10 @@
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.metadata_log import MetadataLog
 
-FIRST_PAUSE_S = 0.1
-MOST_DOUBLINGS = 8
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_DOUBLINGS = 8
 # The shortest wait after a record, as a share of the usual one.
-SHORTEST_WAIT = 0.2
+MIN_WAIT_SHARE = 0.2
 
 
 @define(eq=False)
@@ -28,7 +28,7 @@
     ``pause_s`` tells how long the follower rests between reads, so that many small
     records come in one answer, ``retry_s`` how long at most after a call that failed.
     ``on_reading`` gets each successful look.
-    ``failing_boot_s`` is since when calls fail; None while they succeed.
+    ``failing_since_boot_s`` is since when calls fail; None while they succeed.
     """
 
     stream: LogStream
@@ -38,7 +38,7 @@
     on_reading: Callable[[LogReading], None]
     next_offset: int = -1
     next_wait_s: float = 0.0
-    failing_boot_s: float | None = None
+    failing_since_boot_s: float | None = None
 
 
 async def follow_log(
@@ -62,8 +62,10 @@
                 log.write(
                     Event.LOG_LOST, stream=followed.stream.value, detail=str(error)
                 )
-            doublings = min(failures, MOST_DOUBLINGS)
-            await asyncio.sleep(min(followed.retry_s(), FIRST_PAUSE_S * 2**doublings))
+            doublings = min(failures, MAX_BACKOFF_DOUBLINGS)
+            await asyncio.sleep(
+                min(followed.retry_s(), INITIAL_BACKOFF_S * 2**doublings)
+            )
             continue
         if failures:
             log.write(
@@ -73,7 +75,7 @@
                 failed_s=round(reading.failed_s, 3),
             )
             failures = 0
-        if not reading.page.is_told:
+        if not reading.page.is_relayed:
             await asyncio.sleep(followed.pause_s())
 
 
@@ -84,32 +86,32 @@
     random: Random,
 ) -> LogReading:
     """Read a page and hand it on."""
-    asked_boot_s = clock_s()
-    is_newest = followed.next_offset < 0
-    wait_s = 0.0 if is_newest else _wait_s(followed)
+    requested_boot_s = clock_s()
+    is_snapshot = followed.next_offset < 0
+    wait_s = 0.0 if is_snapshot else _wait_s(followed)
     try:
-        if is_newest:
+        if is_snapshot:
             page = await metadata.newest(followed.stream)
         else:
             page = await metadata.read(followed.stream, followed.next_offset, wait_s)
     except PlatformUnavailableError:
-        _note_failure(followed, asked_boot_s + wait_s, clock_s())
+        _record_failure(followed, requested_boot_s + wait_s, clock_s())
         raise
     reading = LogReading(
         page=page,
-        is_newest=is_newest,
-        failing_boot_s=followed.failing_boot_s,
-        asked_boot_s=asked_boot_s,
-        complete_boot_s=_complete_since(page, asked_boot_s, wait_s, clock_s()),
+        is_snapshot=is_snapshot,
+        failing_since_boot_s=followed.failing_since_boot_s,
+        requested_boot_s=requested_boot_s,
+        complete_boot_s=_complete_as_of(page, requested_boot_s, wait_s, clock_s()),
     )
-    followed.failing_boot_s = None
+    followed.failing_since_boot_s = None
     followed.on_reading(reading)
     # One record ends the waits of all gateways at once. Reads that go on in step
     # would all be as old when the log goes away; drawn apart, one of them is
     # fresh, and the others learn it from their peers.
     followed.next_wait_s = 0.0
     if page.records:
-        followed.next_wait_s = random.uniform(SHORTEST_WAIT, 1.0) * followed.wait_s()
+        followed.next_wait_s = random.uniform(MIN_WAIT_SHARE, 1.0) * followed.wait_s()
     followed.next_offset = page.next_offset
     return reading
 
@@ -119,21 +121,21 @@
 
     A call that the log takes and never answers would hide its return for that long.
     """
-    if followed.failing_boot_s is not None:
+    if followed.failing_since_boot_s is not None:
         return 0.0
     return followed.next_wait_s or followed.wait_s()
 
 
-def _note_failure(
+def _record_failure(
     followed: FollowedStream, due_boot_s: float, now_boot_s: float
 ) -> None:
     """Note since when calls fail: an answer was due, or a failure was told, by then."""
-    if followed.failing_boot_s is None:
-        followed.failing_boot_s = min(due_boot_s, now_boot_s)
+    if followed.failing_since_boot_s is None:
+        followed.failing_since_boot_s = min(due_boot_s, now_boot_s)
 
 
-def _complete_since(
-    page: LogPage, asked_boot_s: float, wait_s: float, now_boot_s: float
+def _complete_as_of(
+    page: LogPage, requested_boot_s: float, wait_s: float, now_boot_s: float
 ) -> float:
     """Return a moment at which the log held no more than what was read.
 
@@ -142,7 +144,7 @@
     asked. A page that another gateway told says it itself.
     """
     if page.complete_after_s is not None:
-        return asked_boot_s + page.complete_after_s
-    if page.records or now_boot_s < asked_boot_s + wait_s:
-        return asked_boot_s
-    return asked_boot_s + wait_s
+        return requested_boot_s + page.complete_after_s
+    if page.records or now_boot_s < requested_boot_s + wait_s:
+        return requested_boot_s
+    return requested_boot_s + wait_s
--- a/acaciacove/gateway/gateway.py
+++ b/acaciacove/gateway/gateway.py
@@ -5,14 +5,13 @@
 
 from attrs import define, field
 
-from acaciacove.decisions.confidence_beliefs import ConfidenceBeliefs
+from acaciacove.decisions.confidence_calibration import ConfidenceCalibration
 from acaciacove.decisions.delay_cost import DelayCost
-from acaciacove.decisions.reading_pace import ReadingPace
-from acaciacove.gateway.beliefs import Beliefs
+from acaciacove.decisions.prefill_latency import PrefillLatency
 from acaciacove.gateway.choice.choice_settings import ChoiceSettings
 from acaciacove.gateway.choice.retry_budget import RetryBudget
 from acaciacove.gateway.choice.session_versions import SessionVersions
-from acaciacove.gateway.choice.sliding_count import SlidingCount
+from acaciacove.gateway.choice.sliding_window_counter import SlidingWindowCounter
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.endpoint_states import EndpointStates
 from acaciacove.gateway.event_log import EventLog
@@ -20,12 +19,13 @@
 from acaciacove.gateway.http.dialect import Dialect
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.peers.peer import Peer
-from acaciacove.gateway.quarantine.crash_watch import CrashWatch
+from acaciacove.gateway.quarantine.crash_detector import CrashDetector
 from acaciacove.gateway.quarantine.request_guard import RequestGuard
-from acaciacove.gateway.relay.relay_pace import RelayPace, relay_pace
-from acaciacove.gateway.relay.stream_tail import TOLD_STREAMS, StreamTail
+from acaciacove.gateway.relay.relay_intervals import RelayIntervals, relay_intervals
+from acaciacove.gateway.relay.stream_tail import RELAYED_STREAMS, StreamTail
 from acaciacove.gateway.rollout.rollout_progress import RolloutProgress
 from acaciacove.gateway.rollout.rollout_settings import RolloutSettings
+from acaciacove.gateway.routing_view import RoutingView
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.settings.gateway_settings import GatewaySettings
 
@@ -34,7 +34,7 @@
 RETRY_MARGIN = 0.9
 # Of the time for which API keys are honoured without a proof, within which decisions
 # are to be known: two calls, one of which meets a silent connection, end in the rest.
-PROOF_SHARE = 0.4
+REVOCATION_SHARE = 0.4
 # How many gateways are taken to share the promised bounds until the members have been
 # read. After a loss of all processes each would otherwise keep to the bounds alone,
 # and together they would break them in the first tenth of a second.
@@ -42,23 +42,23 @@
 
 
 # Over which time the own pace of sending is taken.
-SENT_WINDOW_S = 2.0
+SEND_RATE_WINDOW_S = 2.0
 
 
-TellWork = Callable[[WorkSent, float], None]
-TellLimit = Callable[[EndpointState], None]
+GossipWork = Callable[[WorkSent, float], None]
+GossipLimit = Callable[[EndpointState], None]
 
 
-def tell_nobody(sent: WorkSent, now_s: float) -> None:
+def no_work_gossip(sent: WorkSent, now_s: float) -> None:
     """Stand in until the other gateways can be told."""
 
 
-def tell_no_limit(state: EndpointState) -> None:
+def no_limit_gossip(state: EndpointState) -> None:
     """Stand in until the other gateways can be told."""
 
 
-def _told_tails() -> dict[LogStream, StreamTail]:
-    return {stream: StreamTail() for stream in TOLD_STREAMS}
+def _relayed_tails() -> dict[LogStream, StreamTail]:
+    return {stream: StreamTail() for stream in RELAYED_STREAMS}
 
 
 @define(eq=False)
@@ -66,64 +66,70 @@
     """Beliefs, limits and states of one process.
 
     ``members`` are the other gateways that are or may be alive, and ``tails`` hold
-    what is told to them. ``members_known`` is set once their list has been read.
-    ``tell_work`` tells them of a prompt that has just been sent, ``tell_limit`` of what
-    an endpoint says of its limit. Outcomes of roll-outs
+    what is told to them. ``members_loaded`` is set once their list has been read.
+    ``gossip_work`` tells them of a prompt that has just been sent, ``gossip_limit`` of
+    what an endpoint says of its limit. Outcomes of roll-outs
     have been read here up to ``outcomes_offset``, last with news at
-    ``outcomes_changed_s``, and by some other gateway up to ``outcomes_told``.
+    ``outcomes_changed_s``, and by some other gateway up to ``peer_outcomes_offset``.
     """
 
     settings: GatewaySettings
     dialect: Dialect
-    beliefs: Beliefs
+    view: RoutingView
     log: EventLog
     metrics: GatewayMetrics = field(factory=GatewayMetrics)
     states: EndpointStates = field(factory=EndpointStates)
     choice: ChoiceSettings = field(factory=ChoiceSettings)
     random: Random = field(factory=Random)
     budgets: dict[str, RetryBudget] = field(factory=dict)
-    sent: dict[str, SlidingCount] = field(factory=dict)
-    confidence: dict[str, ConfidenceBeliefs] = field(factory=dict)
-    reading: dict[tuple[str, str | None], ReadingPace] = field(factory=dict)
+    send_counts: dict[str, SlidingWindowCounter] = field(factory=dict)
+    confidence: dict[str, ConfidenceCalibration] = field(factory=dict)
+    prefill_latencies: dict[tuple[str, str | None], PrefillLatency] = field(
+        factory=dict
+    )
     delay_costs: dict[str, DelayCost] = field(factory=dict)
     rollouts: dict[str, RolloutProgress] = field(factory=dict)
     members: dict[str, Peer] = field(factory=dict)
-    members_known: bool = False
-    tails: dict[LogStream, StreamTail] = field(factory=_told_tails)
+    members_loaded: bool = False
+    tails: dict[LogStream, StreamTail] = field(factory=_relayed_tails)
     outcomes_offset: int = -1
-    outcomes_told: int = -1
+    peer_outcomes_offset: int = -1
     outcomes_changed_s: float = -1e9
-    tell_work: TellWork = tell_nobody
-    tell_limit: TellLimit = tell_no_limit
-    leaving: bool = False
-    _last_number: int = 0
+    gossip_work: GossipWork = no_work_gossip
+    gossip_limit: GossipLimit = no_limit_gossip
+    shutting_down: bool = False
+    _last_exchange_number: int = 0
     _peers: frozenset[str] = frozenset()
-    _peers_of: dict[str, Peer] | None = None
+    _peers_source: dict[str, Peer] | None = None
     sessions: SessionVersions = field(init=False)
     guard: RequestGuard = field(init=False)
-    crash_watch: CrashWatch = field(init=False)
+    crash_detector: CrashDetector = field(init=False)
     rollout_settings: RolloutSettings = field(init=False)
-    pace: RelayPace = field(init=False)
+    relay_intervals: RelayIntervals = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Make what depends on the settings."""
         self.sessions = SessionVersions(self.settings.session_life_s)
         self.guard = RequestGuard(self.log, random=self.random)
-        self.crash_watch = CrashWatch(self.log, self.metrics, self.guard.note_crash)
-        self.take_settings(self.settings)
+        self.crash_detector = CrashDetector(
+            self.log, self.metrics, self.guard.record_crash
+        )
+        self.apply_settings(self.settings)
 
-    def take_settings(self, settings: GatewaySettings) -> None:
+    def apply_settings(self, settings: GatewaySettings) -> None:
         """Keep to new bounds from now on; what was counted stays counted."""
         self.settings = settings
-        self.sessions.life_s = settings.session_life_s
-        proof_s = PROOF_SHARE * settings.revocation_s
-        self.pace = relay_pace(min(settings.propagation_s, proof_s), settings.drain_s)
+        self.sessions.lifetime_s = settings.session_life_s
+        proof_s = REVOCATION_SHARE * settings.revocation_s
+        self.relay_intervals = relay_intervals(
+            min(settings.propagation_s, proof_s), settings.drain_s
+        )
         self.rollout_settings = RolloutSettings(
             exposure_share=settings.exposure_share,
             exposure_extra=settings.exposure_extra,
         )
         for budget in self.budgets.values():
-            budget.keep_to(*self._retry_bounds())
+            budget.set_bounds(*self._retry_bounds())
 
     def _retry_bounds(self) -> tuple[float, float]:
         return (
@@ -137,44 +143,46 @@
 
         The same object as long as they are the same.
         """
-        if self._peers_of is not self.members:
+        if self._peers_source is not self.members:
             names = frozenset(self.members)
             if names != self._peers:
                 self._peers = names
-            self._peers_of = self.members
+            self._peers_source = self.members
         return self._peers
 
     @property
     def gateway_count(self) -> int:
         """How many gateways share the promised bounds."""
         known = len(self.peers) + (self.settings.name not in self.peers)
-        return known if self.members_known else max(known, ASSUMED_GATEWAYS)
+        return known if self.members_loaded else max(known, ASSUMED_GATEWAYS)
 
-    def next_number(self) -> int:
+    def next_exchange_number(self) -> int:
         """Return a number that no other exchange of this process has."""
-        self._last_number += 1
-        return self._last_number
+        self._last_exchange_number += 1
+        return self._last_exchange_number
 
-    def confidences(self, service: str) -> ConfidenceBeliefs:
+    def confidences(self, service: str) -> ConfidenceCalibration:
         """Return what the opinions of a service's models are worth."""
-        return self.confidence.setdefault(service, ConfidenceBeliefs())
+        return self.confidence.setdefault(service, ConfidenceCalibration())
 
     def delay_cost(self, service: str) -> DelayCost:
         """Return what a little more waiting costs requests for a service."""
         return self.delay_costs.setdefault(service, DelayCost())
 
-    def note_sent(self, service: str, now_s: float) -> None:
+    def record_sent(self, service: str, now_s: float) -> None:
         """Count one request that is sent to an endpoint of a service."""
-        self.sent.setdefault(service, SlidingCount(SENT_WINDOW_S)).add(now_s)
+        self.send_counts.setdefault(
+            service, SlidingWindowCounter(SEND_RATE_WINDOW_S)
+        ).add(now_s)
 
     def sent_per_s(self, service: str, now_s: float) -> float:
         """Return how many requests this gateway sends to a service at present."""
-        counted = self.sent.get(service)
-        return counted.total(now_s) / SENT_WINDOW_S if counted else 0.0
+        counted = self.send_counts.get(service)
+        return counted.total(now_s) / SEND_RATE_WINDOW_S if counted else 0.0
 
-    def reading_pace(self, service: str, model: str | None) -> ReadingPace:
+    def prefill_latency(self, service: str, model: str | None) -> PrefillLatency:
         """Return how fast a model of a service reads prompts."""
-        return self.reading.setdefault((service, model), ReadingPace())
+        return self.prefill_latencies.setdefault((service, model), PrefillLatency())
 
     def budget(self, service: str) -> RetryBudget:
         """Return the repeats that may be sent to a service."""
--- a/acaciacove/gateway/gateway_metrics.py
+++ b/acaciacove/gateway/gateway_metrics.py
@@ -12,9 +12,9 @@
 # Times of interest: latency targets of 0.15 to 2 s, and time limits of up to 25 s.
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
 # Counts kept before the library is loaded, some seconds after a start.
-MAX_EARLY = 20_000
+MAX_PENDING_COUNTS = 20_000
 # When the library is loaded: after the rush that follows a start.
-LOAD_AFTER_S = 2.0
+LOAD_DELAY_S = 2.0
 Gauges = dict[tuple[str, str], dict[tuple[tuple[str, str], ...], float]]
 
 
@@ -27,8 +27,8 @@
 
     def __init__(self) -> None:
         """Begin without the library."""
-        self._early: deque[tuple[Metric, tuple[str, ...], float]] = deque(
-            maxlen=MAX_EARLY
+        self._pending: deque[tuple[Metric, tuple[str, ...], float]] = deque(
+            maxlen=MAX_PENDING_COUNTS
         )
         self._metrics: dict[Metric, Any] = {}
         self._registry: Any = None
@@ -37,7 +37,7 @@
     def count(self, metric: Metric, *values: str, amount: float = 1.0) -> None:
         """Count; ``values`` are those of the metric's labels."""
         if self._registry is None:
-            self._early.append((metric, values, amount))
+            self._pending.append((metric, values, amount))
             return
         labels = dict(zip(metric.labels, values, strict=True))
         if metric.is_histogram:
@@ -47,25 +47,25 @@
 
     async def load(self) -> None:
         """Load the library in a thread, so that requests are served meanwhile."""
-        await asyncio.sleep(LOAD_AFTER_S)
+        await asyncio.sleep(LOAD_DELAY_S)
         self._library = await asyncio.to_thread(import_module, "aioprometheus")
         await asyncio.to_thread(import_module, "aioprometheus.renderer")
         registry = self._library.Registry()
         for metric in Metric:
             name = PREFIX + metric.suffix
             if metric.is_histogram:
-                made = self._library.Histogram(
+                created = self._library.Histogram(
                     name, metric.help, buckets=list(BUCKETS_S), registry=registry
                 )
             else:
-                made = self._library.Counter(name, metric.help, registry=registry)
-            self._metrics[metric] = made
+                created = self._library.Counter(name, metric.help, registry=registry)
+            self._metrics[metric] = created
         self._registry = registry
-        while self._early:
-            metric, values, amount = self._early.popleft()
+        while self._pending:
+            metric, values, amount = self._pending.popleft()
             self.count(metric, *values, amount=amount)
 
-    def page(self, gauges: Callable[[], Gauges]) -> bytes:
+    def render(self, gauges: Callable[[], Gauges]) -> bytes:
         """Return the text for a scraper, with ``gauges`` as they are now."""
         if self._registry is None:
             return b"# starting\n"
--- a/acaciacove/gateway/gauges.py
+++ b/acaciacove/gateway/gauges.py
@@ -3,7 +3,7 @@
 import asyncio
 import resource
 
-from acaciacove.decisions.endpoint_backlog import usual_wait_s
+from acaciacove.decisions.endpoint_backlog import baseline_wait_s
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.gateway_metrics import Gauges
 
@@ -13,27 +13,29 @@
 
 def read_gauges(gateway: Gateway, open_connections: int) -> Gauges:
     """Return gauges by (name, help), with their labelled values."""
-    beliefs = gateway.beliefs
+    view = gateway.view
     now_s = asyncio.get_running_loop().time()
     usage = resource.getrusage(resource.RUSAGE_SELF)
-    catalogue = beliefs.catalogue
+    catalogue = view.catalogue
     return {
-        ("ready", "1 when requests can be routed"): {(): float(beliefs.is_usable)},
+        ("ready", "1 when requests can be routed"): {(): float(view.is_usable)},
         ("operator_revision", "log offset of the newest decision"): {
-            (): float(beliefs.operator_revision)
+            (): float(view.operator_revision)
         },
         ("catalogue_version", "version of the catalogue in force"): {
             (): float(catalogue.version if catalogue else -1)
         },
         ("confirmed_age_seconds", "since decisions were known complete"): {
-            (): min(beliefs.confirmed_age_s, 1e9)
+            (): min(view.confirmed_age_s, 1e9)
         },
         ("endpoints_age_seconds", "since endpoints' entries were known complete"): {
-            (): min(beliefs.endpoints_age_s, 1e9)
+            (): min(view.endpoints_age_s, 1e9)
         },
         ("endpoints", "endpoints by state"): _endpoint_states(gateway, now_s),
         ("limited_endpoints", "endpoints that state a limit"): {
-            (): float(sum(s.limit.per_s is not None for s in gateway.states.all()))
+            (): float(
+                sum(s.stated_limit.per_s is not None for s in gateway.states.all())
+            )
         },
         ("requests_in_flight", "requests at endpoints"): {
             (): float(sum(s.load.in_flight for s in gateway.states.all()))
@@ -45,11 +47,11 @@
             (): float(sum(s.pool.handshakes for s in gateway.states.all()))
         },
         ("retry_budget_left", "repeats that may be sent now"): {
-            (("service", name),): budget.left(now_s, gateway.gateway_count)
+            (("service", name),): budget.remaining(now_s, gateway.gateway_count)
             for name, budget in gateway.budgets.items()
         },
         ("usual_wait_seconds", "wait before prompts are read at endpoints"): {
-            (): usual_wait_s((s.backlog for s in gateway.states.all()), now_s)
+            (): baseline_wait_s((s.backlog for s in gateway.states.all()), now_s)
         },
         ("rollout", "1 for the phase of a roll-out under way"): {
             (("service", name), ("phase", progress.phase.value)): 1.0
@@ -87,11 +89,11 @@
 def _endpoint_states(gateway: Gateway, now_s: float) -> dict[Labels, float]:
     """Count endpoints by state; each is in the first state that fits."""
     counts = dict.fromkeys(("leaving", "zone_out", "ejected", "cold", "usable"), 0.0)
-    for endpoint in gateway.beliefs.endpoints.values():
+    for endpoint in gateway.view.endpoints.values():
         state = gateway.states.of(endpoint)
-        if endpoint.leaving:
+        if endpoint.draining:
             counts["leaving"] += 1
-        elif endpoint.availability_zone in gateway.beliefs.zones_out:
+        elif endpoint.availability_zone in gateway.view.zones_out:
             counts["zone_out"] += 1
         elif state.health.is_ejected(now_s):
             counts["ejected"] += 1
--- a/acaciacove/gateway/http/connection.py
+++ b/acaciacove/gateway/http/connection.py
@@ -25,10 +25,10 @@
         self.h11 = h11.Connection(role, max_incomplete_event_size=max_header_bytes)
         self.transport: asyncio.Transport | None = None
         self.lost = False
-        self._end_seen = False
+        self._eof_seen = False
         self._unread_bytes = 0
         self._reading_paused = False
-        self._arrived = asyncio.Event()
+        self._input_ready = asyncio.Event()
         self._writable = asyncio.Event()
         self._writable.set()
 
@@ -37,7 +37,7 @@
         """Tell whether bytes can still go both ways, as far as is known."""
         return not (
             self.lost
-            or self._end_seen
+            or self._eof_seen
             or self.transport is None
             or self.transport.is_closing()
         )
@@ -59,19 +59,19 @@
             self._reading_paused = True
             assert self.transport is not None
             self.transport.pause_reading()
-        self._arrived.set()
+        self._input_ready.set()
 
     def eof_received(self) -> bool:
         """Tell the state machine that no byte follows."""
-        self._end_seen = True
+        self._eof_seen = True
         self.h11.receive_data(b"")
-        self._arrived.set()
+        self._input_ready.set()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Wake whoever waits; both waits end with ConnectionLostError."""
         self.lost = True
-        self._arrived.set()
+        self._input_ready.set()
         self._writable.set()
 
     def pause_writing(self) -> None:
@@ -90,9 +90,9 @@
                 return event
             if self.lost:
                 raise ConnectionLostError("the connection was lost")
-            self._arrived.clear()
+            self._input_ready.clear()
             self._resume_reading()
-            await self._arrived.wait()
+            await self._input_ready.wait()
 
     def _resume_reading(self) -> None:
         self._unread_bytes = 0
--- a/acaciacove/gateway/http/connection_pool.py
+++ b/acaciacove/gateway/http/connection_pool.py
@@ -11,7 +11,7 @@
 # endpoint's close may cross a request: one that may be repeated is then sent
 # again, one that may run once only ends as unknown, so it needs more margin.
 REUSE_SHARE = 0.8
-REUSE_SHARE_ONCE = 0.4
+REUSE_SHARE_NON_IDEMPOTENT = 0.4
 
 
 class ConnectionPool:
@@ -25,9 +25,13 @@
         self.open_count = 0
         self.handshakes = 0
 
-    async def take(self, once: bool, timeout_s: float) -> EndpointConnection:
+    async def acquire(
+        self, non_idempotent: bool, timeout_s: float
+    ) -> EndpointConnection:
         """Return a connection; raises ConnectFailedError when none can be made."""
-        kept = self._take_idle(REUSE_SHARE_ONCE if once else REUSE_SHARE)
+        kept = self._pop_idle(
+            REUSE_SHARE_NON_IDEMPOTENT if non_idempotent else REUSE_SHARE
+        )
         if kept is not None:
             return kept
         self.open_count += 1
@@ -38,13 +42,13 @@
             self.open_count -= 1
             raise
 
-    async def check(self, timeout_s: float) -> None:
+    async def check_connect(self, timeout_s: float) -> None:
         """Make a connection and end it; raises ConnectFailedError when none is made."""
         self.handshakes += 1
         connection = await connect(self._host, self._port, timeout_s)
         connection.abort()
 
-    def _take_idle(self, share: float) -> EndpointConnection | None:
+    def _pop_idle(self, share: float) -> EndpointConnection | None:
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -54,9 +58,9 @@
             self._discard(connection)
         return None
 
-    def give_back(self, connection: EndpointConnection, reusable: bool) -> None:
+    def release(self, connection: EndpointConnection, reusable: bool) -> None:
         """Keep a connection whose exchange is complete, or end it."""
-        if reusable and connection.finish():
+        if reusable and connection.finish_exchange():
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
             return
@@ -67,7 +71,7 @@
         connection.abort()
         self.open_count -= 1
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """End connections that are closed or have been idle for too long."""
         now_s = asyncio.get_running_loop().time()
         kept: deque[EndpointConnection] = deque()
