--- a/acaciacove/gateway/http/endpoint_connection.py
+++ b/acaciacove/gateway/http/endpoint_connection.py
@@ -9,17 +9,17 @@
 
 from acaciacove.gateway.http.connection import HttpConnection
 from acaciacove.gateway.http.errors import (
-    BadAnswerError,
     ConnectFailedError,
     ConnectionLostError,
     ConnectRefusedError,
+    InvalidResponseError,
 )
 
-MAX_ANSWER_HEADER_BYTES = 65_536
+MAX_RESPONSE_HEADER_BYTES = 65_536
 # How long written bytes may stay without acknowledgement. A machine without
 # power answers nothing, not even a reset: without this bound a send hangs for
 # minutes. Three round trips of a lossy link fit in, a caller's patience does not.
-UNACKNOWLEDGED_LIMIT_MS = 1_500
+TCP_USER_TIMEOUT_MS = 1_500
 
 
 class EndpointConnection(HttpConnection):
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         """Begin unconnected and unused."""
-        super().__init__(h11.CLIENT, MAX_ANSWER_HEADER_BYTES)
+        super().__init__(h11.CLIENT, MAX_RESPONSE_HEADER_BYTES)
         self.idle_since_s = 0.0
         self.idle_timeout_s: float | None = None
         self.busy = False
@@ -56,38 +56,38 @@
         except h11.LocalProtocolError as error:
             raise ConnectionLostError(str(error)) from error
 
-    async def next_answer_event(self) -> Any:
-        """Return the next event of the answer; protocol faults are BadAnswerError."""
+    async def next_response_event(self) -> Any:
+        """Return the next event; protocol faults are InvalidResponseError."""
         try:
             event = await self.next_event()
         except h11.RemoteProtocolError as error:
-            raise BadAnswerError(str(error)) from error
+            raise InvalidResponseError(str(error)) from error
         if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
             raise ConnectionLostError("the endpoint closed the connection")
         return event
 
-    async def skip_answer(self) -> None:
+    async def skip_response(self) -> None:
         """Read an answer that belongs to an earlier request to its end.
 
         A late second answer stands where the own one is expected. It is dropped
         whole, and a new state machine goes on with the bytes behind it.
         """
-        while not isinstance(await self.next_answer_event(), h11.EndOfMessage):
+        while not isinstance(await self.next_response_event(), h11.EndOfMessage):
             pass
         rest, closed = self.h11.trailing_data
         if closed and not rest:
             raise ConnectionLostError("the endpoint closed the connection")
         assert self._request is not None
         self.h11 = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEADER_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEADER_BYTES
         )
         self.h11.send(self._request)
         if self.h11.our_state is h11.SEND_BODY:
-            self._finish_body_silently()
+            self._replay_request_body()
         if rest:
             self.h11.receive_data(rest)
 
-    def _finish_body_silently(self) -> None:
+    def _replay_request_body(self) -> None:
         """Bring the new state machine to where the real request stands."""
         assert self._request is not None
         length = dict(self._request.headers).get(b"content-length", b"0")
@@ -95,7 +95,7 @@
             self.h11.send(h11.Data(data=bytes(int(length))))
         self.h11.send(h11.EndOfMessage())
 
-    def finish(self) -> bool:
+    def finish_exchange(self) -> bool:
         """End an exchange; tells whether the connection may serve another."""
         self.busy = False
         rest, _ = self.h11.trailing_data
@@ -117,11 +117,11 @@
         raise ConnectRefusedError(f"{type(error).__name__}: {error}") from error
     except (OSError, TimeoutError) as error:
         raise ConnectFailedError(f"{type(error).__name__}: {error}") from error
-    bound_unacknowledged(connection)
+    set_tcp_user_timeout(connection)
     return connection
 
 
-def bound_unacknowledged(connection: HttpConnection) -> None:
+def set_tcp_user_timeout(connection: HttpConnection) -> None:
     """Let the kernel end a connection whose bytes are not acknowledged."""
     if connection.transport is None:
         return
@@ -129,5 +129,5 @@
     # A socket of a test's loop knows no such option.
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
         )
--- a/acaciacove/gateway/http/errors.py
+++ b/acaciacove/gateway/http/errors.py
@@ -15,7 +15,7 @@
     """The machine answers, and nothing listens there."""
 
 
-class BadAnswerError(AcaciacoveError):
+class InvalidResponseError(AcaciacoveError):
     """An endpoint sent bytes that are no answer to the request."""
 
 
@@ -28,5 +28,5 @@
         self.status = status
 
 
-class CallerGoneError(AcaciacoveError):
+class CallerDisconnectedError(AcaciacoveError):
     """The caller closed its connection before its answer was complete."""
--- a/acaciacove/gateway/http/front_connection.py
+++ b/acaciacove/gateway/http/front_connection.py
@@ -12,7 +12,7 @@
 from acaciacove.gateway.http.dialect import Dialect
 from acaciacove.gateway.http.errors import (
     BadRequestError,
-    CallerGoneError,
+    CallerDisconnectedError,
     ConnectionLostError,
 )
 
@@ -24,8 +24,8 @@
 HEADER_TOO_LARGE_STATUS = 431
 BAD_REQUEST_STATUS = 400
 # How long a refused caller may take to read its refusal.
-LINGER_S = 1.0
-LINGER_STEP_S = 0.05
+LINGER_TIMEOUT_S = 1.0
+LINGER_POLL_S = 0.05
 # Bytes of a header line beside its name and value.
 LINE_OVERHEAD_BYTES = 4
 
@@ -43,7 +43,7 @@
         serve: Serve,
         dialect: Dialect,
         limits: Callable[[], CallerLimits],
-        is_leaving: Callable[[], bool],
+        is_draining: Callable[[], bool],
         connections: set["FrontConnection"],
     ) -> None:
         """Join ``connections`` while open; ``limits`` are read at each request."""
@@ -51,13 +51,13 @@
         self._serve = serve
         self._dialect = dialect
         self._limits = limits
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
         self._connections = connections
         self._task: asyncio.Task[None] | None = None
         self._first_byte_s: float | None = None
         self._discarding = False
         self.serving = False
-        self.answer_started = False
+        self.response_started = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the task that serves this connection."""
@@ -86,7 +86,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def end_if_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Close when no request is being read or served."""
         if not self.serving and self._first_byte_s is None:
             self.close()
@@ -96,7 +96,7 @@
             while await self._serve_one():
                 pass
             self.close()
-        except (ConnectionLostError, CallerGoneError, asyncio.CancelledError):
+        except (ConnectionLostError, CallerDisconnectedError, asyncio.CancelledError):
             self.abort()
         except BaseException:
             self.abort()
@@ -107,12 +107,12 @@
         try:
             request = await self._read_request()
         except BadRequestError as error:
-            await self._refuse_unread(error)
+            await self._refuse_bad_request(error)
             return False
         if request is None:
             return False
         self.serving = True
-        self.answer_started = False
+        self.response_started = False
         try:
             await self._serve(request, self)
         finally:
@@ -120,11 +120,11 @@
         return self._prepare_next()
 
     def _prepare_next(self) -> bool:
-        if self._is_leaving():
+        if self._is_draining():
             # A caller whose answer began before the process was told to stop has
             # not been asked to leave. Its next request would be cut by the end.
             return False
-        if self.h11.our_state is not h11.DONE or self._end_seen:
+        if self.h11.our_state is not h11.DONE or self._eof_seen:
             return False
         if self.h11.their_state is not h11.DONE:
             return False
@@ -176,10 +176,10 @@
         try:
             async with asyncio.timeout(limits.idle_timeout_s):
                 while self._first_byte_s is None:
-                    if self.lost or self._end_seen:
+                    if self.lost or self._eof_seen:
                         return False
-                    self._arrived.clear()
-                    await self._arrived.wait()
+                    self._input_ready.clear()
+                    await self._input_ready.wait()
         except TimeoutError:
             return False
         return True
@@ -212,7 +212,7 @@
             status = error.error_status_hint or BAD_REQUEST_STATUS
             raise BadRequestError(status, str(error)) from error
 
-    async def _refuse_unread(self, error: BadRequestError) -> None:
+    async def _refuse_bad_request(self, error: BadRequestError) -> None:
         """Answer bytes that are no acceptable request, and close.
 
         What follows such bytes on the connection cannot be told from a request
@@ -229,9 +229,9 @@
         self.send(h11.Response(status_code=error.status, headers=headers))
         self.send(h11.Data(data=body))
         self.send(h11.EndOfMessage())
-        await self._let_caller_read()
+        await self._linger()
 
-    async def _let_caller_read(self) -> None:
+    async def _linger(self) -> None:
         """Drop what the caller still sends until it has read its refusal.
 
         Closed with bytes unread, the connection would be reset, and the reset can
@@ -243,19 +243,19 @@
             self.transport.write_eof()
         self._resume_reading()
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + LINGER_S
-        while not (self.lost or self._end_seen) and loop.time() < until_s:
-            await asyncio.sleep(LINGER_STEP_S)
+        until_s = loop.time() + LINGER_TIMEOUT_S
+        while not (self.lost or self._eof_seen) and loop.time() < until_s:
+            await asyncio.sleep(LINGER_POLL_S)
 
     #
     # What ``serve`` answers with
     #
 
-    def start(self, status: int, reason: bytes, headers: Headers) -> None:
+    def start_response(self, status: int, reason: bytes, headers: Headers) -> None:
         """Send the head of the answer."""
-        self.answer_started = True
+        self.response_started = True
         headers = list(headers)
-        if self._is_leaving():
+        if self._is_draining():
             headers.append((b"Connection", b"close"))
         else:
             idle_s = int(self._limits().idle_timeout_s)
@@ -269,11 +269,11 @@
         self._send_to_caller(h11.Data(data=data))
         await self.drain()
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """Mark the answer as complete."""
         self._send_to_caller(h11.EndOfMessage())
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """End an answer that must not look complete."""
         self.abort()
 
@@ -281,7 +281,7 @@
         try:
             self.send(event)
         except ConnectionLostError as error:
-            raise CallerGoneError("the caller closed its connection") from error
+            raise CallerDisconnectedError("the caller closed its connection") from error
 
 
 def refuse_ambiguous_framing(head: h11.Request) -> None:
--- a/acaciacove/gateway/http/answer_head.py
+++ b/acaciacove/gateway/http/response_head.py
@@ -4,10 +4,10 @@
 
 
 @frozen
-class AnswerHead:
+class ResponseHead:
     """Status and what the header fields of an answer say.
 
-    ``signed`` tells that the answer bears the endpoint's receipt. ``not_run``
+    ``has_receipt`` tells that the answer bears the endpoint's receipt. ``not_run``
     is the endpoint's word that it has not run the request. ``confidence`` is
     the model's own opinion, 0 to 100. ``load`` is (running, waiting, slots).
     ``idle_timeout_s`` is how long the endpoint keeps an idle connection.
@@ -19,7 +19,7 @@
     reason: bytes
     headers: tuple[tuple[bytes, bytes], ...]
     request_id: str | None
-    signed: bool
+    has_receipt: bool
     not_run: bool
     confidence: float | None
     load: tuple[int, int, int] | None
--- a/acaciacove/gateway/counted_log.py
+++ b/acaciacove/gateway/instrumented_log.py
@@ -7,13 +7,13 @@
 from acaciacove.gateway.gateway_metrics import GatewayMetrics
 from acaciacove.gateway.log_page import LogPage
 from acaciacove.gateway.log_stream import LogStream
-from acaciacove.gateway.metadata_log import LogMovedError, MetadataLog
+from acaciacove.gateway.metadata_log import AppendConflictError, MetadataLog
 from acaciacove.gateway.metric import Metric
 
 Result = TypeVar("Result")
 
 
-class CountedLog:
+class InstrumentedLog:
     """A log whose calls are counted by kind and result."""
 
     def __init__(self, metadata: MetadataLog, metrics: GatewayMetrics) -> None:
@@ -23,21 +23,23 @@
 
     async def newest(self, stream: LogStream) -> LogPage:
         """Return the newest record of each key."""
-        return await self._counted("newest", self._metadata.newest(stream))
+        return await self._count_call("newest", self._metadata.newest(stream))
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
         """Return records from an offset on."""
-        return await self._counted("read", self._metadata.read(stream, offset, wait_s))
+        return await self._count_call(
+            "read", self._metadata.read(stream, offset, wait_s)
+        )
 
     async def append(
         self, stream: LogStream, key: str, value: bytes, at: int | None
     ) -> int:
         """Append one record."""
-        return await self._counted(
+        return await self._count_call(
             "append", self._metadata.append(stream, key, value, at)
         )
 
-    async def _counted(self, call: str, made: Awaitable[Result]) -> Result:
+    async def _count_call(self, call: str, made: Awaitable[Result]) -> Result:
         result = "failed"
         try:
             answer = await made
@@ -46,7 +48,7 @@
         except OffsetExpiredError:
             result = "expired"
             raise
-        except LogMovedError:
+        except AppendConflictError:
             result = "moved"
             raise
         except PlatformUnavailableError:
--- a/acaciacove/gateway/log_limit.py
+++ b/acaciacove/gateway/log_limit.py
@@ -5,13 +5,13 @@
 from acaciacove.gateway.log_events import Event
 
 
-def log_limit(log: EventLog, state: EndpointState, told: bool) -> None:
-    """Log a limit or its end; ``told`` where another gateway got the answer."""
-    per_s = state.limit.per_s
+def log_limit(log: EventLog, state: EndpointState, from_peer: bool) -> None:
+    """Log a limit or its end; ``from_peer`` where another gateway got the answer."""
+    per_s = state.stated_limit.per_s
     log.write(
         Event.ENDPOINT_LIMITED,
         endpoint=state.endpoint.instance,
         per_s=per_s,
         lifted=True if per_s is None else None,
-        told=True if told else None,
+        told=True if from_peer else None,
     )
--- a/acaciacove/gateway/log_page.py
+++ b/acaciacove/gateway/log_page.py
@@ -11,16 +11,16 @@
 
     A page that another gateway told says how fresh it is: nothing but its records
     had been written ``complete_after_s`` after the question (negative: before it).
-    Pages of the log itself do not have it. ``returned_after_s`` is when, by the same
+    Pages of the log itself do not have it. ``recovered_after_s`` is when, by the same
     count, the log came back from its last absence that the other gateway knows of.
     """
 
     records: tuple[LogRecord, ...]
     next_offset: int
     complete_after_s: float | None = None
-    returned_after_s: float | None = None
+    recovered_after_s: float | None = None
 
     @property
-    def is_told(self) -> bool:
+    def is_relayed(self) -> bool:
         """Tell whether the page came from another gateway."""
         return self.complete_after_s is not None
--- a/acaciacove/gateway/metadata_log.py
+++ b/acaciacove/gateway/metadata_log.py
@@ -7,7 +7,7 @@
 from acaciacove.gateway.log_stream import LogStream
 
 
-class LogMovedError(AcaciacoveError):
+class AppendConflictError(AcaciacoveError):
     """A conditional append lost: the stream ends elsewhere by now."""
 
     def __init__(self, end_offset: int) -> None:
@@ -22,7 +22,7 @@
     ``newest`` returns the newest record of each key. ``read`` returns records
     from ``offset`` on, waiting up to ``wait_s`` for one, and raises
     OffsetExpiredError when they are gone. ``append`` writes one record, with
-    ``at`` only if the stream ends there (else LogMovedError), and returns the
+    ``at`` only if the stream ends there (else AppendConflictError), and returns the
     offset behind it.
     """
 
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -35,12 +35,12 @@
     )
     PEER_MESSAGES = ("peer_messages_total", "reports of gateways", ("direction",))
     PEER_BYTES = ("peer_bytes_total", "bytes of gateways' reports", ("direction",))
-    FIRST_PIECE = (
+    FIRST_CHUNK_SECONDS = (
         "first_piece_seconds",
         "from a request's first byte to the first piece of its answer",
         ("kind",),
     )
-    WHOLE = (
+    REQUEST_SECONDS = (
         "request_seconds",
         "from a request's first byte to the end of its answer",
         ("kind",),
--- a/acaciacove/gateway/operator_decision.py
+++ b/acaciacove/gateway/operator_decision.py
@@ -13,7 +13,7 @@
 
 
 @frozen
-class RolloutWish:
+class RolloutSpec:
     """Move a service to a version within a time."""
 
     service: str
@@ -21,4 +21,4 @@
     duration_s: float
 
 
-OperatorDecision = Catalogue | ZoneOut | RolloutWish
+OperatorDecision = Catalogue | ZoneOut | RolloutSpec
--- a/acaciacove/gateway/operator_reader.py
+++ b/acaciacove/gateway/operator_reader.py
@@ -5,36 +5,36 @@
 from attrs import define, field
 
 from acaciacove.errors import MalformedMessageError
-from acaciacove.gateway.beliefs import Beliefs
 from acaciacove.gateway.catalogue.catalogue import Catalogue
 from acaciacove.gateway.catalogue.rollout_order import RolloutOrder
 from acaciacove.gateway.event_log import EventLog
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.log_reading import LogReading
 from acaciacove.gateway.log_record import LogRecord
-from acaciacove.gateway.operator_decision import RolloutWish, ZoneOut
+from acaciacove.gateway.operator_decision import RolloutSpec, ZoneOut
 from acaciacove.gateway.record_codec import RecordCodec
+from acaciacove.gateway.routing_view import RoutingView
 
 
 @define(eq=False)
 class OperatorReader:
     """Applies records in offset order; never an older one over a newer."""
 
-    beliefs: Beliefs
+    view: RoutingView
     codec: RecordCodec
     log: EventLog
     _offsets: dict[str, int] = field(factory=dict)
 
     def apply_reading(self, reading: LogReading) -> None:
         """Take what one look at the stream has shown."""
-        if reading.is_newest:
-            self.apply_newest(reading.page.records)
+        if reading.is_snapshot:
+            self.apply_snapshot(reading.page.records)
         else:
             for record in reading.page.records:
                 self.apply(record)
-        self.beliefs.confirm(reading.complete_boot_s)
+        self.view.confirm(reading.complete_boot_s)
 
-    def apply_newest(self, records: tuple[LogRecord, ...]) -> None:
+    def apply_snapshot(self, records: tuple[LogRecord, ...]) -> None:
         """Take the newest of each key; keys that are missing were removed."""
         listed = {record.key for record in records}
         newest = max((r.offset for r in records), default=-1)
@@ -48,9 +48,7 @@
         if record.offset <= self._offsets.get(record.key, -1):
             return
         self._offsets[record.key] = record.offset
-        self.beliefs.operator_revision = max(
-            self.beliefs.operator_revision, record.offset
-        )
+        self.view.operator_revision = max(self.view.operator_revision, record.offset)
         if record.value is None:
             self._remove(record)
             return
@@ -65,12 +63,12 @@
             )
             return
         if isinstance(decision, Catalogue):
-            self.beliefs.catalogue = decision
-            self._tell_unpriced(decision)
+            self.view.catalogue = decision
+            self._log_unpriced(decision)
         elif isinstance(decision, ZoneOut):
-            self.beliefs.zones_out[decision.availability_zone] = record.offset
-        elif isinstance(decision, RolloutWish):
-            self.beliefs.orders[decision.service] = RolloutOrder(
+            self.view.zones_out[decision.availability_zone] = record.offset
+        elif isinstance(decision, RolloutSpec):
+            self.view.orders[decision.service] = RolloutOrder(
                 service=decision.service,
                 target=decision.target,
                 duration_s=decision.duration_s,
@@ -84,7 +82,7 @@
             version=decision.version if isinstance(decision, Catalogue) else None,
         )
 
-    def _tell_unpriced(self, catalogue: Catalogue) -> None:
+    def _log_unpriced(self, catalogue: Catalogue) -> None:
         """Say which models have no price; they are taken to cost nothing."""
         for route in catalogue.routes:
             for share in route.shares:
@@ -102,8 +100,8 @@
     def _remove(self, record: LogRecord) -> None:
         zone = self.codec.removed_zone(record.key)
         if zone is not None:
-            self.beliefs.zones_out.pop(zone, None)
+            self.view.zones_out.pop(zone, None)
         service = self.codec.removed_rollout(record.key)
         if service is not None:
-            self.beliefs.orders.pop(service, None)
+            self.view.orders.pop(service, None)
         self.log.write(Event.DECISION_REMOVED, key=record.key, revision=record.offset)
--- a/acaciacove/gateway/outcome_duty.py
+++ b/acaciacove/gateway/outcome_recorder.py
@@ -13,7 +13,7 @@
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
-from acaciacove.gateway.metadata_log import LogMovedError, MetadataLog
+from acaciacove.gateway.metadata_log import AppendConflictError, MetadataLog
 from acaciacove.gateway.record_codec import RecordCodec
 from acaciacove.gateway.rollout.evidence import total
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
@@ -30,11 +30,11 @@
 FLEET_READS_PER_S = 2.0
 # Gateways record in turn, this long after each other, so that mostly one call is
 # made; the condition of the append settles races.
-TURN_S = 0.2
+SLOT_S = 0.2
 RETRY_S = 0.4
 
 
-class OutcomeDuty:
+class OutcomeRecorder:
     """Runs in every gateway; whoever is first in turn records the outcome."""
 
     def __init__(
@@ -53,10 +53,10 @@
         """Judge and record until cancelled."""
         while not await self._read_outcomes():
             await asyncio.sleep(STEP_EVERY_S)
-        self._gateway.beliefs.outcomes_known = True
+        self._gateway.view.outcomes_loaded = True
         while True:
             await asyncio.sleep(STEP_EVERY_S)
-            self._follow_orders()
+            self._sync_orders()
             if not self._gateway.rollouts:
                 continue
             now_s = asyncio.get_running_loop().time()
@@ -64,20 +64,20 @@
                 await self._read_outcomes()
             for progress in list(self._gateway.rollouts.values()):
                 self._step(progress)
-                wanted = self._wanted(progress)
+                wanted = self._missing_state(progress)
                 if wanted is not None:
-                    await self._record_in_turn(progress, wanted)
+                    await self._record_in_slot(progress, wanted)
 
     def _read_every_s(self) -> float:
-        if self._gateway.outcomes_told > self._next_offset:
+        if self._gateway.peer_outcomes_offset > self._next_offset:
             return RETRY_S
         return max(READ_EVERY_S, self._gateway.gateway_count / FLEET_READS_PER_S)
 
-    def _follow_orders(self) -> None:
+    def _sync_orders(self) -> None:
         """Open and close roll-outs as orders and outcomes say."""
         gateway = self._gateway
         for service in list(gateway.rollouts):
-            order = gateway.beliefs.orders.get(service)
+            order = gateway.view.orders.get(service)
             progress = gateway.rollouts[service]
             if (
                 order is None
@@ -85,14 +85,14 @@
                 or self._is_ended(order)
             ):
                 del gateway.rollouts[service]
-        for service, order in gateway.beliefs.orders.items():
+        for service, order in gateway.view.orders.items():
             if service not in gateway.rollouts and not self._is_ended(order):
                 gateway.rollouts[service] = RolloutProgress(
                     order, began_s=order.seen_s, phase_since_s=order.seen_s
                 )
 
     def _is_ended(self, order: RolloutOrder) -> bool:
-        outcome = self._gateway.beliefs.outcomes.get(order.service)
+        outcome = self._gateway.view.outcomes.get(order.service)
         return (
             outcome is not None
             and outcome.target == order.target
@@ -116,14 +116,14 @@
             # The followers of the decisions have said so; the next round reads on.
             return False
         for record in page.records:
-            self._take(record)
+            self._apply(record)
         self._next_offset = page.next_offset
         self._gateway.outcomes_offset = page.next_offset
         if page.records:
             self._gateway.outcomes_changed_s = self._read_s
         return True
 
-    def _take(self, record: LogRecord) -> None:
+    def _apply(self, record: LogRecord) -> None:
         if record.offset <= self._offsets.get(record.key, -1):
             return
         self._offsets[record.key] = record.offset
@@ -135,7 +135,7 @@
             )
             return
         if outcome is not None:
-            self._gateway.beliefs.outcomes[outcome.service] = outcome
+            self._gateway.view.outcomes[outcome.service] = outcome
 
     def _step(self, progress: RolloutProgress) -> None:
         phase = progress.phase
@@ -146,13 +146,13 @@
             self._log_phase(progress, now_s)
 
     def _capacity(self, order: RolloutOrder) -> VersionCapacity:
-        beliefs = self._gateway.beliefs
+        view = self._gateway.view
         usable = [
             endpoint.version == order.target
-            for endpoint in beliefs.endpoints.values()
+            for endpoint in view.endpoints.values()
             if endpoint.service == order.service
-            and not endpoint.leaving
-            and endpoint.availability_zone not in beliefs.zones_out
+            and not endpoint.draining
+            and endpoint.availability_zone not in view.zones_out
         ]
         return VersionCapacity(target=sum(usable), old=len(usable) - sum(usable))
 
@@ -178,7 +178,7 @@
             peers=len(progress.peer_views),
         )
 
-    def _wanted(self, progress: RolloutProgress) -> RolloutState | None:
+    def _missing_state(self, progress: RolloutProgress) -> RolloutState | None:
         """Return the state that ought to be recorded and is not."""
         if progress.phase is RolloutPhase.STOPPED:
             return RolloutState.ROLLED_BACK
@@ -187,18 +187,18 @@
         settings = self._gateway.rollout_settings
         if may_complete(progress, settings, capacity, now_s):
             return RolloutState.COMPLETED
-        known = self._gateway.beliefs.outcomes.get(progress.order.service)
+        known = self._gateway.view.outcomes.get(progress.order.service)
         if known is None or known.target != progress.order.target:
             return RolloutState.IN_PROGRESS
         return None
 
-    async def _record_in_turn(
+    async def _record_in_slot(
         self, progress: RolloutProgress, state: RolloutState
     ) -> None:
         now_s = asyncio.get_running_loop().time()
         key = (progress.order.service, state)
         if key not in self._due_s:
-            self._due_s[key] = now_s + TURN_S * self._turn()
+            self._due_s[key] = now_s + SLOT_S * self._slot()
         if now_s < self._due_s[key]:
             return
         self._due_s[key] = now_s + RETRY_S
@@ -207,10 +207,10 @@
         # anything was written after that.
         if not await self._read_outcomes() or self._is_ended(progress.order):
             return
-        if self._wanted(progress) is state:
+        if self._missing_state(progress) is state:
             await self._record(progress, state)
 
-    def _turn(self) -> int:
+    def _slot(self) -> int:
         name = self._gateway.settings.name
         return sorted({name, *self._gateway.peers}).index(name)
 
@@ -223,7 +223,7 @@
             await self._metadata.append(
                 LogStream.OUTCOMES, name, value, self._next_offset
             )
-        except (LogMovedError, PlatformUnavailableError) as error:
+        except (AppendConflictError, PlatformUnavailableError) as error:
             self._gateway.log.write(
                 Event.ROLLOUT_NOT_RECORDED,
                 service=order.service,
--- a/acaciacove/gateway/peers/datagrams.py
+++ b/acaciacove/gateway/peers/datagrams.py
@@ -4,10 +4,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-Take = Callable[[bytes], None]
+OnDatagram = Callable[[bytes], None]
 
 
-class Datagrams(Protocol):
+class DatagramSocket(Protocol):
     """A socket for datagrams."""
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
@@ -23,11 +23,11 @@
         ...
 
 
-OpenDatagrams = Callable[[str, int, Take], Awaitable[Datagrams]]
+OpenDatagramSocket = Callable[[str, int, OnDatagram], Awaitable[DatagramSocket]]
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    def __init__(self, take: Take) -> None:
+    def __init__(self, take: OnDatagram) -> None:
         self._take = take
 
     def datagram_received(self, data: bytes, addr: object) -> None:
@@ -38,8 +38,8 @@
         """Leave a refused datagram: its receiver is down, and says so by silence."""
 
 
-async def open_udp(host: str, port: int, take: Take) -> Any:
-    """Open a UDP socket that hands each datagram to ``take``."""
+async def open_udp(host: str, port: int, take: OnDatagram) -> Any:
+    """Open a UDP socket that hands each datagram to ``apply``."""
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
         lambda: _Receiver(take), local_addr=(host, port)
--- a/acaciacove/gateway/peers/peer.py
+++ b/acaciacove/gateway/peers/peer.py
@@ -5,16 +5,16 @@
 
 @define(eq=False)
 class Peer:
-    """``known_s`` is when it was last heard or its record first read.
+    """``last_seen_s`` is when it was last heard or its record first read.
 
-    ``heard_nonce`` is the nonce of its last report, echoed to it.
+    ``last_nonce`` is the nonce of its last report, echoed to it.
     """
 
     instance: str
     host: str
     port: int
     availability_zone: str
-    known_s: float
+    last_seen_s: float
     incarnation: int = 0
-    heard_s: float = -1e9
-    heard_nonce: int = 0
+    last_report_s: float = -1e9
+    last_nonce: int = 0
--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -13,17 +13,21 @@
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.metadata_log import MetadataLog
 from acaciacove.gateway.metric import Metric
-from acaciacove.gateway.peers.datagrams import Datagrams, OpenDatagrams, open_udp
-from acaciacove.gateway.peers.limit_talk import LimitTalk
+from acaciacove.gateway.peers.datagrams import (
+    DatagramSocket,
+    OpenDatagramSocket,
+    open_udp,
+)
+from acaciacove.gateway.peers.gossip_sender import GossipSender
+from acaciacove.gateway.peers.limit_gossip import LimitGossip
 from acaciacove.gateway.peers.member_record import (
     MemberRecord,
     read_member,
     write_member,
 )
 from acaciacove.gateway.peers.peer import Peer
-from acaciacove.gateway.peers.request_talk import RequestTalk
-from acaciacove.gateway.peers.tell_few import TellFew
-from acaciacove.gateway.peers.work_news import WorkNews
+from acaciacove.gateway.peers.request_gossip import RequestGossip
+from acaciacove.gateway.peers.work_gossip import WorkGossip
 from acaciacove.messages.gateway_report import GatewayReport
 from acaciacove.messages.limit_news import LimitNews
 from acaciacove.messages.request_news import RequestNews
@@ -33,25 +37,25 @@
 
 # Pace of reports: fast while a roll-out is judged or the log cannot be reached,
 # else just often enough to tell living peers from dead ones.
-BUSY_EVERY_S = 0.3
-CALM_EVERY_S = 2.0
+BUSY_REPORT_INTERVAL_S = 0.3
+IDLE_REPORT_INTERVAL_S = 2.0
 # An outcome of a roll-out that was read here is passed on for this long.
-OUTCOME_NEWS_S = 2.0
+BUSY_AFTER_OUTCOME_S = 2.0
 # Peers that one round of reports goes to; the others learn in later rounds.
 FANOUT = 4
 # The age of the own beliefs from which peers are asked to confirm them.
-ASK_AGE_S = 2.0
+CONFIRM_AGE_S = 2.0
 # How long a peer that is not heard counts among those that share the bounds.
 # A machine that is cut off goes on serving; one that is gone for good only makes
 # the shares of the others smaller.
-MEMBER_LIFE_S = 60.0
+MEMBER_EXPIRY_S = 60.0
 # New peers introduce themselves, and random reports make up for a word that was lost;
 # the log's list is read at the start, and again in case that both failed.
-READ_MEMBERS_EVERY_S = 60.0
-LIST_RETRY_S = 2.0
+READ_MEMBERS_INTERVAL_S = 60.0
+READ_MEMBERS_RETRY_S = 2.0
 JOIN_RETRY_S = 0.5
 # Own questions that an answer may still come to.
-MAX_NONCES = 512
+MAX_PENDING_NONCES = 512
 
 
 def _now_s() -> float:
@@ -65,50 +69,57 @@
         self,
         gateway: Gateway,
         metadata: MetadataLog,
-        open_datagrams: OpenDatagrams | None = None,
+        open_socket: OpenDatagramSocket | None = None,
     ) -> None:
-        """Begin without peers; ``open_datagrams`` replaces UDP in tests."""
-        self._open_datagrams = open_datagrams or open_udp
+        """Begin without peers; ``open_socket`` replaces UDP in tests."""
+        self._open_datagrams = open_socket or open_udp
         self._gateway = gateway
         self._metadata = metadata
         self._peers: dict[str, Peer] = {}
-        self._transport: Datagrams | None = None
+        self._transport: DatagramSocket | None = None
         self._incarnation = time.time_ns()
-        self._nonces: dict[int, float] = {}
+        self._pending_nonces: dict[int, float] = {}
         self._next_nonce = 0
-        self._work_news = WorkNews(
+        self._work_gossip = WorkGossip(
             lambda: gateway.members.values(),
-            self._send_data,
+            self._send_datagram,
             gateway.states,
             gateway.log,
         )
-        few = TellFew(
-            lambda: gateway.members.values(), self._send_data, gateway.random, _now_s
+        sender = GossipSender(
+            lambda: gateway.members.values(),
+            self._send_datagram,
+            gateway.random,
+            _now_s,
+        )
+        self._request_gossip = RequestGossip(
+            sender, gateway.guard, gateway.random, _now_s
         )
-        self._request_talk = RequestTalk(few, gateway.guard, gateway.random, _now_s)
-        self._limit_talk = LimitTalk(
-            few, gateway.states, gateway.log, gateway.random, _now_s
+        self._limit_gossip = LimitGossip(
+            sender, gateway.states, gateway.log, gateway.random, _now_s
         )
 
     async def open(self) -> None:
         """Listen for peers."""
         settings = self._gateway.settings
         self._transport = await self._open_datagrams(
-            settings.host, settings.peer_port, self._take
+            settings.host, settings.peer_port, self._receive
         )
-        self._gateway.tell_work = self._work_news.tell
-        self._gateway.guard.tell = self._request_talk.tell
-        self._gateway.guard.tell_all = self._request_talk.tell_all
-        self._gateway.tell_limit = self._limit_talk.tell
+        self._gateway.gossip_work = self._work_gossip.send_update
+        self._gateway.guard.send_update = self._request_gossip.send_update
+        self._gateway.guard.broadcast_update = self._request_gossip.broadcast_update
+        self._gateway.gossip_limit = self._limit_gossip.send_update
 
     async def run(self) -> None:
         """Join, and report until cancelled."""
-        members = asyncio.create_task(self._follow_members())
+        members = asyncio.create_task(self._poll_members())
         try:
             while True:
-                self._report_to_some()
+                self._send_reports()
                 busy = self._is_busy()
-                await asyncio.sleep(BUSY_EVERY_S if busy else CALM_EVERY_S)
+                await asyncio.sleep(
+                    BUSY_REPORT_INTERVAL_S if busy else IDLE_REPORT_INTERVAL_S
+                )
         finally:
             members.cancel()
             if self._transport is not None:
@@ -119,16 +130,16 @@
         changed_s = asyncio.get_running_loop().time() - gateway.outcomes_changed_s
         return (
             bool(gateway.rollouts)
-            or gateway.beliefs.confirmed_age_s > ASK_AGE_S
-            or changed_s < OUTCOME_NEWS_S
-            or self._request_talk.has_news
+            or gateway.view.confirmed_age_s > CONFIRM_AGE_S
+            or changed_s < BUSY_AFTER_OUTCOME_S
+            or self._request_gossip.has_recent_update
         )
 
     #
     # Who the peers are
     #
 
-    async def _follow_members(self) -> None:
+    async def _poll_members(self) -> None:
         await self._join()
         offset = -1
         while True:
@@ -143,14 +154,14 @@
             except PlatformUnavailableError:
                 # Said already by the followers of the decisions; peers that are
                 # known stay known.
-                await asyncio.sleep(LIST_RETRY_S)
+                await asyncio.sleep(READ_MEMBERS_RETRY_S)
                 continue
             offset = page.next_offset
             for record in page.records:
                 if record.value is not None:
-                    self._learn(record.key, record.value)
-            self._gateway.members_known = True
-            await asyncio.sleep(READ_MEMBERS_EVERY_S)
+                    self._apply_member(record.key, record.value)
+            self._gateway.members_loaded = True
+            await asyncio.sleep(READ_MEMBERS_INTERVAL_S)
 
     async def _join(self) -> None:
         settings = self._gateway.settings
@@ -169,7 +180,7 @@
             except PlatformUnavailableError:
                 await asyncio.sleep(JOIN_RETRY_S)
 
-    def _learn(self, key: str, value: bytes) -> None:
+    def _apply_member(self, key: str, value: bytes) -> None:
         try:
             member = read_member(key, value)
         except MalformedMessageError as error:
@@ -185,9 +196,9 @@
                 host=member.host,
                 port=member.port,
                 availability_zone=member.availability_zone,
-                known_s=now_s,
+                last_seen_s=now_s,
             )
-            self._send(self._peers[member.instance], reply_wanted=True)
+            self._send_report(self._peers[member.instance], reply_wanted=True)
             self._gateway.log.write(Event.PEER_KNOWN, peer=member.instance)
         self._update_membership(now_s)
 
@@ -195,7 +206,7 @@
         members = [
             peer
             for peer in self._peers.values()
-            if now_s - peer.known_s < MEMBER_LIFE_S
+            if now_s - peer.last_seen_s < MEMBER_EXPIRY_S
         ]
         self._gateway.members = {peer.instance: peer for peer in members}
 
@@ -203,21 +214,21 @@
     # Reports
     #
 
-    def _report_to_some(self) -> None:
+    def _send_reports(self) -> None:
         now_s = asyncio.get_running_loop().time()
         self._update_membership(now_s)
         peers = list(self._peers.values())
         chosen = self._gateway.random.sample(peers, min(FANOUT, len(peers)))
-        asks = self._gateway.beliefs.confirmed_age_s > ASK_AGE_S
+        asks = self._gateway.view.confirmed_age_s > CONFIRM_AGE_S
         for peer in chosen:
-            self._send(peer, reply_wanted=asks)
+            self._send_report(peer, reply_wanted=asks)
 
-    def _send(self, peer: Peer, reply_wanted: bool) -> None:
-        self._send_data(encode(self._report(peer, reply_wanted)), peer)
-        self._request_talk.tell_some(peer)
-        self._limit_talk.tell_some(peer)
+    def _send_report(self, peer: Peer, reply_wanted: bool) -> None:
+        self._send_datagram(encode(self._build_report(peer, reply_wanted)), peer)
+        self._request_gossip.send_state(peer)
+        self._limit_gossip.send_state(peer)
 
-    def _send_data(self, data: bytes, peer: Peer) -> None:
+    def _send_datagram(self, data: bytes, peer: Peer) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.sendto(data, (peer.host, peer.port))
@@ -228,25 +239,25 @@
         metrics.count(Metric.PEER_MESSAGES, direction)
         metrics.count(Metric.PEER_BYTES, direction, amount=len(data))
 
-    def _report(self, peer: Peer, reply_wanted: bool) -> GatewayReport:
+    def _build_report(self, peer: Peer, reply_wanted: bool) -> GatewayReport:
         gateway = self._gateway
         now_s = asyncio.get_running_loop().time()
         self._next_nonce += 1
-        self._nonces[self._next_nonce] = gateway.beliefs.clock_s()
-        while len(self._nonces) > MAX_NONCES:
-            del self._nonces[next(iter(self._nonces))]
+        self._pending_nonces[self._next_nonce] = gateway.view.clock_s()
+        while len(self._pending_nonces) > MAX_PENDING_NONCES:
+            del self._pending_nonces[next(iter(self._pending_nonces))]
         cells: list[VersionCell] = []
         for progress in gateway.rollouts.values():
-            cells += progress.own_cells()
+            cells += progress.local_cells()
         settings = gateway.settings
         return GatewayReport(
             instance=settings.name,
             incarnation=self._incarnation,
             address=f"{settings.host}:{settings.peer_port}",
-            revision=gateway.beliefs.operator_revision,
-            confirmed_age_s=gateway.beliefs.confirmed_age_s,
+            revision=gateway.view.operator_revision,
+            confirmed_age_s=gateway.view.confirmed_age_s,
             nonce=self._next_nonce,
-            echo=peer.heard_nonce,
+            echo=peer.last_nonce,
             reply_wanted=reply_wanted,
             rollouts=tuple(p.view(now_s) for p in gateway.rollouts.values()),
             cells=tuple(cells),
@@ -254,7 +265,7 @@
             outcomes_offset=gateway.outcomes_offset,
         )
 
-    def _take(self, data: bytes) -> None:
+    def _receive(self, data: bytes) -> None:
         self._count("taken", data)
         try:
             message = decode(data)
@@ -263,29 +274,29 @@
             return
         now_s = asyncio.get_running_loop().time()
         if isinstance(message, WorkSent):
-            self._work_news.take(message, now_s)
+            self._work_gossip.apply(message, now_s)
         elif isinstance(message, RequestNews):
-            self._request_talk.take(message)
+            self._request_gossip.apply(message)
         elif isinstance(message, LimitNews):
-            self._limit_talk.take(message)
+            self._limit_gossip.apply(message)
         elif isinstance(message, GatewayReport):
-            self._take_report(message, now_s)
+            self._apply_report(message, now_s)
 
-    def _take_report(self, report: GatewayReport, now_s: float) -> None:
+    def _apply_report(self, report: GatewayReport, now_s: float) -> None:
         if report.instance == self._gateway.settings.name:
             return
-        peer = self._peer_of(report, now_s)
-        peer.known_s = peer.heard_s = now_s
+        peer = self._find_or_add_peer(report, now_s)
+        peer.last_seen_s = peer.last_report_s = now_s
         peer.incarnation = report.incarnation
-        peer.heard_nonce = report.nonce
-        told = max(self._gateway.outcomes_told, report.outcomes_offset)
-        self._gateway.outcomes_told = told
-        self._confirm(report)
-        self._take_rollouts(report, now_s)
+        peer.last_nonce = report.nonce
+        told = max(self._gateway.peer_outcomes_offset, report.outcomes_offset)
+        self._gateway.peer_outcomes_offset = told
+        self._confirm_view(report)
+        self._apply_rollouts(report, now_s)
         if report.reply_wanted:
-            self._send(peer, reply_wanted=False)
+            self._send_report(peer, reply_wanted=False)
 
-    def _peer_of(self, report: GatewayReport, now_s: float) -> Peer:
+    def _find_or_add_peer(self, report: GatewayReport, now_s: float) -> Peer:
         host, _, port = report.address.rpartition(":")
         known = self._peers.get(report.instance)
         if known is None or (known.host, known.port) != (host, int(port)):
@@ -294,27 +305,27 @@
                 host=host,
                 port=int(port),
                 availability_zone=report.availability_zone,
-                known_s=now_s,
+                last_seen_s=now_s,
             )
             self._peers[report.instance] = known
             self._gateway.log.write(Event.PEER_KNOWN, peer=report.instance)
             self._update_membership(now_s)
         return known
 
-    def _confirm(self, report: GatewayReport) -> None:
+    def _confirm_view(self, report: GatewayReport) -> None:
         """Take a peer's word that the own decisions are the newest.
 
         Its answer was made after the own question went out, so the peer asked the
         log no longer before that question than its age says. A report without an
         echo may have waited in a queue for any time, and confirms nothing.
         """
-        asked_boot_s = self._nonces.get(report.echo)
-        beliefs = self._gateway.beliefs
+        asked_boot_s = self._pending_nonces.get(report.echo)
+        beliefs = self._gateway.view
         if asked_boot_s is None or report.revision != beliefs.operator_revision:
             return
         beliefs.confirm(asked_boot_s - report.confirmed_age_s)
 
-    def _take_rollouts(self, report: GatewayReport, now_s: float) -> None:
+    def _apply_rollouts(self, report: GatewayReport, now_s: float) -> None:
         peer = f"{report.instance}/{report.incarnation}"
         for view in report.rollouts:
             progress = self._gateway.rollouts.get(view.service)
@@ -325,4 +336,4 @@
                 for cell in report.cells
                 if cell.service == view.service and cell.revision == view.revision
             ]
-            progress.take_peer(peer, view, cells, now_s)
+            progress.apply_peer_counts(peer, view, cells, now_s)
--- a/acaciacove/gateway/peers/talk_to_peers.py
+++ b/acaciacove/gateway/peers/serve_peers.py
@@ -3,26 +3,26 @@
 from acaciacove.daemon.message_server import message_server
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.metadata_log import MetadataLog
-from acaciacove.gateway.peers.datagrams import OpenDatagrams
+from acaciacove.gateway.peers.datagrams import OpenDatagramSocket
 from acaciacove.gateway.peers.peer_network import PeerNetwork
-from acaciacove.gateway.relay.tell_records import tell_records
+from acaciacove.gateway.relay.serve_records import serve_records
 from acaciacove.wire.connection import Connection
 
 
-async def talk_to_peers(
+async def serve_peers(
     gateway: Gateway,
     metadata: MetadataLog,
-    open_datagrams: OpenDatagrams | None = None,
+    open_socket: OpenDatagramSocket | None = None,
 ) -> None:
     """Listen for peers and report to them until cancelled."""
     settings = gateway.settings
 
     async def tell(connection: Connection) -> None:
-        await tell_records(
-            connection, gateway.tails, gateway.beliefs.clock_s, gateway.pace
+        await serve_records(
+            connection, gateway.tails, gateway.view.clock_s, gateway.relay_intervals
         )
 
-    peers = PeerNetwork(gateway, metadata, open_datagrams)
+    peers = PeerNetwork(gateway, metadata, open_socket)
     async with message_server((settings.host, settings.peer_port), tell):
         await peers.open()
         await peers.run()
--- a/acaciacove/gateway/quarantine/crash_watch.py
+++ b/acaciacove/gateway/quarantine/crash_detector.py
@@ -12,20 +12,20 @@
 from acaciacove.gateway.http.errors import ConnectFailedError, ConnectRefusedError
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.metric import Metric
-from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
+from acaciacove.gateway.quarantine.request_fingerprint import format_fingerprint
 
 # Requests of one crash are lost within milliseconds of each other.
-GATHER_S = 0.02
+GATHER_WINDOW_S = 0.02
 # A machine that answers nothing within this is out of reach, which proves no crash.
 CHECK_TIMEOUT_S = 0.4
 # Of the requests of one crash, those that are named in the log.
-MAX_LOGGED = 16
+MAX_LOGGED_FINGERPRINTS = 16
 
 OnCrash = Callable[[Endpoint, list[int], float], None]
 
 
 @define(eq=False)
-class CrashWatch:
+class CrashDetector:
     """Asks an endpoint for a connection after requests at it were lost.
 
     A process that has ended refuses it, whatever broke the others: a reset on the
@@ -39,7 +39,7 @@
     _lost: dict[EndpointState, list[int]] = field(factory=dict)
     _checks: set[asyncio.Task[None]] = field(factory=set)
 
-    def note_lost(self, state: EndpointState, fingerprint: int) -> None:
+    def record_lost_request(self, state: EndpointState, fingerprint: int) -> None:
         """Note a request whose connection broke while the endpoint may have run it."""
         gathered = self._lost.get(state)
         if gathered is not None:
@@ -52,8 +52,8 @@
 
     async def _check(self, state: EndpointState) -> None:
         try:
-            await asyncio.sleep(GATHER_S)
-            if not state.crashed and await self._refuses(state):
+            await asyncio.sleep(GATHER_WINDOW_S)
+            if not state.crashed and await self._refuses_connections(state):
                 state.crashed = True
                 self.metrics.count(Metric.ENDPOINT_CRASHES)
         finally:
@@ -66,14 +66,16 @@
             Event.ENDPOINT_CRASHED,
             endpoint=endpoint,
             lost=len(lost),
-            fingerprints=[written_fingerprint(each) for each in lost[:MAX_LOGGED]],
+            fingerprints=[
+                format_fingerprint(each) for each in lost[:MAX_LOGGED_FINGERPRINTS]
+            ],
         )
         now_s = asyncio.get_running_loop().time()
         self.on_crash(state.endpoint, lost, now_s)
 
-    async def _refuses(self, state: EndpointState) -> bool:
+    async def _refuses_connections(self, state: EndpointState) -> bool:
         try:
-            await state.pool.check(CHECK_TIMEOUT_S)
+            await state.pool.check_connect(CHECK_TIMEOUT_S)
         except ConnectRefusedError:
             return True
         except ConnectFailedError as error:
--- a/acaciacove/gateway/quarantine/quarantine_records.py
+++ b/acaciacove/gateway/quarantine/quarantine_records.py
@@ -15,23 +15,23 @@
 from acaciacove.gateway.metadata_log import MetadataLog
 from acaciacove.gateway.quarantine.request_guard import RequestGuard
 from acaciacove.gateway.quarantine.request_record import (
-    key_of,
-    read_record,
-    write_record,
+    decode_record,
+    encode_record,
+    record_key,
 )
 
-RETRY_S = 0.5
-NOTHING = b""
+RETRY_INTERVAL_S = 0.5
+TOMBSTONE = b""
 
 
-async def keep_records(
+async def sync_records(
     guard: RequestGuard, metadata: MetadataLog, log: EventLog
 ) -> None:
     """Take up what the log holds, then write what is new, until cancelled."""
     await _restore(guard, metadata, log)
     while True:
-        await guard.to_record.wait()
-        guard.to_record.clear()
+        await guard.has_pending_records.wait()
+        guard.has_pending_records.clear()
         while guard.records:
             await _write_oldest(guard, metadata)
 
@@ -44,16 +44,16 @@
         except PlatformUnavailableError:
             # Said already by the followers of the decisions; other gateways tell
             # what they know in the meantime.
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
     for record in page.records:
-        _take_up(guard, record, log)
+        _restore_record(guard, record, log)
 
 
-def _take_up(guard: RequestGuard, record: LogRecord, log: EventLog) -> None:
+def _restore_record(guard: RequestGuard, record: LogRecord, log: EventLog) -> None:
     if record.value is None:
         return
     try:
-        found = read_record(record.key, record.value)
+        found = decode_record(record.key, record.value)
     except MalformedMessageError as error:
         log.write(Event.RECORD_UNREADABLE, key=record.key, detail=str(error))
         return
@@ -61,17 +61,19 @@
         guard.restore(found, asyncio.get_running_loop().time())
     else:
         guard.records[found.fingerprint] = None
-        guard.to_record.set()
+        guard.has_pending_records.set()
 
 
 async def _write_oldest(guard: RequestGuard, metadata: MetadataLog) -> None:
     fingerprint, record = next(iter(guard.records.items()))
-    value = write_record(record) if record is not None else NOTHING
+    value = encode_record(record) if record is not None else TOMBSTONE
     try:
-        await metadata.append(LogStream.QUARANTINE, key_of(fingerprint), value, None)
+        await metadata.append(
+            LogStream.QUARANTINE, record_key(fingerprint), value, None
+        )
     except PlatformUnavailableError:
         # An append without an answer may have been taken; the same again does no harm.
-        await asyncio.sleep(RETRY_S)
+        await asyncio.sleep(RETRY_INTERVAL_S)
         return
     if guard.records.get(fingerprint, record) is record:
         guard.records.pop(fingerprint, None)
--- a/acaciacove/gateway/quarantine/request_record.py
+++ b/acaciacove/gateway/quarantine/request_record.py
@@ -6,9 +6,9 @@
 from attrs import frozen
 
 from acaciacove.errors import MalformedMessageError
-from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
+from acaciacove.gateway.quarantine.request_fingerprint import format_fingerprint
 
-HEX = 16
+HEX_BASE = 16
 
 
 @frozen
@@ -23,28 +23,28 @@
     until_s: float
 
 
-def key_of(fingerprint: int) -> str:
+def record_key(fingerprint: int) -> str:
     """Return the key of a request's record."""
-    return written_fingerprint(fingerprint)
+    return format_fingerprint(fingerprint)
 
 
-def write_record(record: RequestRecord) -> bytes:
+def encode_record(record: RequestRecord) -> bytes:
     """Return the bytes of a record."""
     document = {"quarantined": record.quarantined, "until_s": record.until_s}
     return orjson.dumps(document)
 
 
-def read_record(key: str, value: bytes) -> RequestRecord:
+def decode_record(key: str, value: bytes) -> RequestRecord:
     """Read a record; raises MalformedMessageError."""
     try:
         document = orjson.loads(value)
         record = RequestRecord(
-            fingerprint=int(key, HEX),
+            fingerprint=int(key, HEX_BASE),
             quarantined=bool(document["quarantined"]),
             until_s=float(document["until_s"]),
         )
     except (ValueError, KeyError, TypeError) as error:
         raise MalformedMessageError(f"{key}: {error!r}") from error
-    if not math.isfinite(record.until_s) or key != key_of(record.fingerprint):
+    if not math.isfinite(record.until_s) or key != record_key(record.fingerprint):
         raise MalformedMessageError(f"{key}: not a record of a request")
     return record
--- a/acaciacove/gateway/refuse.py
+++ b/acaciacove/gateway/refuse.py
@@ -6,7 +6,7 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-STATUS = {
+STATUS_BY_REASON = {
     Reason.BAD_TOKEN: 401,
     Reason.UNKNOWN_API: 404,
     Reason.NOT_READY: 503,
@@ -20,14 +20,14 @@
     Reason.OUTCOME_UNKNOWN: 502,
 }
 # Statuses that promise that the request has not run and will not.
-PROMISING = frozenset({408, 421, 429, 503})
+NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 DEFAULT_RETRY_AFTER_S = 0.5
 
 
 async def refuse(front: FrontConnection, refusal: Refusal) -> int:
     """Send a refusal as a complete answer; returns its status."""
-    status = STATUS[refusal.reason]
-    if status in PROMISING and not refusal.not_run:
+    status = STATUS_BY_REASON[refusal.reason]
+    if status in NOT_RUN_STATUSES and not refusal.not_run:
         # A status that promises "not run" for a request that may have run would
         # let its caller repeat a payment.
         status = 502
@@ -42,10 +42,10 @@
         (b"Content-Type", b"application/problem+json"),
         (b"Content-Length", str(len(body)).encode()),
     ]
-    if status in PROMISING:
+    if status in NOT_RUN_STATUSES:
         after_s = refusal.retry_after_s or DEFAULT_RETRY_AFTER_S
         headers.append((b"Retry-After", f"{after_s:.2f}".encode()))
-    front.start(status, b"", headers)
+    front.start_response(status, b"", headers)
     await front.write(body)
-    front.finish()
+    front.finish_response()
     return status
--- a/acaciacove/gateway/relay/reader_link.py
+++ b/acaciacove/gateway/relay/reader_link.py
@@ -5,7 +5,7 @@
 
 from acaciacove.gateway.log_page import LogPage
 from acaciacove.gateway.log_record import LogRecord
-from acaciacove.gateway.relay.relay_pace import RelayPace
+from acaciacove.gateway.relay.relay_intervals import RelayIntervals
 from acaciacove.messages.log_ask import LogAsk
 from acaciacove.messages.log_told import LogTold
 from acaciacove.wire.connection import Connection, connect
@@ -21,28 +21,30 @@
         host: str,
         port: int,
         clock_s: Callable[[], float],
-        pace: Callable[[], RelayPace],
+        intervals: Callable[[], RelayIntervals],
     ) -> None:
         """Begin unconnected; ``clock_s`` goes on while the machine is suspended."""
         self.address = (host, port)
         self._clock_s = clock_s
-        self._pace = pace
+        self._intervals = intervals
         self._connection: Connection | None = None
 
-    async def ask(self, stream: str, offset: int, wait_s: float) -> LogPage | None:
+    async def request_records(
+        self, stream: str, offset: int, wait_s: float
+    ) -> LogPage | None:
         """Return what the other knows, None if it knows nothing of use.
 
         Raises OSError or TimeoutError when it cannot be reached.
         """
-        pace = self._pace()
-        hold_s = min(wait_s, pace.question_s)
+        intervals = self._intervals()
+        hold_s = min(wait_s, intervals.request_wait_s)
         answered = False
-        asked_boot_s = self._clock_s()
+        requested_boot_s = self._clock_s()
         try:
             if self._connection is None:
                 async with asyncio.timeout(CONNECT_TIMEOUT_S):
                     self._connection = await connect(*self.address)
-            async with asyncio.timeout(hold_s + pace.late_answer_s):
+            async with asyncio.timeout(hold_s + intervals.reply_margin_s):
                 await self._connection.send(LogAsk(stream, offset, hold_s))
                 told = await self._connection.receive()
             if not isinstance(told, LogTold):
@@ -53,7 +55,7 @@
             # it would be taken for that to the next question.
             if not answered:
                 self.close()
-        return _page(told, self._clock_s() - asked_boot_s) if told.known else None
+        return _page(told, self._clock_s() - requested_boot_s) if told.known else None
 
     def close(self) -> None:
         """End the connection."""
@@ -76,5 +78,5 @@
         records=records,
         next_offset=told.next_offset,
         complete_after_s=held_s - max(0.0, told.age_s),
-        returned_after_s=None if told.present_s is None else held_s - told.present_s,
+        recovered_after_s=None if told.present_s is None else held_s - told.present_s,
     )
--- a/acaciacove/gateway/relay/not_told.py
+++ b/acaciacove/gateway/relay/relay_failure.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class NotTold(Enum):
+class RelayFailure(Enum):
     """It knows too little, could not be reached, or is no member any more."""
 
     STALE = "stale"
--- a/acaciacove/gateway/relay/relayed_log.py
+++ b/acaciacove/gateway/relay/relayed_log.py
@@ -14,22 +14,22 @@
 from acaciacove.gateway.metadata_log import MetadataLog
 from acaciacove.gateway.metric import Metric
 from acaciacove.gateway.peers.peer import Peer
-from acaciacove.gateway.relay.not_told import NotTold
-from acaciacove.gateway.relay.reading_order import (
-    reading_group,
-    reading_order,
-    whom_to_ask,
+from acaciacove.gateway.relay.reader_order import (
+    reader_group,
+    reader_order,
+    relay_candidates,
 )
-from acaciacove.gateway.relay.relay_pace import RelayPace
-from acaciacove.gateway.relay.stream_tail import TOLD_STREAMS
+from acaciacove.gateway.relay.relay_failure import RelayFailure
+from acaciacove.gateway.relay.relay_intervals import RelayIntervals
+from acaciacove.gateway.relay.stream_tail import RELAYED_STREAMS
 
 if TYPE_CHECKING:
     from acaciacove.gateway.relay.reader_link import ReaderLink
 
 # How long a gateway that could not be reached is not asked; one that is dead for
 # good costs each asker a connection attempt in this time.
-UNREACHED_PAUSE_S = 3.0
-THE_LOG = "log"
+UNREACHABLE_PAUSE_S = 3.0
+SOURCE_LOG = "log"
 
 Members = Callable[[], dict[str, Peer]]
 
@@ -49,12 +49,12 @@
     clock_s: Callable[[], float]
     log: EventLog
     metrics: GatewayMetrics
-    pace: Callable[[], RelayPace]
+    relay_intervals: Callable[[], RelayIntervals]
     _links: dict[tuple[str, LogStream], "ReaderLink"] = field(factory=dict)
     _not_before_s: dict[tuple[str, LogStream], float] = field(factory=dict)
     _sources: dict[LogStream, str] = field(factory=dict)
-    _refused_s: dict[LogStream, float] = field(factory=dict)
-    _asked_more: int = 0
+    _rejected_s: dict[LogStream, float] = field(factory=dict)
+    _extra_requests: int = 0
 
     async def newest(self, stream: LogStream) -> LogPage:
         """Return the newest record of each key."""
@@ -68,13 +68,13 @@
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
         """Return records from an offset on, told by a gateway or by the log."""
-        if stream in TOLD_STREAMS:
-            page = await self._ask_others(stream, offset, wait_s)
+        if stream in RELAYED_STREAMS:
+            page = await self._read_from_peers(stream, offset, wait_s)
             if page is not None:
                 return page
         return await self._read_log(stream, offset, wait_s)
 
-    async def _ask_others(
+    async def _read_from_peers(
         self, stream: LogStream, offset: int, wait_s: float
     ) -> LogPage | None:
         """Ask those who may know, until one does.
@@ -82,25 +82,25 @@
         One that is silent takes a good part of the time within which a departure must
         be known: after it this gateway looks itself, unless the log turns it away.
         """
-        may_read = not self._is_refused(stream)
-        for name in self._whom_to_ask(stream, may_read):
-            told = await self._ask(name, stream, offset, wait_s)
+        may_read = not self._is_rejected(stream)
+        for name in self._candidates(stream, may_read):
+            told = await self._request(name, stream, offset, wait_s)
             if isinstance(told, LogPage):
-                self._note_source(stream, name)
+                self._log_source(stream, name)
                 return told
-            if told is NotTold.UNREACHED and may_read:
+            if told is RelayFailure.UNREACHED and may_read:
                 return None
         return None
 
-    def _whom_to_ask(self, stream: LogStream, may_read: bool) -> list[str]:
+    def _candidates(self, stream: LogStream, may_read: bool) -> list[str]:
         now_s = self.clock_s()
         group = self._group()
-        names = whom_to_ask(self.name, group, may_read)
+        names = relay_candidates(self.name, group, may_read)
         if not may_read:
-            names += self._one_more(group.difference(names, {self.name}))
+            names += self._extra_peer(group.difference(names, {self.name}))
         return [name for name in names if now_s >= self._not_before(name, stream)]
 
-    def _one_more(self, others: set[str]) -> list[str]:
+    def _extra_peer(self, others: set[str]) -> list[str]:
         """Return one gateway more, each time the next.
 
         Where those that are asked first have lost the log, others look themselves; a
@@ -108,57 +108,57 @@
         """
         if not others:
             return []
-        self._asked_more += 1
-        order = reading_order(others)
-        return [order[self._asked_more % len(order)]]
+        self._extra_requests += 1
+        order = reader_order(others)
+        return [order[self._extra_requests % len(order)]]
 
     def _not_before(self, name: str, stream: LogStream) -> float:
         return self._not_before_s.get((name, stream), 0.0)
 
-    def _is_refused(self, stream: LogStream) -> bool:
+    def _is_rejected(self, stream: LogStream) -> bool:
         """Tell whether the log has just turned this gateway away, and others may know.
 
         Each stream counts alone: on a connection that went silent with the log, a call
         may fail seconds after others have succeeded.
         """
-        refused_s = self._refused_s.get(stream, float("-inf"))
-        return self.clock_s() - refused_s < self.pace().turned_away_s
+        refused_s = self._rejected_s.get(stream, float("-inf"))
+        return self.clock_s() - refused_s < self.relay_intervals().rejected_pause_s
 
     def _group(self) -> set[str]:
         zones = {name: peer.availability_zone for name, peer in self.members().items()}
-        return reading_group(self.name, zones | {self.name: self.availability_zone})
+        return reader_group(self.name, zones | {self.name: self.availability_zone})
 
-    async def _ask(
+    async def _request(
         self, name: str, stream: LogStream, offset: int, wait_s: float
-    ) -> LogPage | NotTold:
+    ) -> LogPage | RelayFailure:
         link = self._link(name, stream)
         if link is None:
-            return NotTold.NO_MEMBER
+            return RelayFailure.NO_MEMBER
         try:
-            page = await link.ask(stream.value, offset, wait_s)
+            page = await link.request_records(stream.value, offset, wait_s)
         except (OSError, TimeoutError) as error:
-            for told in TOLD_STREAMS:
-                self._put_off(name, told, UNREACHED_PAUSE_S)
-            return self._not_told(name, stream, NotTold.UNREACHED, repr(error))
+            for told in RELAYED_STREAMS:
+                self._defer(name, told, UNREACHABLE_PAUSE_S)
+            return self._log_failure(name, stream, RelayFailure.UNREACHED, repr(error))
         if page is None:
-            self._put_off(name, stream, self.pace().stale_s)
+            self._defer(name, stream, self.relay_intervals().stale_pause_s)
             detail = "its knowledge is too old"
-            return self._not_told(name, stream, NotTold.STALE, detail)
+            return self._log_failure(name, stream, RelayFailure.STALE, detail)
         self.metrics.count(Metric.LOG_QUESTIONS, "told")
         return page
 
-    def _put_off(self, name: str, stream: LogStream, pause_s: float) -> None:
+    def _defer(self, name: str, stream: LogStream, pause_s: float) -> None:
         self._not_before_s[(name, stream)] = self.clock_s() + pause_s
 
-    def _not_told(
-        self, name: str, stream: LogStream, result: NotTold, detail: str
-    ) -> NotTold:
+    def _log_failure(
+        self, name: str, stream: LogStream, result: RelayFailure, detail: str
+    ) -> RelayFailure:
         self.metrics.count(Metric.LOG_QUESTIONS, result.value)
         # While the log is away for all, each gateway asks all others in vain several
         # times a second; those lines give way to the ones on requests.
         self.log.write(
             Event.READER_PUT_OFF,
-            routine=result is NotTold.STALE,
+            routine=result is RelayFailure.STALE,
             peer=name,
             stream=stream.value,
             result=result.value,
@@ -186,38 +186,38 @@
         if link is None or link.address != address:
             if link is not None:
                 link.close()
-            link = ReaderLink(*address, self.clock_s, self.pace)
+            link = ReaderLink(*address, self.clock_s, self.relay_intervals)
             self._links[(name, stream)] = link
         return link
 
     async def _read_log(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        if stream in TOLD_STREAMS and self._is_put_off(stream):
+        if stream in RELAYED_STREAMS and self._is_deferred(stream):
             raise PlatformUnavailableError("the log turned the last call away")
         try:
             page = await self.metadata.read(stream, offset, wait_s)
         except PlatformUnavailableError:
-            self._refused_s[stream] = self.clock_s()
+            self._rejected_s[stream] = self.clock_s()
             raise
         # The log is there: whatever else has just failed may be tried again.
-        self._refused_s.clear()
-        if stream in TOLD_STREAMS:
-            self._note_source(stream, THE_LOG)
+        self._rejected_s.clear()
+        if stream in RELAYED_STREAMS:
+            self._log_source(stream, SOURCE_LOG)
         return page
 
-    def _is_put_off(self, stream: LogStream) -> bool:
+    def _is_deferred(self, stream: LogStream) -> bool:
         """Tell whether own tries rest, as somebody else looks for the log's return.
 
         One that cannot be reached could not tell of it.
         """
-        if not self._is_refused(stream):
+        if not self._is_rejected(stream):
             return False
-        soon_s = self.clock_s() + self.pace().stale_s
+        soon_s = self.clock_s() + self.relay_intervals().stale_pause_s
         return any(
             self._not_before(name, stream) <= soon_s
-            for name in whom_to_ask(self.name, self._group(), may_read=True)
+            for name in relay_candidates(self.name, self._group(), may_read=True)
         )
 
-    def _note_source(self, stream: LogStream, source: str) -> None:
+    def _log_source(self, stream: LogStream, source: str) -> None:
         if self._sources.get(stream) == source:
             return
         self._sources[stream] = source
--- a/acaciacove/gateway/relay/tell_records.py
+++ b/acaciacove/gateway/relay/serve_records.py
@@ -5,7 +5,7 @@
 
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
-from acaciacove.gateway.relay.relay_pace import RelayPace
+from acaciacove.gateway.relay.relay_intervals import RelayIntervals
 from acaciacove.gateway.relay.stream_tail import StreamTail
 from acaciacove.messages.log_ask import LogAsk
 from acaciacove.messages.log_told import LogTold
@@ -14,20 +14,21 @@
 
 # Knowledge that has no more than this left to be told is not told: an answer with
 # nothing in it, held for no time, would only bring the same question again.
-LEAST_LEFT_S = 0.01
+MIN_REMAINING_S = 0.01
 
 Tails = Mapping[LogStream, StreamTail]
 
 
-async def tell_records(
+async def serve_records(
     connection: Connection,
     tails: Tails,
     clock_s: Callable[[], float],
-    pace: RelayPace,
+    intervals: RelayIntervals,
 ) -> None:
     """Answer the questions of one connection until it closes.
 
-    What is older than ``pace`` says is not told: the asker does better to look itself.
+    What is older than ``intervals`` says is not told: the asker does better to look
+    itself.
     """
     try:
         while isinstance(ask := await connection.receive(), LogAsk):
@@ -35,8 +36,12 @@
             if tail is None:
                 return
             is_endpoints = ask.stream == LogStream.ENDPOINTS.value
-            oldest_s = pace.oldest_endpoints_s if is_endpoints else pace.oldest_told_s
-            await connection.send(await answer(ask, tail, clock_s, oldest_s))
+            max_age_s = (
+                intervals.max_endpoints_age_s
+                if is_endpoints
+                else intervals.max_relayed_age_s
+            )
+            await connection.send(await answer(ask, tail, clock_s, max_age_s))
     except ConnectionError:
         # The asker is gone; nobody waits for the answer.
         return
@@ -50,34 +55,34 @@
 
 
 async def answer(
-    ask: LogAsk, tail: StreamTail, clock_s: Callable[[], float], oldest_s: float
+    ask: LogAsk, tail: StreamTail, clock_s: Callable[[], float], max_age_s: float
 ) -> LogTold:
     """Hold a question while there is nothing new, then say what is known."""
-    asked_boot_s = clock_s()
-    tail.asked_boot_s = asked_boot_s
-    left_s = oldest_s - (asked_boot_s - tail.complete_boot_s)
-    is_fresh = left_s > LEAST_LEFT_S
+    requested_boot_s = clock_s()
+    tail.requested_boot_s = requested_boot_s
+    remaining_s = max_age_s - (requested_boot_s - tail.complete_boot_s)
+    is_fresh = remaining_s > MIN_REMAINING_S
     if is_fresh and tail.next_offset <= ask.offset:
         # Nothing may be held for longer than it can still be told.
-        await _news(tail, min(ask.wait_s, left_s))
+        await _wait_for_change(tail, min(ask.wait_s, remaining_s))
     now_boot_s = clock_s()
     known = is_fresh and tail.covers(ask.offset)
     return LogTold(
         known=known,
         next_offset=tail.next_offset,
-        held_s=now_boot_s - asked_boot_s,
+        held_s=now_boot_s - requested_boot_s,
         age_s=now_boot_s - tail.complete_boot_s,
-        records=tuple(map(_told, tail.since(ask.offset))) if known else (),
-        present_s=_present_s(tail, now_boot_s),
+        records=tuple(map(_to_message, tail.since(ask.offset))) if known else (),
+        present_s=_available_s(tail, now_boot_s),
     )
 
 
-def _present_s(tail: StreamTail, now_boot_s: float) -> float | None:
-    returned_s = tail.returned_boot_s
+def _available_s(tail: StreamTail, now_boot_s: float) -> float | None:
+    returned_s = tail.recovered_boot_s
     return None if returned_s is None else now_boot_s - returned_s
 
 
-async def _news(tail: StreamTail, wait_s: float) -> None:
+async def _wait_for_change(tail: StreamTail, wait_s: float) -> None:
     try:
         async with asyncio.timeout(wait_s):
             await tail.changed.wait()
@@ -85,7 +90,7 @@
         return
 
 
-def _told(record: LogRecord) -> ToldRecord:
+def _to_message(record: LogRecord) -> ToldRecord:
     return ToldRecord(
         key=record.key,
         value=record.value or b"",
--- a/acaciacove/gateway/head_seen.py
+++ b/acaciacove/gateway/response_summary.py
@@ -4,8 +4,8 @@
 
 
 @frozen
-class HeadSeen:
-    """``took_s`` from sending to the head; ``confidence`` 0 to 100, if told.
+class ResponseSummary:
+    """``head_latency_s`` from sending to the head; ``confidence`` 0 to 100, if told.
 
     ``predicted_s`` is when it was expected.
     """
@@ -14,5 +14,5 @@
     model: str | None
     status: int
     confidence: float | None
-    took_s: float
+    head_latency_s: float
     predicted_s: float
--- a/acaciacove/gateway/rollout/cell_counts.py
+++ b/acaciacove/gateway/rollout/cell_counts.py
@@ -4,7 +4,7 @@
 
 from attrs import define
 
-SHORTEST_TIME_S = 0.001
+MIN_TIME_S = 0.001
 
 
 @define
@@ -23,13 +23,13 @@
     judged: int = 0
     late: int = 0
 
-    def add(self, failed: bool, first_piece_s: float | None) -> None:
+    def add(self, failed: bool, first_chunk_s: float | None) -> None:
         """Count one answer."""
         self.answers += 1
         self.failures += failed
-        if first_piece_s is not None and not failed:
+        if first_chunk_s is not None and not failed:
             self.timed += 1
-            self.log_time_sum += math.log(max(first_piece_s, SHORTEST_TIME_S))
+            self.log_time_sum += math.log(max(first_chunk_s, MIN_TIME_S))
 
     def add_judged(self, is_late: bool) -> None:
         """Count one request that was compared with the usual time."""
--- a/acaciacove/gateway/rollout/evidence.py
+++ b/acaciacove/gateway/rollout/evidence.py
@@ -14,13 +14,14 @@
     """Counts of both versions, summed over gateways.
 
     ``target`` and ``old`` are keyed by kind of request (route and model),
-    ``target_endpoints`` by endpoint of the new version, of which ``machines`` serve.
+    ``target_endpoints`` by endpoint of the new version, of which
+    ``target_endpoint_count`` serve.
     """
 
     target: Cells
     old: Cells
     target_endpoints: Cells
-    machines: int
+    target_endpoint_count: int
 
 
 def total(cells: Cells) -> CellCounts:
--- a/acaciacove/gateway/rollout/awaited_answer.py
+++ b/acaciacove/gateway/rollout/in_flight_request.py
@@ -4,7 +4,7 @@
 
 
 @define(eq=False)
-class AwaitedAnswer:
+class InFlightRequest:
     """Its version, kind and endpoint, and since when its first piece is awaited.
 
     ``is_late`` is set once it has been counted as late.
@@ -13,5 +13,5 @@
     is_target: bool
     kind: str
     endpoint: str
-    since_s: float
+    sent_s: float
     is_late: bool = False
--- a/acaciacove/gateway/rollout/rollout_progress.py
+++ b/acaciacove/gateway/rollout/rollout_progress.py
@@ -5,9 +5,9 @@
 from attrs import define, field
 
 from acaciacove.gateway.catalogue.rollout_order import RolloutOrder
-from acaciacove.gateway.rollout.awaited_answer import AwaitedAnswer
 from acaciacove.gateway.rollout.cell_counts import CellCounts
 from acaciacove.gateway.rollout.evidence import Evidence, since
+from acaciacove.gateway.rollout.in_flight_request import InFlightRequest
 from acaciacove.gateway.rollout.judge import CELL_SEPARATOR
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
 from acaciacove.messages.rollout_view import RolloutView
@@ -18,12 +18,12 @@
 # kind. Times of one kind differ by half, with prompts of unlike length.
 LATE_RATIO = 2.5
 # Times of the old version from which on its usual time is known.
-MIN_TIMED = 4
+MIN_TIMED_ANSWERS = 4
 # What is late by less than this is not worth a roll-out, whatever its ratio.
-LEAST_LATE_S = 0.1
+MIN_EXCESS_S = 0.1
 
 
-def kind_cell(route: str, model: str | None) -> str:
+def kind_cell_name(route: str, model: str | None) -> str:
     """Name the cell of a kind of request."""
     return f"{route}{CELL_SEPARATOR}{model or ''}"
 
@@ -34,8 +34,8 @@
 
     ``sent_target`` and ``sent_all`` are requests that this gateway has sent to
     the new version and to the whole service since the order; ``reserved_target``
-    are on their way to a connection to the new version. ``moved`` holds what was
-    counted of the new version when all requests moved to it.
+    are on their way to a connection to the new version. ``cutover_cells`` holds what
+    was counted of the new version when all requests moved to it.
     """
 
     order: RolloutOrder
@@ -47,94 +47,94 @@
     reserved_target: int = 0
     old_in_flight: int = 0
     judged_bad: bool = False
-    own: dict[tuple[bool, str], CellCounts] = field(factory=dict)
-    peers: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
+    local: dict[tuple[bool, str], CellCounts] = field(factory=dict)
+    peer_cells: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
     peer_views: dict[str, tuple[RolloutView, float]] = field(factory=dict)
-    awaited: dict[int, AwaitedAnswer] = field(factory=dict)
-    moved: dict[str, CellCounts] = field(factory=dict)
-    moved_endpoints: dict[str, CellCounts] = field(factory=dict)
+    pending: dict[int, InFlightRequest] = field(factory=dict)
+    cutover_cells: dict[str, CellCounts] = field(factory=dict)
+    cutover_endpoint_cells: dict[str, CellCounts] = field(factory=dict)
     _limits_s: dict[str, float] = field(factory=dict)
-    _next_awaited: int = 0
+    _last_number: int = 0
 
     #
     # Own answers
     #
 
-    def await_answer(
+    def record_sent(
         self, is_target: bool, kind: str, endpoint: str, now_s: float
     ) -> int:
         """Note a request that was sent; returns its number."""
-        self._next_awaited += 1
-        self.awaited[self._next_awaited] = AwaitedAnswer(
+        self._last_number += 1
+        self.pending[self._last_number] = InFlightRequest(
             is_target, kind, endpoint, now_s
         )
-        return self._next_awaited
+        return self._last_number
 
-    def take_answer(
-        self, number: int, failed: bool, first_piece_s: float | None
+    def record_answer(
+        self, number: int, failed: bool, first_chunk_s: float | None
     ) -> None:
         """Count the first piece of an answer, or a failure."""
-        awaited = self.awaited.pop(number, None)
-        if awaited is None:
+        pending = self.pending.pop(number, None)
+        if pending is None:
             return
-        self._cell(awaited.is_target, awaited.kind).add(failed, first_piece_s)
-        if awaited.is_target:
-            self._cell(True, ENDPOINT_PREFIX + awaited.endpoint).add(failed, None)
-        if first_piece_s is not None and not awaited.is_late:
-            self._judge_time(awaited, first_piece_s)
+        self._cell(pending.is_target, pending.kind).add(failed, first_chunk_s)
+        if pending.is_target:
+            self._cell(True, ENDPOINT_PREFIX + pending.endpoint).add(failed, None)
+        if first_chunk_s is not None and not pending.is_late:
+            self._record_comparison(pending, first_chunk_s)
 
-    def forget(self, number: int, now_s: float) -> None:
+    def abandon(self, number: int, now_s: float) -> None:
         """Stop waiting: the request has ended without an answer to count.
 
         One that was given up after more than the usual time was late, also if nobody
         waited for it to the end: callers leave the slow answers first.
         """
-        awaited = self.awaited.pop(number, None)
-        if awaited is not None and not awaited.is_late:
-            self._note_if_late(awaited, now_s)
+        pending = self.pending.pop(number, None)
+        if pending is not None and not pending.is_late:
+            self._record_if_late(pending, now_s)
 
-    def note_overdue(self, now_s: float) -> None:
+    def record_late_requests(self, now_s: float) -> None:
         """Count requests as late that already wait for longer than is usual.
 
         The answers of a slow version come late or not at all. Counted only when they
         come, the sound ones among them would be all that is known for seconds.
         """
         self._limits_s = self._late_limits_s()
-        for awaited in self.awaited.values():
-            if not awaited.is_late:
-                self._note_if_late(awaited, now_s)
+        for pending in self.pending.values():
+            if not pending.is_late:
+                self._record_if_late(pending, now_s)
 
-    def _note_if_late(self, awaited: AwaitedAnswer, now_s: float) -> None:
-        limit_s = self._limits_s.get(awaited.kind)
-        if limit_s is not None and now_s - awaited.since_s > limit_s:
-            self._judge_time(awaited, now_s - awaited.since_s)
+    def _record_if_late(self, pending: InFlightRequest, now_s: float) -> None:
+        limit_s = self._limits_s.get(pending.kind)
+        if limit_s is not None and now_s - pending.sent_s > limit_s:
+            self._record_comparison(pending, now_s - pending.sent_s)
 
-    def _judge_time(self, awaited: AwaitedAnswer, took_s: float) -> None:
-        limit_s = self._limits_s.get(awaited.kind)
+    def _record_comparison(self, pending: InFlightRequest, took_s: float) -> None:
+        limit_s = self._limits_s.get(pending.kind)
         if limit_s is None:
             return
-        awaited.is_late = took_s > limit_s
-        self._cell(awaited.is_target, awaited.kind).add_judged(awaited.is_late)
-        if awaited.is_target:
-            cell = self._cell(True, ENDPOINT_PREFIX + awaited.endpoint)
-            cell.add_judged(awaited.is_late)
+        pending.is_late = took_s > limit_s
+        self._cell(pending.is_target, pending.kind).add_judged(pending.is_late)
+        if pending.is_target:
+            cell = self._cell(True, ENDPOINT_PREFIX + pending.endpoint)
+            cell.add_judged(pending.is_late)
 
     def _late_limits_s(self) -> dict[str, float]:
         """Return from when on a request of each kind is late."""
         return {
-            kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + LEAST_LATE_S)
+            kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + MIN_EXCESS_S)
             for kind, counts in self.cells(False).items()
-            if counts.timed >= MIN_TIMED
+            if counts.timed >= MIN_TIMED_ANSWERS
         }
 
     def _cell(self, is_target: bool, name: str) -> CellCounts:
-        return self.own.setdefault((is_target, name), CellCounts())
+        return self.local.setdefault((is_target, name), CellCounts())
 
     #
     # Peers
     #
 
-    def own_cells(self) -> tuple[VersionCell, ...]:
+    def local_cells(self) -> tuple[VersionCell, ...]:
         """Return the own counts as they are told to peers."""
         return tuple(
             VersionCell(
@@ -149,14 +149,14 @@
                 judged=counts.judged,
                 late=counts.late,
             )
-            for (is_target, name), counts in self.own.items()
+            for (is_target, name), counts in self.local.items()
         )
 
-    def take_peer(
+    def apply_peer_counts(
         self, peer: str, view: RolloutView, cells: list[VersionCell], now_s: float
     ) -> None:
         """Replace what one life of a peer has told before."""
-        self.peers[peer] = {
+        self.peer_cells[peer] = {
             (c.is_target, c.name): CellCounts(
                 c.answers, c.failures, c.timed, c.log_time_sum, c.judged, c.late
             )
@@ -179,44 +179,47 @@
     # Sums
     #
 
-    def evidence(self, machines: int) -> Evidence:
-        """Return all that is known; ``machines`` serve the new version."""
+    def evidence(self, target_endpoint_count: int) -> Evidence:
+        """Return all that is known; ``target_endpoint_count`` serve the new version."""
         return Evidence(
-            self.cells(True), self.cells(False), self._endpoint_cells(), machines
+            self.cells(True),
+            self.cells(False),
+            self._endpoint_cells(),
+            target_endpoint_count,
         )
 
-    def mark_moved(self) -> None:
+    def mark_cutover(self) -> None:
         """Remember what was known when all requests moved to the new version."""
-        self.moved = self.cells(True)
-        self.moved_endpoints = self._endpoint_cells()
+        self.cutover_cells = self.cells(True)
+        self.cutover_endpoint_cells = self._endpoint_cells()
 
-    def evidence_since_moved(self, machines: int) -> Evidence:
+    def evidence_since_cutover(self, target_endpoint_count: int) -> Evidence:
         """Return what answers since then say of the new version.
 
         A version that turns bad late, or under all of the load, would hide behind the
         sound answers that it gave before.
         """
         return Evidence(
-            since(self.cells(True), self.moved),
+            since(self.cells(True), self.cutover_cells),
             self.cells(False),
-            since(self._endpoint_cells(), self.moved_endpoints),
-            machines,
+            since(self._endpoint_cells(), self.cutover_endpoint_cells),
+            target_endpoint_count,
         )
 
     def cells(self, is_target: bool) -> dict[str, CellCounts]:
         """Sum the kinds of request over this gateway and its peers."""
-        return self._summed(
+        return self._sum_cells(
             is_target, lambda name: not name.startswith(ENDPOINT_PREFIX)
         )
 
     def _endpoint_cells(self) -> dict[str, CellCounts]:
-        return self._summed(True, lambda name: name.startswith(ENDPOINT_PREFIX))
+        return self._sum_cells(True, lambda name: name.startswith(ENDPOINT_PREFIX))
 
-    def _summed(
+    def _sum_cells(
         self, is_target: bool, wanted: Callable[[str], bool]
     ) -> dict[str, CellCounts]:
         summed: dict[str, CellCounts] = {}
-        for cells in (self.own, *self.peers.values()):
+        for cells in (self.local, *self.peer_cells.values()):
             for (cell_is_target, name), counts in cells.items():
                 if cell_is_target is is_target and wanted(name):
                     summed.setdefault(name, CellCounts()).merge(counts)
--- a/acaciacove/gateway/rollout/rollout_steps.py
+++ b/acaciacove/gateway/rollout/rollout_steps.py
@@ -1,6 +1,6 @@
 """When a roll-out moves from one phase to the next."""
 
-from acaciacove.gateway.rollout.judge import judge, judge_moved
+from acaciacove.gateway.rollout.judge import judge, judge_after_cutover
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
 from acaciacove.gateway.rollout.rollout_progress import RolloutProgress
 from acaciacove.gateway.rollout.rollout_settings import RolloutSettings
@@ -8,7 +8,7 @@
 from acaciacove.gateway.rollout.version_capacity import VersionCapacity
 
 # A peer's report older than this says nothing of its requests under way.
-PEER_VIEW_LIFE_S = 3.0
+PEER_VIEW_TTL_S = 3.0
 
 
 def step(
@@ -24,7 +24,7 @@
     """
     if progress.phase is RolloutPhase.STOPPED:
         return
-    progress.note_overdue(now_s)
+    progress.record_late_requests(now_s)
     verdict = _judge(progress, capacity)
     if verdict is Verdict.BAD or _peer_judged_bad(progress):
         progress.judged_bad = True
@@ -39,7 +39,7 @@
         and elapsed >= settings.sessions_from
         and has_capacity(capacity, settings)
     ):
-        progress.mark_moved()
+        progress.mark_cutover()
         _enter(progress, RolloutPhase.ALL, now_s)
 
 
@@ -50,7 +50,7 @@
 
 def _judge(progress: RolloutProgress, capacity: VersionCapacity) -> Verdict:
     if progress.phase is RolloutPhase.ALL:
-        return judge_moved(progress.evidence_since_moved(capacity.target))
+        return judge_after_cutover(progress.evidence_since_cutover(capacity.target))
     return judge(progress.evidence(capacity.target))
 
 
@@ -85,15 +85,15 @@
         return False
     if not has_capacity(capacity, settings):
         return False
-    recent = progress.evidence_since_moved(capacity.target)
-    if judge_moved(recent) is not Verdict.GOOD:
+    recent = progress.evidence_since_cutover(capacity.target)
+    if judge_after_cutover(recent) is not Verdict.GOOD:
         return False
     if _elapsed(progress, now_s) >= settings.complete_by:
         return True
     busy_peers = any(
         view.old_in_flight
         for view, seen_s in progress.peer_views.values()
-        if now_s - seen_s < PEER_VIEW_LIFE_S
+        if now_s - seen_s < PEER_VIEW_TTL_S
     )
     return progress.old_in_flight == 0 and not busy_peers
 
@@ -101,7 +101,7 @@
 def may_send_to_target(
     progress: RolloutProgress,
     settings: RolloutSettings,
-    gateways: int,
+    gateway_count: int,
     known_session: bool,
 ) -> bool:
     """Tell whether one more request fits the exposure that is promised.
@@ -111,13 +111,13 @@
     """
     if progress.phase is RolloutPhase.ALL:
         return True
-    extra = settings.exposure_extra / gateways
+    extra = settings.exposure_extra / gateway_count
     allowed = settings.exposure_share * progress.sent_all + extra
-    chosen = progress.sent_target + progress.reserved_target
+    target_requests = progress.sent_target + progress.reserved_target
     margin = settings.new_session_margin
     if known_session:
         margin = settings.known_session_margin
-    return chosen + 1 <= allowed * margin
+    return target_requests + 1 <= allowed * margin
 
 
 def target_share(
--- a/acaciacove/gateway/beliefs.py
+++ b/acaciacove/gateway/routing_view.py
@@ -21,7 +21,7 @@
 
 
 @define(eq=False)
-class Beliefs:
+class RoutingView:
     """The newest state of every key that this process has read.
 
     ``confirmed_boot_s`` is when the question was asked whose answer showed that
@@ -36,15 +36,15 @@
     orders: dict[str, RolloutOrder] = field(factory=dict)
     outcomes: dict[str, RolloutStatus] = field(factory=dict)
     endpoints: dict[str, Endpoint] = field(factory=dict)
-    endpoints_known: bool = False
-    outcomes_known: bool = False
+    endpoints_loaded: bool = False
+    outcomes_loaded: bool = False
     operator_revision: int = -1
     confirmed_boot_s: float = float("-inf")
     endpoints_confirmed_boot_s: float = float("-inf")
 
-    def confirm(self, asked_boot_s: float) -> None:
-        """Take note that the decisions were complete at ``asked_boot_s``."""
-        self.confirmed_boot_s = max(self.confirmed_boot_s, asked_boot_s)
+    def confirm(self, requested_boot_s: float) -> None:
+        """Take note that the decisions were complete at ``requested_boot_s``."""
+        self.confirmed_boot_s = max(self.confirmed_boot_s, requested_boot_s)
 
     def confirm_endpoints(self, complete_boot_s: float) -> None:
         """Take note that the endpoints' entries were complete then."""
@@ -71,6 +71,6 @@
         """
         return (
             self.catalogue is not None
-            and self.endpoints_known
-            and (self.outcomes_known or not self.orders)
+            and self.endpoints_loaded
+            and (self.outcomes_loaded or not self.orders)
         )
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -8,9 +8,7 @@
 from attrs import define, field
 
 from acaciacove.daemon.background import background
-from acaciacove.gateway.beliefs import Beliefs, boot_time_s
 from acaciacove.gateway.catalogue.caller_limits import CallerLimits
-from acaciacove.gateway.counted_log import CountedLog
 from acaciacove.gateway.endpoint_reader import EndpointReader
 from acaciacove.gateway.event_log import EventLog
 from acaciacove.gateway.follow_log import FollowedStream, follow_log
@@ -18,53 +16,55 @@
 from acaciacove.gateway.gauges import read_gauges
 from acaciacove.gateway.http.caller_request import CallerRequest
 from acaciacove.gateway.http.dialect import Dialect
-from acaciacove.gateway.http.errors import CallerGoneError, ConnectionLostError
+from acaciacove.gateway.http.errors import CallerDisconnectedError, ConnectionLostError
 from acaciacove.gateway.http.front_connection import FrontConnection
+from acaciacove.gateway.instrumented_log import InstrumentedLog
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.log_reading import LogReading
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.metadata_log import MetadataLog
 from acaciacove.gateway.operator_reader import OperatorReader
-from acaciacove.gateway.outcome_duty import OutcomeDuty
+from acaciacove.gateway.outcome_recorder import OutcomeRecorder
 from acaciacove.gateway.probe_protocol import ProbeAnswer, ProbeProtocol
-from acaciacove.gateway.quarantine.quarantine_records import keep_records
+from acaciacove.gateway.quarantine.quarantine_records import sync_records
 from acaciacove.gateway.record_codec import RecordCodec
 from acaciacove.gateway.relay.relayed_log import RelayedLog
+from acaciacove.gateway.routing_view import RoutingView, boot_time_s
 from acaciacove.gateway.serve_request import serve_request
 from acaciacove.settings.gateway_settings import GatewaySettings
 
 # While other gateways ask this one, its reads are held for less, so that an asker
 # notices in time when it has lost the log. A question this long ago says that nobody
 # asks any more.
-ASKED_MEMORY_S = 5.0
+RELAY_REQUEST_MEMORY_S = 5.0
 TRIM_EVERY_S = 1.0
 METRICS_PATH = "/metrics"
 LISTEN_BACKLOG = 1024
 # Callers give an unread request a second. A start that has no beliefs by half of
 # that tells them so, in time to try elsewhere.
 START_WAIT_S = 0.5
-START_STEP_S = 0.005
+START_POLL_S = 0.005
 # Of the time between SIGTERM and SIGKILL, what is kept for the end itself.
-END_MARGIN_S = 0.4
+SHUTDOWN_MARGIN_S = 0.4
 # After SIGTERM the balancer needs two misses, a second apart, to send no more
 # callers here. A request that comes later could not be finished for certain, so
 # from then on none is taken.
-NOTICE_S = 2.6
+ACCEPT_AFTER_STOP_S = 2.6
 # Where the process has less time than for that, it takes callers for a part of it.
-NOTICE_SHARE = 0.5
-END_SHARE = 0.1
-LEAVE_STEP_S = 0.05
+ACCEPT_AFTER_STOP_SHARE = 0.5
+SHUTDOWN_MARGIN_SHARE = 0.1
+SHUTDOWN_POLL_S = 0.05
 
 
-async def load_and_talk(gateway: Gateway, metadata: MetadataLog) -> None:
+async def load_and_gossip(gateway: Gateway, metadata: MetadataLog) -> None:
     """Talk to other gateways until cancelled.
 
     Their codec is slow to load and nothing that a request needs at once, so it is
     not imported with this module.
     """
-    from acaciacove.gateway.peers.talk_to_peers import talk_to_peers
+    from acaciacove.gateway.peers.serve_peers import serve_peers
 
-    await talk_to_peers(gateway, metadata)
+    await serve_peers(gateway, metadata)
 
 
 @define(eq=False)
@@ -78,7 +78,7 @@
     log: EventLog
     front_socket: socket.socket | None = None
     clock_s: Callable[[], float] = boot_time_s
-    open_peers: Callable[[Gateway, MetadataLog], Awaitable[None]] = load_and_talk
+    open_peers: Callable[[Gateway, MetadataLog], Awaitable[None]] = load_and_gossip
     gateway: Gateway = field(init=False)
     operator: OperatorReader = field(init=False)
     endpoints: EndpointReader = field(init=False)
@@ -86,10 +86,12 @@
 
     def __attrs_post_init__(self) -> None:
         """Make the state that the tasks share."""
-        beliefs = Beliefs(self.clock_s)
-        self.gateway = Gateway(self.settings, self.dialect, beliefs, self.log)
-        self.metadata = self._relayed(CountedLog(self.metadata, self.gateway.metrics))
-        self.operator = OperatorReader(beliefs, self.codec, self.log)
+        view = RoutingView(self.clock_s)
+        self.gateway = Gateway(self.settings, self.dialect, view, self.log)
+        self.metadata = self._relayed(
+            InstrumentedLog(self.metadata, self.gateway.metrics)
+        )
+        self.operator = OperatorReader(view, self.codec, self.log)
         self.endpoints = EndpointReader(self.gateway, self.codec)
 
     def _relayed(self, metadata: MetadataLog) -> RelayedLog:
@@ -102,7 +104,7 @@
             clock_s=self.clock_s,
             log=self.log,
             metrics=gateway.metrics,
-            pace=lambda: gateway.pace,
+            relay_intervals=lambda: gateway.relay_intervals,
         )
 
     async def run(self, stop: asyncio.Event) -> None:
@@ -110,25 +112,25 @@
         self.log.write(Event.STARTED, zone=self.settings.availability_zone)
         ready = await self._listen(self.settings.readiness_address, self._probe)
         metrics = await self._listen(self.settings.metrics_address, self._probe)
-        duty = OutcomeDuty(self.gateway, self.metadata, self.codec)
+        recorder = OutcomeRecorder(self.gateway, self.metadata, self.codec)
         async with background(
             *self._followers(),
             self._trim(),
-            self._expire_lapsed(),
-            self._talk_to_peers(),
-            duty.run(),
-            keep_records(self.gateway.guard, self.metadata, self.log),
+            self._expire_retained(),
+            self._join_gossip(),
+            recorder.run(),
+            sync_records(self.gateway.guard, self.metadata, self.log),
             self._load_metrics(),
         ):
-            await self._wait_for_beliefs()
+            await self._wait_for_view()
             front = await self._listen_to_callers()
             await stop.wait()
-            await self._leave(front)
+            await self._shut_down(front)
         ready.close()
         metrics.close()
         self.log.write(Event.STOPPED, open_connections=len(self.connections))
 
-    async def _wait_for_beliefs(self) -> None:
+    async def _wait_for_view(self) -> None:
         """Leave callers in the kernel's queue for as long as a start takes.
 
         The first answers of the log take milliseconds. A caller that is turned
@@ -136,8 +138,8 @@
         """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + START_WAIT_S
-        while not self.gateway.beliefs.is_usable and loop.time() < until_s:
-            await asyncio.sleep(START_STEP_S)
+        while not self.gateway.view.is_usable and loop.time() < until_s:
+            await asyncio.sleep(START_POLL_S)
 
     async def _listen_to_callers(self) -> asyncio.Server:
         if self.front_socket is None:
@@ -151,10 +153,10 @@
         await self.gateway.metrics.load()
         await asyncio.Event().wait()
 
-    async def _talk_to_peers(self) -> None:
+    async def _join_gossip(self) -> None:
         """Join the other gateways once callers can be served."""
-        while not self.gateway.beliefs.is_usable:
-            await asyncio.sleep(START_STEP_S)
+        while not self.gateway.view.is_usable:
+            await asyncio.sleep(START_POLL_S)
         await self.open_peers(self.gateway, self.metadata)
 
     async def _listen(
@@ -171,18 +173,18 @@
             self._serve,
             self.dialect,
             self._limits,
-            lambda: self.gateway.leaving,
+            lambda: self.gateway.shutting_down,
             self.connections,
         )
 
     def _limits(self) -> CallerLimits:
-        catalogue = self.gateway.beliefs.catalogue
+        catalogue = self.gateway.view.catalogue
         return catalogue.limits if catalogue is not None else CallerLimits()
 
     async def _serve(self, request: CallerRequest, front: FrontConnection) -> None:
         try:
             await serve_request(self.gateway, request, front)
-        except (CallerGoneError, ConnectionLostError):
+        except (CallerDisconnectedError, ConnectionLostError):
             raise
         except Exception as error:
             self.log.write(
@@ -205,83 +207,93 @@
     def metrics_page(self) -> bytes:
         """Return counters, histograms and gauges as text."""
         gateway = self.gateway
-        return gateway.metrics.page(lambda: read_gauges(gateway, len(self.connections)))
+        return gateway.metrics.render(
+            lambda: read_gauges(gateway, len(self.connections))
+        )
 
     def is_ready(self) -> bool:
         """Tell whether the balancer should send callers here."""
-        return self.gateway.beliefs.is_usable and not self.gateway.leaving
+        return self.gateway.view.is_usable and not self.gateway.shutting_down
 
     def _followers(self) -> list[Coroutine[Any, Any, None]]:
-        beliefs = self.gateway.beliefs
+        view = self.gateway.view
         streams = (
             FollowedStream(
                 LogStream.OPERATOR,
-                lambda: self._wait_s(LogStream.OPERATOR, self.gateway.pace.held_s),
+                lambda: self._wait_s(
+                    LogStream.OPERATOR, self.gateway.relay_intervals.held_s
+                ),
                 lambda: 0.0,
-                lambda: self.gateway.pace.retry_s,
+                lambda: self.gateway.relay_intervals.retry_s,
                 self._on_decisions,
             ),
             FollowedStream(
                 LogStream.ENDPOINTS,
-                lambda: self._wait_s(LogStream.ENDPOINTS, self._endpoints_held_s()),
-                self._rest_s,
-                lambda: self.gateway.pace.retry_s,
+                lambda: self._wait_s(LogStream.ENDPOINTS, self._endpoints_wait_s()),
+                self._read_pause_s,
+                lambda: self.gateway.relay_intervals.retry_s,
                 self._on_endpoints,
             ),
         )
         random = self.gateway.random
         return [
-            follow_log(stream, self.metadata, self.log, beliefs.clock_s, random)
+            follow_log(stream, self.metadata, self.log, view.clock_s, random)
             for stream in streams
         ]
 
-    def _rest_s(self) -> float:
+    def _read_pause_s(self) -> float:
         """Return the rest between reads of endpoints: the more, the more they write."""
-        return self.gateway.pace.rest_s(len(self.gateway.beliefs.endpoints))
+        return self.gateway.relay_intervals.read_pause_s(
+            len(self.gateway.view.endpoints)
+        )
 
-    def _endpoints_held_s(self) -> float:
-        return self.gateway.pace.endpoints_held_s(len(self.gateway.beliefs.endpoints))
+    def _endpoints_wait_s(self) -> float:
+        return self.gateway.relay_intervals.endpoints_wait_s(
+            len(self.gateway.view.endpoints)
+        )
 
-    def _wait_s(self, stream: LogStream, asked_s: float) -> float:
-        """Return how long a read may be held: ``asked_s`` while other gateways ask."""
-        last_boot_s = self.gateway.tails[stream].asked_boot_s
-        is_asked = self.clock_s() - last_boot_s < ASKED_MEMORY_S
-        alone_s = self.gateway.pace.alone_s
-        return min(alone_s, asked_s) if is_asked else alone_s
+    def _wait_s(self, stream: LogStream, relay_wait_s: float) -> float:
+        """Return how long a read may be held: ``relay_wait_s`` while peers ask."""
+        last_boot_s = self.gateway.tails[stream].requested_boot_s
+        is_relaying = self.clock_s() - last_boot_s < RELAY_REQUEST_MEMORY_S
+        unshared_wait_s = self.gateway.relay_intervals.unshared_wait_s
+        return min(unshared_wait_s, relay_wait_s) if is_relaying else unshared_wait_s
 
     def _on_decisions(self, reading: LogReading) -> None:
-        self.gateway.tails[LogStream.OPERATOR].take(reading)
+        self.gateway.tails[LogStream.OPERATOR].apply(reading)
         self.operator.apply_reading(reading)
 
     def _on_endpoints(self, reading: LogReading) -> None:
-        beliefs = self.gateway.beliefs
-        self.gateway.tails[LogStream.ENDPOINTS].take(reading)
-        was_known = beliefs.endpoints_known
+        view = self.gateway.view
+        self.gateway.tails[LogStream.ENDPOINTS].apply(reading)
+        was_known = view.endpoints_loaded
         self.endpoints.apply_reading(reading)
         if not was_known:
-            self.log.write(Event.READY, endpoints=len(beliefs.endpoints))
+            self.log.write(Event.READY, endpoints=len(view.endpoints))
 
     async def _trim(self) -> None:
         while True:
             await asyncio.sleep(TRIM_EVERY_S)
-            self.gateway.states.keep_to(self.gateway.beliefs.endpoints.values())
+            self.gateway.states.sync(self.gateway.view.endpoints.values())
 
-    async def _expire_lapsed(self) -> None:
+    async def _expire_retained(self) -> None:
         while True:
-            await asyncio.sleep(self.gateway.pace.expire_s)
+            await asyncio.sleep(self.gateway.relay_intervals.expiry_check_s)
             self.endpoints.expire()
 
-    async def _leave(self, front: asyncio.Server) -> None:
+    async def _shut_down(self, front: asyncio.Server) -> None:
         """Take no new callers, finish the requests that are here, and go."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
-        self.gateway.leaving = True
+        self.gateway.shutting_down = True
         self.log.write(Event.LEAVING, open_connections=len(self.connections))
         grace_s = self.settings.grace_s
-        await asyncio.sleep(min(NOTICE_S, NOTICE_SHARE * grace_s))
+        await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, ACCEPT_AFTER_STOP_SHARE * grace_s))
         front.close()
-        last_s = began_s + grace_s - min(END_MARGIN_S, END_SHARE * grace_s)
+        last_s = (
+            began_s + grace_s - min(SHUTDOWN_MARGIN_S, SHUTDOWN_MARGIN_SHARE * grace_s)
+        )
         while self.connections and loop.time() < last_s:
             for connection in list(self.connections):
-                connection.end_if_idle()
-            await asyncio.sleep(LEAVE_STEP_S)
+                connection.close_if_idle()
+            await asyncio.sleep(SHUTDOWN_POLL_S)
--- a/acaciacove/gateway/serve_request.py
+++ b/acaciacove/gateway/serve_request.py
@@ -8,27 +8,27 @@
 from acaciacove.gateway.choose_endpoint import choose_endpoint
 from acaciacove.gateway.choose_model import choose_first_model
 from acaciacove.gateway.gateway import Gateway
-from acaciacove.gateway.head_seen import HeadSeen
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.caller_request import CallerRequest
 from acaciacove.gateway.http.front_connection import FrontConnection
+from acaciacove.gateway.http.response_head import ResponseHead
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.metric import Metric
-from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
-from acaciacove.gateway.refuse import PROMISING, refuse
-from acaciacove.gateway.usable_endpoints import room_in_s
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.quarantine.request_fingerprint import format_fingerprint
+from acaciacove.gateway.refuse import NOT_RUN_STATUSES, refuse
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.response_summary import ResponseSummary
+from acaciacove.gateway.usable_endpoints import next_slot_in_s
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
 # Endpoints that may refuse a request before it is given up, beside those that run
 # it: connections that cannot be made cost milliseconds, and nothing runs.
-MAX_TRIES = 6
+MAX_ATTEMPTS = 6
 # When a caller that met only full endpoints may come back: a slot frees within
 # about a request's time.
-FULL_RETRY_S = 0.4
-NO_ENDPOINT_RETRY_S = 0.8
-SHORTEST_RETRY_S = 0.1
+FULL_RETRY_AFTER_S = 0.4
+NO_ENDPOINT_RETRY_AFTER_S = 0.8
+MIN_RETRY_AFTER_S = 0.1
 
 
 async def serve_request(
@@ -40,166 +40,182 @@
         refused = await refuse(front, admitted)
         _log_refused(gateway, request, admitted, refused)
         return
-    work = admitted
+    context = admitted
     status: int | str = "caller_left"
     try:
-        status = await _serve_in_time(gateway, work, front)
+        status = await _serve_with_deadline(gateway, context, front)
     finally:
-        _log_request(gateway, work, status)
+        _log_request(gateway, context, status)
 
 
-async def _serve_in_time(
-    gateway: Gateway, work: Work, front: FrontConnection
+async def _serve_with_deadline(
+    gateway: Gateway, context: RequestContext, front: FrontConnection
 ) -> int | str:
     """Serve until the request's time is up, and then say so at once."""
     try:
-        async with asyncio.timeout_at(work.until_s):
-            ending = await _serve(gateway, work, front)
+        async with asyncio.timeout_at(context.deadline_s):
+            failure = await _serve(gateway, context, front)
     except TimeoutError:
-        ending = Refusal(
-            Reason.DEADLINE_EXCEEDED, not work.may_have_run, "no answer in time"
+        failure = Refusal(
+            Reason.DEADLINE_EXCEEDED, not context.may_have_run, "no answer in time"
         )
-    if ending is None:
+    if failure is None:
         return "served"
-    if front.answer_started:
-        front.break_off()
+    if front.response_started:
+        front.abort_response()
         return "broken_off"
-    if isinstance(ending, Refusal):
-        return await refuse(front, ending)
-    return await _pass_failure(front, *ending)
+    if isinstance(failure, Refusal):
+        return await refuse(front, failure)
+    return await _forward_failure(front, *failure)
 
 
-Ending = Refusal | tuple[AnswerHead, bytes] | None
+Failure = Refusal | tuple[ResponseHead, bytes] | None
 
 
-async def _serve(gateway: Gateway, work: Work, front: FrontConnection) -> Ending:
+async def _serve(
+    gateway: Gateway, context: RequestContext, front: FrontConnection
+) -> Failure:
     """Try endpoints in turn; None when the whole answer has been delivered."""
-    sizes = work.route.model_sizes
-    if sizes and work.model is None:
+    sizes = context.route.model_sizes
+    if sizes and context.model is None:
         now_s = asyncio.get_running_loop().time()
-        work.model = choose_first_model(gateway, work, now_s)
+        context.model = choose_first_model(gateway, context, now_s)
     while True:
         now_s = asyncio.get_running_loop().time()
-        if work.sent and not _may_repeat_now(gateway, work, now_s):
-            return _ending(work, budget_left=False)
-        held = _held_back(gateway, work, now_s)
-        if held is not None:
-            return held if not work.may_have_run else _ending(work, budget_left=True)
-        state = choose_endpoint(gateway, work, now_s)
+        if context.sent and not _has_retry_budget(gateway, context, now_s):
+            return _final_failure(context, budget_left=False)
+        refusal = _quarantine_refusal(gateway, context, now_s)
+        if refusal is not None:
+            return (
+                refusal
+                if not context.may_have_run
+                else _final_failure(context, budget_left=True)
+            )
+        state = choose_endpoint(gateway, context, now_s)
         if state is None:
-            return _nobody(gateway, work, now_s)
-        if work.sent:
-            gateway.budget(work.service.name).take(now_s, gateway.gateway_count)
-        work.tries += 1
-        follows = work.sent + 1 < work.route.max_attempts and not work.on_trial
+            return _no_endpoint(gateway, context, now_s)
+        if context.sent:
+            gateway.budget(context.service.name).consume(now_s, gateway.gateway_count)
+        context.attempt_count += 1
+        follows = context.sent + 1 < context.route.max_attempts and not context.on_trial
         outcome = await attempt(
             gateway,
-            work,
+            context,
             state,
             front,
             follows,
-            follows and _may_enlarge(gateway, work),
+            follows and _may_escalate(gateway, context),
         )
-        _log_attempt(gateway, work, outcome)
+        _log_attempt(gateway, context, outcome)
         if outcome is AttemptOutcome.DELIVERED:
-            _clear(gateway, work)
+            _record_served(gateway, context)
             return None
-        if outcome is AttemptOutcome.UNSURE:
-            work.model, work.next_model = work.next_model, None
-            work.tried = set(work.refused_by)
+        if outcome is AttemptOutcome.LOW_CONFIDENCE:
+            context.model, context.next_model = context.next_model, None
+            context.tried_instances = set(context.refused_by)
             continue
-        if not _may_go_on(work, outcome):
-            return _ending(work, budget_left=True)
+        if not _may_retry(context, outcome):
+            return _final_failure(context, budget_left=True)
 
 
-def _held_back(gateway: Gateway, work: Work, now_s: float) -> Refusal | None:
+def _quarantine_refusal(
+    gateway: Gateway, context: RequestContext, now_s: float
+) -> Refusal | None:
     """Say why a request that crashes endpoints is not sent, None for any other."""
     guard = gateway.guard
     if guard.quarantine.is_empty:
         return None
-    work.on_trial = guard.is_on_trial(work.fingerprint, now_s)
-    return guard.held_back(work.fingerprint, now_s)
+    context.on_trial = guard.requires_trial(context.fingerprint, now_s)
+    return guard.refusal_for(context.fingerprint, now_s)
 
 
-def _clear(gateway: Gateway, work: Work) -> None:
+def _record_served(gateway: Gateway, context: RequestContext) -> None:
     if not gateway.guard.quarantine.is_empty:
         now_s = asyncio.get_running_loop().time()
-        gateway.guard.note_served(work.fingerprint, now_s)
+        gateway.guard.record_served(context.fingerprint, now_s)
 
 
-def _may_enlarge(gateway: Gateway, work: Work) -> bool:
+def _may_escalate(gateway: Gateway, context: RequestContext) -> bool:
     """Tell whether a doubtful answer may be dropped for a larger model's."""
-    sizes = work.route.model_sizes
-    if not work.route.may_repeat or not sizes or work.model == sizes[-1]:
+    sizes = context.route.model_sizes
+    if not context.route.may_repeat or not sizes or context.model == sizes[-1]:
         return False
-    if work.events_delivered:
+    if context.events_delivered:
         return False
-    return _may_repeat_now(gateway, work, asyncio.get_running_loop().time())
+    return _has_retry_budget(gateway, context, asyncio.get_running_loop().time())
 
 
-def _may_repeat_now(gateway: Gateway, work: Work, now_s: float) -> bool:
-    budget = gateway.budget(work.service.name)
-    return budget.left(now_s, gateway.gateway_count) >= 1.0
+def _has_retry_budget(gateway: Gateway, context: RequestContext, now_s: float) -> bool:
+    budget = gateway.budget(context.service.name)
+    return budget.remaining(now_s, gateway.gateway_count) >= 1.0
 
 
-def _may_go_on(work: Work, outcome: AttemptOutcome) -> bool:
+def _may_retry(context: RequestContext, outcome: AttemptOutcome) -> bool:
     """Tell whether another endpoint may be asked.
 
     A request that may run once only goes on while it is certain that none has
     begun it; everything else goes on within its attempts.
     """
-    if work.sent >= work.route.max_attempts or work.tries >= MAX_TRIES:
+    if (
+        context.sent >= context.route.max_attempts
+        or context.attempt_count >= MAX_ATTEMPTS
+    ):
         return False
-    if work.on_trial and outcome is not AttemptOutcome.NOT_SENT:
+    if context.on_trial and outcome is not AttemptOutcome.NOT_SENT:
         return False
     if outcome in (AttemptOutcome.NOT_SENT, AttemptOutcome.NOT_RUN):
-        return not work.may_have_run or work.route.may_repeat
-    return work.route.may_repeat
+        return not context.may_have_run or context.route.may_repeat
+    return context.route.may_repeat
 
 
-def _ending(work: Work, budget_left: bool) -> Ending:
+def _final_failure(context: RequestContext, budget_left: bool) -> Failure:
     """Say truthfully how a request ended that nobody served."""
-    if work.kept_failure is not None and not _contradicts(work):
-        return work.kept_failure
-    if work.may_have_run:
+    if context.last_failure is not None and not _promises_not_run(context):
+        return context.last_failure
+    if context.may_have_run:
         return Refusal(Reason.OUTCOME_UNKNOWN, False, "the answer was lost")
-    if not work.tries:
+    if not context.attempt_count:
         return Refusal(
-            Reason.NO_ENDPOINT, True, "no endpoint may be used", NO_ENDPOINT_RETRY_S
+            Reason.NO_ENDPOINT,
+            True,
+            "no endpoint may be used",
+            NO_ENDPOINT_RETRY_AFTER_S,
         )
     reason = Reason.OVERLOADED if budget_left else Reason.BUDGET_EXHAUSTED
-    return Refusal(reason, True, "no endpoint took the request", FULL_RETRY_S)
+    return Refusal(reason, True, "no endpoint took the request", FULL_RETRY_AFTER_S)
 
 
-def _nobody(gateway: Gateway, work: Work, now_s: float) -> Ending:
+def _no_endpoint(gateway: Gateway, context: RequestContext, now_s: float) -> Failure:
     """End a request that no endpoint may be sent now."""
-    wait_s = room_in_s(gateway, work, now_s)
-    if work.tries or work.kept_failure is not None or wait_s is None:
-        return _ending(work, budget_left=True)
+    wait_s = next_slot_in_s(gateway, context, now_s)
+    if context.attempt_count or context.last_failure is not None or wait_s is None:
+        return _final_failure(context, budget_left=True)
     detail = "endpoints have stated limits, which are reached"
-    return Refusal(Reason.OVERLOADED, True, detail, max(wait_s, SHORTEST_RETRY_S))
+    return Refusal(Reason.OVERLOADED, True, detail, max(wait_s, MIN_RETRY_AFTER_S))
 
 
-def _contradicts(work: Work) -> bool:
+def _promises_not_run(context: RequestContext) -> bool:
     """Tell whether a kept failure promises "not run" of what may have run."""
-    assert work.kept_failure is not None
-    head, _ = work.kept_failure
-    return head.status in PROMISING
+    assert context.last_failure is not None
+    head, _ = context.last_failure
+    return head.status in NOT_RUN_STATUSES
 
 
-async def _pass_failure(front: FrontConnection, head: AnswerHead, body: bytes) -> int:
+async def _forward_failure(
+    front: FrontConnection, head: ResponseHead, body: bytes
+) -> int:
     """Pass an endpoint's own failure on as it is."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
     headers.append((b"Content-Length", str(len(body)).encode()))
-    front.start(head.status, head.reason, headers)
+    front.start_response(head.status, head.reason, headers)
     await front.write(body)
-    front.finish()
+    front.finish_response()
     return head.status
 
 
-def _head_line(head: HeadSeen) -> list[object]:
+def _response_fields(head: ResponseSummary) -> list[object]:
     """Return model, confidence, seconds taken and seconds predicted."""
-    taken, predicted = round(head.took_s, 3), round(head.predicted_s, 3)
+    taken, predicted = round(head.head_latency_s, 3), round(head.predicted_s, 3)
     return [head.endpoint, head.model, head.confidence, taken, predicted]
 
 
@@ -213,67 +229,69 @@
         status=status,
         reason=refusal.reason.value,
         host=request.host,
-        path=request.path[:MAX_LOGGED_PATH],
-        confirmed_age_s=round(gateway.beliefs.confirmed_age_s, 3),
-        revision=gateway.beliefs.operator_revision,
+        path=request.path[:MAX_LOGGED_PATH_CHARS],
+        confirmed_age_s=round(gateway.view.confirmed_age_s, 3),
+        revision=gateway.view.operator_revision,
     )
 
 
-MAX_LOGGED_PATH = 100
+MAX_LOGGED_PATH_CHARS = 100
 
 
-def _log_attempt(gateway: Gateway, work: Work, outcome: AttemptOutcome) -> None:
+def _log_attempt(
+    gateway: Gateway, context: RequestContext, outcome: AttemptOutcome
+) -> None:
     gateway.metrics.count(Metric.ATTEMPTS, outcome.value)
     if outcome is AttemptOutcome.DELIVERED:
         return
     gateway.log.write(
         Event.ATTEMPT,
-        routine=outcome is AttemptOutcome.UNSURE,
-        request_id=work.request.hints.request_id,
-        number=work.sent,
-        endpoint=work.trail[-1] if work.trail else None,
-        model=work.model,
+        routine=outcome is AttemptOutcome.LOW_CONFIDENCE,
+        request_id=context.request.hints.request_id,
+        number=context.sent,
+        endpoint=context.trail[-1] if context.trail else None,
+        model=context.model,
         outcome=outcome.value,
-        fingerprint=_fingerprint_of(work, outcome),
+        fingerprint=_fingerprint_of(context, outcome),
     )
 
 
-def _fingerprint_of(work: Work, outcome: AttemptOutcome) -> str | None:
+def _fingerprint_of(context: RequestContext, outcome: AttemptOutcome) -> str | None:
     """Name what was asked where an endpoint may have crashed under it."""
     if outcome not in (AttemptOutcome.LOST, AttemptOutcome.BROKEN):
         return None
-    return written_fingerprint(work.fingerprint)
+    return format_fingerprint(context.fingerprint)
 
 
-def _log_request(gateway: Gateway, work: Work, status: int | str) -> None:
+def _log_request(gateway: Gateway, context: RequestContext, status: int | str) -> None:
     now_s = asyncio.get_running_loop().time()
-    request = work.request
-    first_s = work.first_piece_s
-    kind = work.route.repetition.value
+    request = context.request
+    first_s = context.first_chunk_s
+    kind = context.route.repetition.value
     prompt = request.hints.prompt
     gateway.metrics.count(Metric.REQUESTS, kind, str(status))
     total_s = now_s - request.arrived_s
-    gateway.metrics.count(Metric.WHOLE, kind, amount=total_s)
+    gateway.metrics.count(Metric.REQUEST_SECONDS, kind, amount=total_s)
     if first_s is not None:
-        first_piece_s = first_s - request.arrived_s
-        gateway.metrics.count(Metric.FIRST_PIECE, kind, amount=first_piece_s)
+        first_chunk_s = first_s - request.arrived_s
+        gateway.metrics.count(Metric.FIRST_CHUNK_SECONDS, kind, amount=first_chunk_s)
     gateway.log.write(
         Event.REQUEST,
         routine=status == "served",
         request_id=request.hints.request_id,
-        route=work.route.name,
-        service=work.service.name,
-        organisation=work.organisation.name if work.organisation else None,
-        session=work.session,
+        route=context.route.name,
+        service=context.service.name,
+        organisation=context.organisation.name if context.organisation else None,
+        session=context.session,
         status=status,
-        model=work.model,
-        trail=work.trail,
-        heads=[_head_line(head) for head in work.heads],
+        model=context.model,
+        trail=context.trail,
+        heads=[_response_fields(head) for head in context.responses],
         input_tokens=prompt.input_tokens if prompt else None,
-        target_s=work.route.latency_target_s,
-        tries=work.tries,
+        target_s=context.route.latency_target_s,
+        tries=context.attempt_count,
         first_piece_s=round(first_s - request.arrived_s, 4) if first_s else None,
         total_s=round(total_s, 4),
-        time_s=round(work.until_s - request.arrived_s, 3),
-        revision=gateway.beliefs.operator_revision,
+        time_s=round(context.deadline_s - request.arrived_s, 3),
+        revision=gateway.view.operator_revision,
     )
--- a/acaciacove/platform/__main__.py
+++ b/acaciacove/platform/__main__.py
@@ -8,12 +8,12 @@
 
 import sys
 
-from acaciacove.platform.early_listener import open_front
+from acaciacove.platform.early_listener import open_front_socket
 
 
 def main() -> int:
     """Open the front's port, read the settings whole, then serve."""
-    front = open_front()
+    front = open_front_socket()
     from acaciacove.platform.run_gateway import run_gateway
 
     return int(run_gateway(front))
--- a/acaciacove/platform/header_fields.py
+++ b/acaciacove/platform/header_fields.py
@@ -3,10 +3,10 @@
 import math
 
 from acaciacove.gateway.choice.prompt import Prompt
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.caller_hints import CallerHints
 from acaciacove.gateway.http.dialect import Dialect, RawHeaders
 from acaciacove.gateway.http.forward_hints import ForwardHints
+from acaciacove.gateway.http.response_head import ResponseHead
 from acaciacove.platform import names
 
 MS = 1000.0
@@ -15,7 +15,7 @@
 
 def read_hints(headers: RawHeaders) -> CallerHints:
     """Decode a caller's fields; one that cannot be read counts as not given."""
-    fields = _first_of_each(headers)
+    fields = _first_values(headers)
     model = fields.get(names.MODEL)
     return CallerHints(
         request_id=fields.get(names.REQUEST_ID),
@@ -35,24 +35,24 @@
     key, and those that are the gateway's to set.
     """
     fields = dict(headers)
-    dropped = names.HOP_BY_HOP | names.GATEWAY_ONLY | _named_by(fields)
+    dropped = names.HOP_BY_HOP | names.GATEWAY_ONLY | _connection_options(fields)
     dropped |= {names.AUTHORIZATION, names.DEADLINE_MS, b"content-length"}
     if hints.model is not None:
         dropped |= {names.MODEL}
     if hints.last_event_id is not None:
         dropped |= {names.LAST_EVENT_ID}
     kept = [(name, value) for name, value in headers if name not in dropped]
-    return kept + _own_fields(hints)
+    return kept + _gateway_fields(hints)
 
 
-def _named_by(fields: dict[bytes, bytes]) -> frozenset[bytes]:
+def _connection_options(fields: dict[bytes, bytes]) -> frozenset[bytes]:
     """Return the fields that the Connection field names."""
     listed = fields.get(b"connection", b"").split(b",")
     named = frozenset(word.strip().lower() for word in listed)
     return named - {b"host", names.REQUEST_ID}
 
 
-def _own_fields(hints: ForwardHints) -> list[Header]:
+def _gateway_fields(hints: ForwardHints) -> list[Header]:
     left_ms = max(1, int(hints.time_left_s * MS))
     own = [
         (names.DEADLINE_MS, str(left_ms).encode()),
@@ -70,32 +70,34 @@
     return own
 
 
-def read_answer(status: int, reason: bytes, headers: RawHeaders) -> AnswerHead:
+def read_response(status: int, reason: bytes, headers: RawHeaders) -> ResponseHead:
     """Decode the head of an answer."""
-    fields = _first_of_each(headers)
+    fields = _first_values(headers)
     connection = fields.get(b"connection", "")
-    dropped = names.HOP_BY_HOP | _named_by({b"connection": connection.encode()})
-    return AnswerHead(
+    dropped = names.HOP_BY_HOP | _connection_options(
+        {b"connection": connection.encode()}
+    )
+    return ResponseHead(
         status=status,
         reason=reason,
         headers=tuple((n, v) for n, v in headers if n not in dropped),
         request_id=fields.get(names.REQUEST_ID),
-        signed=names.RECEIPT in fields,
-        not_run=names.NOT_RUN in fields or status == MISDIRECTED,
+        has_receipt=names.RECEIPT in fields,
+        not_run=names.NOT_RUN in fields or status == MISDIRECTED_REQUEST,
         confidence=_number(fields.get(names.CONFIDENCE)),
         load=_load(fields.get(names.LOAD)),
         idle_timeout_s=_idle_timeout_s(fields.get(names.KEEP_ALIVE)),
         encoded=names.CONTENT_ENCODING in fields,
-        misdirected=status == MISDIRECTED,
+        misdirected=status == MISDIRECTED_REQUEST,
         rate_limit_per_s=_rate(fields.get(names.RATE_LIMIT)),
     )
 
 
 # An endpoint that is not the expected one says so by this status alone.
-MISDIRECTED = 421
+MISDIRECTED_REQUEST = 421
 
 
-def _first_of_each(headers: RawHeaders) -> dict[bytes, str]:
+def _first_values(headers: RawHeaders) -> dict[bytes, str]:
     fields: dict[bytes, str] = {}
     for name, value in headers:
         fields.setdefault(name, value.decode("latin-1").strip())
@@ -160,6 +162,6 @@
 DIALECT = Dialect(
     read_hints=read_hints,
     forward_headers=forward_headers,
-    read_answer=read_answer,
+    read_response=read_response,
     readiness_path=names.READINESS_PATH,
 )
--- a/acaciacove/platform/store_client.py
+++ b/acaciacove/platform/log_client.py
@@ -14,20 +14,20 @@
 from acaciacove.gateway.http.connection_pool import ConnectionPool
 from acaciacove.gateway.http.endpoint_connection import EndpointConnection
 from acaciacove.gateway.http.errors import (
-    BadAnswerError,
     ConnectFailedError,
     ConnectionLostError,
+    InvalidResponseError,
 )
 from acaciacove.gateway.log_page import LogPage
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
-from acaciacove.gateway.metadata_log import LogMovedError
+from acaciacove.gateway.metadata_log import AppendConflictError
 from acaciacove.platform.names import STREAMS
 
 PARTITION = 0
 OK = 200
 GONE = 410
-CONDITION_FAILED = 412
+PRECONDITION_FAILED = 412
 _LENGTH = Struct(">I")
 _OFFSET = Struct(">Q")
 MS = 1000.0
@@ -38,14 +38,14 @@
 
 
 @frozen
-class StoreAnswer:
+class LogResponse:
     """Status and body of one call."""
 
     status: int
     body: bytes
 
 
-class StoreClient:
+class LogClient:
     """The platform's log behind its HTTP calls."""
 
     def __init__(self, host: str, port: int, caller: str) -> None:
@@ -102,8 +102,8 @@
         content = bytes([len(name)]) + name + value
         body = _LENGTH.pack(len(content)) + content
         answer = await self._call("POST", "log-append", query, body)
-        if answer.status == CONDITION_FAILED:
-            raise LogMovedError(int(_document(answer)["endOffset"]))
+        if answer.status == PRECONDITION_FAILED:
+            raise AppendConflictError(int(_document(answer)["endOffset"]))
         return int(_document(_expect_ok(answer))["endOffset"])
 
     async def _call(
@@ -113,7 +113,7 @@
         query: dict[str, Any],
         body: bytes = b"",
         wait_s: float = 0.0,
-    ) -> StoreAnswer:
+    ) -> LogResponse:
         self.calls += 1
         target = f"/-/{name}?{urlencode(query)}".encode()
         headers = [
@@ -127,44 +127,44 @@
         complete = False
         try:
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
-                connection = await self._pool.take(False, CONNECT_TIMEOUT_S)
+                connection = await self._pool.acquire(False, CONNECT_TIMEOUT_S)
                 connection.send_request(request, body)
-                answer = await _read_answer(connection)
+                answer = await _read_response(connection)
             complete = True
             return answer
-        except (ConnectFailedError, ConnectionLostError, BadAnswerError) as error:
+        except (ConnectFailedError, ConnectionLostError, InvalidResponseError) as error:
             raise PlatformUnavailableError(f"{name}: {error}") from error
         except TimeoutError as error:
             raise PlatformUnavailableError(f"{name}: no answer in time") from error
         finally:
             if connection is not None:
-                self._pool.give_back(connection, complete)
+                self._pool.release(connection, complete)
 
     def close(self) -> None:
         """End idle connections."""
         self._pool.close()
 
 
-async def _read_answer(connection: EndpointConnection) -> StoreAnswer:
+async def _read_response(connection: EndpointConnection) -> LogResponse:
     status = 0
     pieces: list[bytes] = []
     while True:
-        event = await connection.next_answer_event()
+        event = await connection.next_response_event()
         if isinstance(event, h11.Response):
             status = event.status_code
         elif isinstance(event, h11.Data):
             pieces.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return StoreAnswer(status, b"".join(pieces))
+            return LogResponse(status, b"".join(pieces))
 
 
-def _expect_ok(answer: StoreAnswer) -> StoreAnswer:
+def _expect_ok(answer: LogResponse) -> LogResponse:
     if answer.status != OK:
         raise PlatformUnavailableError(f"the log answered {answer.status}")
     return answer
 
 
-def _document(answer: StoreAnswer) -> dict[str, Any]:
+def _document(answer: LogResponse) -> dict[str, Any]:
     try:
         document = orjson.loads(answer.body)
     except ValueError as error:
--- a/acaciacove/platform/written_node_file.py
+++ b/acaciacove/platform/node_file_writer.py
@@ -4,14 +4,14 @@
 from acaciacove.settings.gateway_settings import GatewaySettings
 
 MS = 1000.0
-IN_MILLISECONDS = "Ms"
+MS_SUFFIX = "Ms"
 LAST_PORT = 65_535
 
 
 def write_node_file(settings: GatewaySettings) -> str:
     """Return the lines that ``decode_node_file`` reads as these settings."""
     lines = [
-        f"{source}={_written(source, getattr(settings, name))}"
+        f"{source}={_format_value(source, getattr(settings, name))}"
         for name, (source, _) in FIELDS.items()
     ]
     zones = settings.region_of_zone.items()
@@ -19,10 +19,10 @@
     return "\n".join(lines) + "\n"
 
 
-def _written(source: str, value: object) -> str:
+def _format_value(source: str, value: object) -> str:
     if isinstance(value, bool):
         return str(value).lower()
-    if source.endswith(IN_MILLISECONDS):
+    if source.endswith(MS_SUFFIX):
         assert isinstance(value, float)
         return str(value * MS)
     if source == "internalPortRange":
--- a/acaciacove/platform/written_records.py
+++ b/acaciacove/platform/record_writer.py
@@ -14,10 +14,10 @@
 from acaciacove.gateway.catalogue.route import Route
 from acaciacove.gateway.catalogue.service import Service
 from acaciacove.gateway.endpoint_report import EndpointReport
-from acaciacove.gateway.operator_decision import RolloutWish
+from acaciacove.gateway.operator_decision import RolloutSpec
 from acaciacove.platform.records import MS
 
-KIND_WORDS = {
+KIND_NAMES = {
     Repetition.REPEATABLE: "idempotent",
     Repetition.ONCE: "non_idempotent",
     Repetition.STREAMING: "streaming",
@@ -49,7 +49,7 @@
         "name": route.name,
         "host": route.host,
         "pathPrefix": route.path_prefix,
-        "kind": KIND_WORDS[route.repetition],
+        "kind": KIND_NAMES[route.repetition],
         "timeoutMs": route.timeout_s * MS,
         "targetLatencyMs": route.latency_target_s * MS,
         "maxAttempts": route.max_attempts,
@@ -101,14 +101,14 @@
             "zone": report.availability_zone,
             "version": report.version,
             "slots": report.slots,
-            "state": "draining" if report.leaving else "ready",
+            "state": "draining" if report.draining else "ready",
             "coldRemainingMs": report.cold_remaining_s * MS,
-            "born": report.generation,
+            "born": report.incarnation,
         }
     )
 
 
-def write_rollout(wish: RolloutWish) -> bytes:
+def write_rollout(wish: RolloutSpec) -> bytes:
     """Return the record of an order to roll a version out."""
     return orjson.dumps(
         {
--- a/acaciacove/platform/records.py
+++ b/acaciacove/platform/records.py
@@ -19,7 +19,7 @@
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.operator_decision import (
     OperatorDecision,
-    RolloutWish,
+    RolloutSpec,
     ZoneOut,
 )
 from acaciacove.gateway.record_codec import RecordCodec
@@ -37,8 +37,8 @@
     "completed": RolloutState.COMPLETED,
     "rolled_back": RolloutState.ROLLED_BACK,
 }
-STATE_WORDS = {state: word for word, state in STATES.items()}
-ENDPOINT_STATES = {"ready": False, "draining": True}
+STATE_NAMES = {state: word for word, state in STATES.items()}
+IS_DRAINING = {"ready": False, "draining": True}
 # Used where a route says nothing; the operator's catalogues always do.
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_TARGET_MS = 1_000.0
@@ -47,28 +47,28 @@
 def read_decision(record: LogRecord) -> OperatorDecision | None:
     """Decode an operator's record; None for keys that decide nothing here."""
     if record.key == names.CATALOGUE_KEY:
-        return _strictly(_catalogue, record)
+        return _decode(_catalogue, record)
     if record.key.startswith(names.ROLLOUT_KEY):
-        return _strictly(_rollout, record)
+        return _decode(_rollout, record)
     zone = removed_zone(record.key)
     return ZoneOut(zone) if zone else None
 
 
 def removed_zone(key: str) -> str | None:
     """Return the zone that a key takes out."""
-    return _after(names.ZONE_OUT_KEY, key)
+    return _without_prefix(names.ZONE_OUT_KEY, key)
 
 
 def removed_rollout(key: str) -> str | None:
     """Return the service that a key's order is about."""
-    return _after(names.ROLLOUT_KEY, key)
+    return _without_prefix(names.ROLLOUT_KEY, key)
 
 
-def _after(prefix: str, key: str) -> str | None:
+def _without_prefix(prefix: str, key: str) -> str | None:
     return key[len(prefix) :] or None if key.startswith(prefix) else None
 
 
-def _strictly(
+def _decode(
     read: Callable[[dict[str, Any], LogRecord], Document], record: LogRecord
 ) -> Document:
     """Read a document; whatever is wrong with it is one kind of error."""
@@ -162,8 +162,8 @@
     return default_s if value is None else float(value) / MS
 
 
-def _rollout(document: dict[str, Any], record: LogRecord) -> RolloutWish:
-    return RolloutWish(
+def _rollout(document: dict[str, Any], record: LogRecord) -> RolloutSpec:
+    return RolloutSpec(
         service=document["service"],
         target=document["target"],
         duration_s=float(document["durationS"]),
@@ -172,7 +172,7 @@
 
 def read_endpoint(record: LogRecord) -> EndpointReport:
     """Decode a heartbeat; other writers' records are refused as malformed."""
-    return _strictly(_endpoint, record)
+    return _decode(_endpoint, record)
 
 
 def _endpoint(document: dict[str, Any], record: LogRecord) -> EndpointReport:
@@ -189,14 +189,14 @@
         instance=record.key,
         # The Unix millisecond of the endpoint's start; other words for a life of
         # an instance are not told by the platform.
-        generation=str(document.get("born", "")),
+        incarnation=str(document.get("born", "")),
         service=_text(document, "service"),
         host=host,
         port=int(port),
         availability_zone=_text(document, "zone"),
         version=_text(document, "version"),
         slots=slots,
-        leaving=ENDPOINT_STATES[_text(document, "state")],
+        draining=IS_DRAINING[_text(document, "state")],
         cold_remaining_s=max(0.0, cold_ms / MS),
     )
 
@@ -213,7 +213,7 @@
     service = removed_rollout(record.key)
     if service is None or record.value is None:
         return None
-    return _strictly(_outcome, record)
+    return _decode(_outcome, record)
 
 
 def _outcome(document: dict[str, Any], record: LogRecord) -> RolloutStatus:
@@ -230,7 +230,7 @@
     document = {
         "service": status.service,
         "target": status.target,
-        "state": STATE_WORDS[status.state],
+        "state": STATE_NAMES[status.state],
     }
     return names.ROLLOUT_KEY + status.service, orjson.dumps(document)
 
--- a/acaciacove/platform/run_gateway.py
+++ b/acaciacove/platform/run_gateway.py
@@ -8,16 +8,16 @@
 from acaciacove.errors import InvalidSettingsError
 from acaciacove.exit_status import ExitStatus
 from acaciacove.gateway.daemon import serve_gateway
-from acaciacove.platform.early_listener import settings_path
+from acaciacove.platform.early_listener import node_file_path
 from acaciacove.platform.header_fields import DIALECT
+from acaciacove.platform.log_client import LogClient
 from acaciacove.platform.node_file import read_node_file
 from acaciacove.platform.records import CODEC
-from acaciacove.platform.store_client import StoreClient
 
 
 def run_gateway(front: socket.socket | None) -> ExitStatus:
     """Serve until stopped; every fault of the settings is told at once."""
-    path = Path(settings_path())
+    path = Path(node_file_path())
     try:
         settings = read_node_file(path)
     except InvalidSettingsError as error:
@@ -25,7 +25,7 @@
             sys.stderr.write(f"acaciacove: {path}: {fault}\n")
         return ExitStatus.USAGE
     host, _, port = settings.log_address.rpartition(":")
-    store = StoreClient(host, int(port), settings.name)
+    store = LogClient(host, int(port), settings.name)
     asyncio.run(
         serve_gateway(lambda: read_node_file(path), DIALECT, CODEC, store, front)
     )
--- a/acaciacove/sidecar/admission.py
+++ b/acaciacove/sidecar/admission.py
@@ -100,7 +100,7 @@
             if begun:
                 ramp.observed_gap(now_s - max(begun), now_s)
         if self._is_cold():
-            self.adaptive.restarted(self._bears())
+            self.adaptive.reset(self._bears())
         self._give_places()
 
     def _learn_from(self, ticket: Ticket, completed: bool, now_s: float) -> None:
--- a/acaciacove/sidecar/evidence_report.py
+++ b/acaciacove/sidecar/evidence_report.py
@@ -10,7 +10,7 @@
 from acaciacove.daemon.shared_state import SharedState
 from acaciacove.decisions.evidence_kind import EvidenceKind
 from acaciacove.decisions.rollout_guard import RolloutGuard
-from acaciacove.decisions.version_holders import RANKS
+from acaciacove.decisions.version_holders import HASH_PARTITIONS
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.role import Role
@@ -100,7 +100,7 @@
         listed = _listed(version, fleet, endpoints)
         names = {e.name for e in endpoints if listed in e.versions}
         names.add(shared.me.name)
-        ranked = rank_owners(partition_of(str(version), RANKS), names)
+        ranked = rank_owners(partition_of(str(version), HASH_PARTITIONS), names)
         if shared.me.name in ranked[:REPORTERS_PER_VERSION]:
             return True
     return False
--- a/acaciacove/soak/check_answers.py
+++ b/acaciacove/soak/check_answers.py
@@ -3,7 +3,7 @@
 import re
 from collections.abc import Iterator
 
-from acaciacove.gateway.refuse import PROMISING
+from acaciacove.gateway.refuse import NOT_RUN_STATUSES
 from acaciacove.platform import names
 from acaciacove.soak.bounds import REVOCATION_S
 from acaciacove.soak.call_kind import ONCE, CallKind
@@ -25,7 +25,7 @@
         instances = [run.instance for run in own]
         if call.kind in ONCE and len(own) > 1:
             yield _of(Promise.ONCE, call, f"ran on {instances}")
-        if call.status in PROMISING and own:
+        if call.status in NOT_RUN_STATUSES and own:
             yield _of(Promise.NOT_RUN, call, f"{call.status}, ran on {instances}")
         if call.status == SUCCESS and call.complete:
             yield from _check_whole(call, instances)
--- a/acaciacove/soak/gateway_process.py
+++ b/acaciacove/soak/gateway_process.py
@@ -8,8 +8,8 @@
 
 from attrs import define, field
 
-from acaciacove.platform.early_listener import SETTINGS_VARIABLE
-from acaciacove.platform.written_node_file import write_node_file
+from acaciacove.platform.early_listener import NODE_FILE_VARIABLE
+from acaciacove.platform.node_file_writer import write_node_file
 from acaciacove.settings.gateway_settings import GatewaySettings
 
 PROGRAM = "acaciacove.platform"
@@ -38,7 +38,7 @@
         """Start it anew."""
         path = self.folder / f"{self.settings.name}.conf"
         path.write_text(write_node_file(self.settings), encoding="utf-8")
-        environment = os.environ | {SETTINGS_VARIABLE: str(path)}
+        environment = os.environ | {NODE_FILE_VARIABLE: str(path)}
         with self.log_path.open("ab") as lines:
             self.process = await asyncio.create_subprocess_exec(
                 sys.executable,
--- a/acaciacove/soak/play_faults.py
+++ b/acaciacove/soak/play_faults.py
@@ -261,7 +261,7 @@
 
 async def _leave(world: SoakWorld, fault: PlannedFault, instance: str) -> None:
     """Let an endpoint leave as planned, after another has taken its place."""
-    if world.servers[instance].report.leaving:
+    if world.servers[instance].report.draining:
         return
     await world.add_endpoint(world.servers[instance].report.service)
     # An endpoint says nothing while the log is away, and leaves once it was heard.
--- a/acaciacove/soak/soak_world.py
+++ b/acaciacove/soak/soak_world.py
@@ -102,14 +102,14 @@
         self._endpoints_made += 1
         report = EndpointReport(
             instance=f"i-{number}",
-            generation="1",
+            incarnation="1",
             service=service,
             host=self.addresses.told_endpoint(number),
             port=ENDPOINT_PORT,
             availability_zone=ZONES[number % len(ZONES)],
             version="v1",
             slots=64,
-            leaving=False,
+            draining=False,
             cold_remaining_s=0.0,
         )
         behaviour = EndpointBehaviour(
@@ -167,7 +167,7 @@
         server = self.servers.get(instance)
         if server is None:
             return True
-        server.report = evolve(server.report, leaving=True)
+        server.report = evolve(server.report, draining=True)
         self._beats_s.pop(instance, None)
         if with_word:
             self.fleet.register(server.report)
--- a/acaciacove/standins/datagram_network.py
+++ b/acaciacove/standins/datagram_network.py
@@ -7,8 +7,8 @@
 
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.metadata_log import MetadataLog
-from acaciacove.gateway.peers.datagrams import Datagrams, Take
-from acaciacove.gateway.peers.talk_to_peers import talk_to_peers
+from acaciacove.gateway.peers.datagrams import DatagramSocket, OnDatagram
+from acaciacove.gateway.peers.serve_peers import serve_peers
 
 TRAVEL_S = 0.001
 
@@ -20,9 +20,9 @@
     loss: float = 0.0
     cut: set[str] = field(factory=set)
     random: Random = field(factory=lambda: Random(1))
-    _takers: dict[tuple[str, int], Take] = field(factory=dict)
+    _takers: dict[tuple[str, int], OnDatagram] = field(factory=dict)
 
-    async def open(self, host: str, port: int, take: Take) -> Datagrams:
+    async def open(self, host: str, port: int, take: OnDatagram) -> DatagramSocket:
         """Open a socket."""
         self._takers[(host, port)] = take
         return _Socket(self, host, port)
@@ -43,7 +43,7 @@
 
     async def talk(self, gateway: Gateway, metadata: MetadataLog) -> None:
         """Run the reports of one gateway over this network."""
-        await talk_to_peers(gateway, metadata, self.open)
+        await serve_peers(gateway, metadata, self.open)
 
 
 @define(eq=False)
--- a/acaciacove/standins/endpoint_server.py
+++ b/acaciacove/standins/endpoint_server.py
@@ -133,7 +133,7 @@
         if self.behaviour.late_answer:
             self._send_foreign(front)
         if self.behaviour.early_end:
-            front.start(200, b"", [*fields, (b"Content-Length", b"999")])
+            front.start_response(200, b"", [*fields, (b"Content-Length", b"999")])
             await front.write(body)
             front.close()
             arrival.ended = "broken"
@@ -155,7 +155,9 @@
         confidence = (behaviour.confidence or {}).get(model)
         if confidence is not None:
             fields = [*fields, (names.CONFIDENCE, str(confidence).encode())]
-        front.start(200, b"", [*fields, (b"Content-Type", b"text/event-stream")])
+        front.start_response(
+            200, b"", [*fields, (b"Content-Type", b"text/event-stream")]
+        )
         begin = int(arrival.fields.get(names.LAST_EVENT_ID.decode(), "0"))
         for number in range(begin + 1, behaviour.events + 1):
             event = f"id: {number}\ndata: {model} {number}\n\n".encode()
@@ -166,13 +168,13 @@
                 return
             await front.write(event)
             await asyncio.sleep(behaviour.gap_s)
-        front.finish()
+        front.finish_response()
 
 
 async def _whole(
     front: FrontConnection, status: int, fields: Fields, body: bytes
 ) -> None:
     headers = [*fields, (b"Content-Length", str(len(body)).encode())]
-    front.start(status, b"", headers)
+    front.start_response(status, b"", headers)
     await front.write(body)
-    front.finish()
+    front.finish_response()
--- a/acaciacove/standins/gateway_fleet.py
+++ b/acaciacove/standins/gateway_fleet.py
@@ -15,17 +15,17 @@
 from acaciacove.gateway.http.front_connection import FrontConnection, Serve
 from acaciacove.gateway.log_stream import LogStream
 from acaciacove.gateway.metadata_log import MetadataLog
-from acaciacove.gateway.operator_decision import RolloutWish
+from acaciacove.gateway.operator_decision import RolloutSpec
 from acaciacove.gateway.running_gateway import RunningGateway
 from acaciacove.platform import names
 from acaciacove.platform.header_fields import DIALECT
-from acaciacove.platform.records import CODEC
-from acaciacove.platform.store_client import StoreClient
-from acaciacove.platform.written_records import (
+from acaciacove.platform.log_client import LogClient
+from acaciacove.platform.record_writer import (
     write_catalogue,
     write_endpoint,
     write_rollout,
 )
+from acaciacove.platform.records import CODEC
 from acaciacove.settings.gateway_settings import GatewaySettings
 from acaciacove.standins.endpoint_arrival import EndpointArrival
 from acaciacove.standins.endpoint_behaviour import EndpointBehaviour
@@ -114,7 +114,7 @@
 
     def announce_leaving(self, instance: str) -> None:
         """Let an endpoint say that it leaves; it goes on serving."""
-        report = evolve(self.endpoints[instance].report, leaving=True)
+        report = evolve(self.endpoints[instance].report, draining=True)
         self.register(report)
 
     def crash(self, instance: str) -> None:
@@ -161,7 +161,7 @@
         """Take a zone back."""
         self.store.append(OPERATOR, names.ZONE_OUT_KEY + zone, b"")
 
-    def roll_out(self, wish: RolloutWish) -> None:
+    def roll_out(self, wish: RolloutSpec) -> None:
         """Order a roll-out."""
         key = names.ROLLOUT_KEY + wish.service
         self.store.append(OPERATOR, key, write_rollout(wish))
@@ -178,7 +178,7 @@
         seed: int = 0,
     ) -> RunningGateway:
         """Start a gateway; it serves when it is ready."""
-        metadata = StoreClient(self.store_host, STORE_PORT, settings.name)
+        metadata = LogClient(self.store_host, STORE_PORT, settings.name)
         log = EventLog(settings.name, descriptor=None)
         running = RunningGateway(
             settings,
--- a/acaciacove/standins/keyed_log_server.py
+++ b/acaciacove/standins/keyed_log_server.py
@@ -117,6 +117,6 @@
 
 async def _answer(front: FrontConnection, status: int, body: bytes) -> None:
     headers = [(b"Content-Length", str(len(body)).encode())]
-    front.start(status, b"", headers)
+    front.start_response(status, b"", headers)
     await front.write(body)
-    front.finish()
+    front.finish_response()
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -11,13 +11,13 @@
 @define(slots=False)
 class FakeLog:
     """``lost_replies``: appends that land without a reply; ``lost_appends``: appends
-    that neither land nor answer; ``down_reads``: reads that fail."""
+    that neither land nor answer; ``failing_reads``: reads that fail."""
 
     payloads: list[bytes] = field(factory=list)
     earliest: int = 0
     lost_replies: int = 0
     lost_appends: int = 0
-    down_reads: int = 0
+    failing_reads: int = 0
     appends: int = 0
     on_append: object = None
 
@@ -37,8 +37,8 @@
         return len(self.payloads) - 1
 
     async def read(self, stream, from_offset, limit, wait_s=0.0):
-        if self.down_reads:
-            self.down_reads -= 1
+        if self.failing_reads:
+            self.failing_reads -= 1
             raise PlatformUnavailableError("log is down")
         if from_offset < self.earliest:
             raise OffsetExpiredError(self.earliest)
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -82,14 +82,14 @@
     """A heartbeat of an endpoint at an address of its own."""
     values = {
         "instance": instance,
-        "generation": "1",
+        "incarnation": "1",
         "service": service,
         "host": f"10.0.2.{number}",
         "port": ENDPOINT_PORT,
         "availability_zone": zone,
         "version": "v1",
         "slots": 6,
-        "leaving": False,
+        "draining": False,
         "cold_remaining_s": 0.0,
     }
     return EndpointReport(**(values | changes))
@@ -170,11 +170,11 @@
             self.h11.start_next_cycle()
         return answer
 
-    async def ask(self, path, request_id, **options):
+    async def request(self, path, request_id, **options):
         self.send(path, request_id, **options)
         return await self.read()
 
-    def leave(self):
+    def disconnect(self):
         self.writer.transport.abort()
 
 
@@ -182,9 +182,9 @@
     """Ask on a connection of its own."""
     caller = await Caller(host).open()
     try:
-        return await caller.ask(path, request_id, **options)
+        return await caller.request(path, request_id, **options)
     finally:
-        caller.leave()
+        caller.disconnect()
 
 
 def draft(request_id, key="subject", **options):
@@ -218,12 +218,12 @@
         await fleet.close()
 
 
-def run_fleet(story, **options):
+def run_fleet(scenario, **options):
     """Run ``story(fleet)`` on a virtual clock."""
 
     async def main():
         async with fleet_of(**options) as fleet:
-            return await story(fleet)
+            return await scenario(fleet)
 
     return run_virtual(main)
 
--- a/tests/test_cli_release.py
+++ b/tests/test_cli_release.py
@@ -144,8 +144,8 @@
 
 def test_a_log_that_is_down_from_the_start_takes_nothing():
     with pytest.raises(PlatformUnavailableError):
-        published(FakeLog(down_reads=1), FIRST)
-    status, _, err = run(FakeLog(down_reads=1), "release", "publish", FIRST, URL)
+        published(FakeLog(failing_reads=1), FIRST)
+    status, _, err = run(FakeLog(failing_reads=1), "release", "publish", FIRST, URL)
     assert status is ExitStatus.PLATFORM_UNAVAILABLE
     assert "the platform did not answer" in err
 
@@ -158,14 +158,14 @@
     report = published(log, FIRST)
     assert exit_status(report) is ExitStatus.OUTCOME_UNKNOWN
     assert report.offset is None
-    log.down_reads = 0
+    log.failing_reads = 0
     assert published(log, FIRST).verdict is Verdict.ACCEPTED
 
 
 def dying_append(log):
     async def append(stream, payload):
         log.payloads.append(payload)
-        log.down_reads = 10**6
+        log.failing_reads = 10**6
         raise PlatformUnavailableError("no reply")
 
     return append
--- a/tests/test_decisions_cascade.py
+++ b/tests/test_decisions_cascade.py
@@ -67,7 +67,7 @@
     assert plan.start == SMALL and plan.cost == pytest.approx(1.0)
 
 
-def test_without_ratings_the_best_version_is_asked():
+def test_without_ratings_the_version_with_the_best_prior_starts():
     # Right after a start nothing is known. Asking the cheap version on the word of
     # its release note alone would give callers poor answers until ratings arrive.
     plan = plan_cascade(LADDER, QualityEstimates("entry-1"), CLASS, 0.85)
@@ -76,7 +76,7 @@
 
 @given(st.lists(st.floats(0, 1), min_size=8, max_size=8), st.floats(0.1, 0.99))
 @settings(derandomize=True, deadline=None, max_examples=60)
-def test_a_plan_meets_the_target_or_is_the_best_there_is(scores, target):
+def test_a_plan_meets_the_target_or_has_the_best_quality(scores, target):
     estimates = learned(dict(enumerate(scores)), 0.9, ratings=12)
     plan = plan_cascade(LADDER, estimates, CLASS, target)
     best = plan_cascade(LADDER, estimates, CLASS, 2.0)
@@ -91,7 +91,7 @@
     trials = list_trials(LADDER, plan, CLASS, QualityEstimates("e"), settings_)
     assert [t.ladder for t in trials] == [(SMALL, LARGE)]
     assert all(t.always_escalates for t in trials)
-    assert sum(t.chance for t in trials) <= settings_.max_tried_share
+    assert sum(t.probability for t in trials) <= settings_.max_tried_share
 
 
 def rollout_fleet(**changes):
--- a/tests/test_decisions_counts.py
+++ b/tests/test_decisions_counts.py
@@ -18,7 +18,7 @@
 
 @given(events, st.randoms(use_true_random=False))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_lost_doubled_and_overtaking_messages_leave_the_same_sums(counted, rng):
+def test_lost_duplicated_and_reordered_messages_give_the_same_sums(counted, rng):
     # Entries exchange counters over messages that are lost, sent twice or overtake
     # each other. If a merge added them up, quality would be learned from ratings
     # that nobody gave.
@@ -38,14 +38,14 @@
         assert reader.tally((name,)).count == sum(n == name for _, n in counted)
 
 
-def test_an_exchange_is_bounded_whatever_has_changed():
+def test_export_is_limited_however_many_cells_changed():
     counts = SharedCounts("entry-1")
     for number in range(500):
         counts.add((str(number),))
     assert len(counts.export_delta(limit=32)) == 32
 
 
-def test_old_epochs_are_forgotten():
+def test_old_epochs_expire():
     # A version that answered well for months starts to answer badly. Were all its
     # ratings kept with equal weight, the estimate would take months to follow.
     estimates = QualityEstimates("entry-1")
@@ -58,7 +58,7 @@
     assert abs(estimate.mean - 0.3) < 0.05
 
 
-def test_a_sample_that_prefers_one_kind_of_answer_does_not_shift_the_mean():
+def test_biased_sampling_does_not_shift_the_mean():
     # The rating service rates doubtful answers far more often than clear ones. The
     # plain mean of its ratings would call a good version bad.
     estimates = QualityEstimates("entry-1")
@@ -75,16 +75,16 @@
 
 @given(st.text(max_size=30))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_any_class_that_the_rating_service_returns_can_be_read(text):
+def test_any_class_text_of_the_rating_service_can_be_parsed(text):
     assert parse_rated_class(text).signal_bin >= 0
 
 
-def test_a_rated_class_reads_back_as_it_was():
+def test_rated_class_round_trips():
     rated = RatedClass("batch-long", "guide-small@1", 3)
     assert parse_rated_class(str(rated)) == rated
 
 
-def test_ratings_by_unhappy_callers_are_weighed_down():
+def test_overrepresented_ratings_of_unhappy_callers_are_corrected():
     # Callers who got a poor answer rate three times as often. The plain mean makes
     # the cheap version look worse than it is, and callers pay for the dear one.
     rng = Random(3)
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -36,7 +36,7 @@
 
 @given(st.integers(1, 60), st.integers(1, 120))
 @settings(derandomize=True, deadline=None, max_examples=40)
-def test_every_endpoint_is_in_somebodys_set_and_none_in_far_too_many(entries, count):
+def test_subsets_cover_every_endpoint_evenly(entries, count):
     names = [f"entry-{n}" for n in range(entries)]
     endpoints = fleet_of(count)
     covered = Counter(
@@ -48,14 +48,14 @@
         assert not counts or max(counts) - min(counts) <= 2
 
 
-def test_a_set_has_endpoints_in_every_zone_and_stays_small():
+def test_a_subset_spans_every_zone_and_stays_small():
     names = [f"entry-{n}" for n in range(380)]
     subset = choose_subset("entry-7", names, fleet_of(600))
     assert 20 <= len(subset) <= 28
     assert {e.availability_zone for e in subset} == set(ZONES)
 
 
-def test_one_arrival_changes_little_of_a_set():
+def test_one_added_endpoint_changes_little_of_a_subset():
     # An endpoint is replaced. If each entry then drew a fresh set, all connections
     # and prefix caches of the fleet would be lost at once.
     names = [f"entry-{n}" for n in range(40)]
@@ -66,7 +66,7 @@
 
 @given(st.integers(0, 10_000), st.sets(st.sampled_from(ZONES)), st.integers(0, 5))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_what_is_out_leaving_or_excluded_is_never_chosen(seed, out, leaving):
+def test_out_draining_and_excluded_endpoints_are_never_chosen(seed, out, leaving):
     endpoints = fleet_of(8)
     endpoints[leaving] = evolve(endpoints[leaving], status=InstanceStatus.LEAVING)
     fleet = FleetState(availability_zones_out=frozenset(out))
@@ -82,7 +82,7 @@
     assert chosen.name not in {"e7", endpoints[leaving].name}
 
 
-def test_many_entries_do_not_meet_on_the_emptiest_endpoint():
+def test_entries_do_not_herd_to_the_least_loaded_endpoint():
     # All entries hold the same report, a second old, in which one endpoint is empty.
     # If each sent there, its queue would be the longest a moment later.
     endpoints = fleet_of(12)
@@ -94,7 +94,7 @@
     assert chosen["e3"] < 300 * 0.4
 
 
-def test_own_sends_count_before_any_report_shows_them():
+def test_local_requests_count_before_a_report_includes_them():
     known = view(fleet_of(1)[0], in_flight=2)
     for number in range(3):
         known.sent(1.0 + number)
@@ -103,7 +103,7 @@
     assert known.at_endpoint == 5
 
 
-def test_requests_with_one_prefix_meet_where_it_is_cached():
+def test_requests_with_the_same_prefix_choose_the_same_endpoint():
     # Cache events come late or never. Entries that each guess alone would spread one
     # prompt over all engines, and each would compute it anew.
     endpoints = fleet_of(12)
@@ -121,7 +121,7 @@
     assert chosen.most_common(1)[0][1] == 100
 
 
-def test_a_full_home_of_a_prefix_is_passed_over():
+def test_a_full_preferred_endpoint_is_not_chosen():
     endpoints = fleet_of(12)
     home = choose_endpoint(
         endpoints,
@@ -138,7 +138,7 @@
     assert decided.endpoint != home
 
 
-def test_a_zone_returns_little_by_little_and_flapping_starts_over():
+def test_a_returning_zone_ramps_up_and_flapping_restarts_the_ramp():
     # An operator takes a zone out and in again, twice in a row. Its endpoints are
     # cold; with a full share at once their callers would wait longest.
     moves, out = ZoneMoves(), FleetState(availability_zones_out=frozenset({"ozark"}))
--- a/tests/test_decisions_lapses.py
+++ b/tests/test_decisions_entry_retention.py
@@ -3,22 +3,22 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from acaciacove.decisions.entry_lapses import RETURN_S, EntryLapses
-from acaciacove.gateway.relay.relay_pace import relay_pace
+from acaciacove.decisions.entry_retention import REREGISTRATION_S, EntryRetention
+from acaciacove.gateway.relay.relay_intervals import relay_intervals
 
 SPANS_S = st.floats(0.01, 4.0)
-CONTACT_S = 3.0
+RECOVERY_S = 3.0
 DRAINS_S = st.sampled_from([0.2, 1.0, 2.0, 10.0])
 
 
-def kept_for_s(lapses, now_s, drain_s):
+def retained_for_s(retention, now_s, drain_s):
     """Look as often as a gateway does, until nothing is kept any more."""
     began_s = now_s
-    while lapses.is_kept("i-0"):
-        now_s += relay_pace(2.0, drain_s).expire_s
-        lapses.take_overdue(now_s)
-        lapses.begin_look(now_s, None, None)
-        lapses.end_look(now_s)
+    while retention.is_retained("i-0"):
+        now_s += relay_intervals(2.0, drain_s).expiry_check_s
+        retention.pop_expired(now_s)
+        retention.begin_read(now_s, None, None)
+        retention.end_read(now_s)
     return now_s - began_s
 
 
@@ -26,12 +26,12 @@
 @settings(max_examples=200, derandomize=True)
 def test_nothing_is_kept_where_the_log_was_there(held_s, failed_s, drain_s):
     """Guards against departures put off by calls that failed at one gateway alone."""
-    lapses = EntryLapses()
-    lapses.begin_look(0.0, None, None)
-    lapses.end_look(0.0)
+    retention = EntryRetention()
+    retention.begin_read(0.0, None, None)
+    retention.end_read(0.0)
     now_s = held_s + failed_s
-    lapses.begin_look(now_s, None, held_s)
-    assert not lapses.keep_removed("i-0", now_s, drain_s)
+    retention.begin_read(now_s, None, held_s)
+    assert not retention.retain_removed("i-0", now_s, drain_s)
 
 
 @given(SPANS_S, SPANS_S, DRAINS_S)
@@ -40,28 +40,28 @@
     held_s, failed_s, drain_s
 ):
     """Guards against requests to an endpoint whose time to leave is over."""
-    lapses = EntryLapses()
-    lapses.begin_look(0.0, None, None)
-    lapses.end_look(0.0)
+    retention = EntryRetention()
+    retention.begin_read(0.0, None, None)
+    retention.end_read(0.0)
     now_s = held_s + failed_s
-    lapses.begin_look(now_s, now_s, held_s)
-    kept = lapses.keep_removed("i-0", now_s, drain_s)
-    lapses.end_look(now_s)
-    lasted_s = kept_for_s(lapses, now_s, drain_s)
+    retention.begin_read(now_s, now_s, held_s)
+    kept = retention.retain_removed("i-0", now_s, drain_s)
+    retention.end_read(now_s)
+    lasted_s = retained_for_s(retention, now_s, drain_s)
     if failed_s < 0.85 * drain_s:
         # It left no earlier than the calls began to fail.
         assert failed_s + lasted_s <= drain_s
     else:
         # Gateways are held to their bounds again by then.
-        assert kept and RETURN_S <= lasted_s <= CONTACT_S
+        assert kept and REREGISTRATION_S <= lasted_s <= RECOVERY_S
 
 
 @given(st.floats(3.05, 30.0), SPANS_S, DRAINS_S)
 @settings(max_examples=100, derandomize=True)
 def test_long_after_an_absence_what_goes_has_left(after_s, failed_s, drain_s):
     """Guards against a lapse that is suspected for ever after one outage."""
-    lapses = EntryLapses()
-    lapses.begin_look(0.0, 0.0, -failed_s)
-    lapses.end_look(0.0)
-    lapses.begin_look(after_s, None, None)
-    assert not lapses.keep_removed("i-0", after_s, drain_s)
+    retention = EntryRetention()
+    retention.begin_read(0.0, 0.0, -failed_s)
+    retention.end_read(0.0)
+    retention.begin_read(after_s, None, None)
+    assert not retention.retain_removed("i-0", after_s, drain_s)
--- a/tests/test_decisions_interfaces.py
+++ b/tests/test_decisions_interfaces.py
@@ -5,9 +5,9 @@
 from acaciacove.decisions.admission import AdmissionQueue
 from acaciacove.decisions.choice_settings import ChoiceSettings
 from acaciacove.decisions.endpoint_choice import choose_endpoint
-from acaciacove.decisions.lost import Lost
 from acaciacove.decisions.plan_cache import PlanCache
 from acaciacove.decisions.quality_estimates import QualityEstimates
+from acaciacove.decisions.rejection_reason import RejectionReason
 from acaciacove.decisions.version_choice import choose_version
 from acaciacove.decisions.waiting_item import WaitingItem
 from acaciacove.fleet.api import Api
@@ -44,7 +44,7 @@
     decided = choose(only_small, pinned=LARGE)
     assert decided.ladder == (SMALL,)
     lost = {c.name: c.lost for c in decided.decision.candidates}
-    assert lost[str(LARGE)] is Lost.NOT_ALLOWED
+    assert lost[str(LARGE)] is RejectionReason.NOT_ALLOWED
     assert choose(Organisation("nobody")).reason is Reason.NOT_ALLOWED
 
 
@@ -57,7 +57,7 @@
     assert f"{LARGE}:pinned_elsewhere" in decided.decision.line()
 
 
-def test_an_endpoint_in_a_zone_that_is_out_gets_nothing():
+def test_an_endpoint_in_a_zone_that_is_out_is_never_chosen():
     endpoints = [
         Instance(f"e{n}", Role.ENDPOINT, "r", zone, "127.0.0.1", n)
         for n, zone in enumerate(("ozark", "gulfcoast"))
--- a/tests/test_decisions_limits.py
+++ b/tests/test_decisions_limits.py
@@ -39,7 +39,7 @@
     return order
 
 
-def test_a_flood_leaves_the_others_their_share():
+def test_a_flood_does_not_take_the_share_of_other_organisations():
     # One organisation sends a hundred requests at once, then another sends five. In
     # order of arrival the second would wait for the whole flood.
     queue = AdmissionQueue(limit=1)
@@ -113,7 +113,7 @@
 
 @given(steps, st.integers(1, 4))
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_every_item_runs_or_is_refused_or_cancelled_and_never_two_of_them(walk, limit):
+def test_every_item_is_run_refused_or_cancelled_exactly_once(walk, limit):
     queue = AdmissionQueue(AdmissionSettings(max_queue=6), limit=limit)
     offered, ran, refused, cancelled = set(), set(), set(), set()
     for now_s, (step, number) in enumerate(walk):
@@ -141,7 +141,7 @@
     assert len(offered) == len(ran) + len(refused) + len(cancelled) + queue.queued
 
 
-def test_a_cold_endpoint_starts_at_what_it_bears_and_ends_warm():
+def test_a_cold_endpoint_starts_at_its_cold_capacity_and_ends_warm():
     ramp = Ramp(VERSION, 0.0)
     assert ramp.limit(0.0) == 2
     limits = []
@@ -159,7 +159,7 @@
     assert Ramp(VERSION, 0.0).limit(3600.0) == 2
 
 
-def test_an_endpoint_that_turns_cold_unannounced_falls_back_at_once():
+def test_an_endpoint_that_turns_cold_unannounced_restarts_its_ramp():
     # An engine restarts within its instance, or its accelerator is throttled, and no
     # message tells of it. Answers stall, and more work only makes it worse.
     for notice in ("gap", "latency", "restart", "report"):
@@ -180,7 +180,7 @@
         assert ramp.limit(31.0) == 2, notice
 
 
-def test_a_caller_who_leaves_or_sends_a_long_prompt_does_not_cool_an_endpoint():
+def test_single_cancelled_or_slow_requests_do_not_restart_the_ramp():
     # One caller cancels, another sends a prompt that takes long. Were the limit put
     # back to cold for it, everybody else would queue before a warm endpoint.
     ramp = Ramp(VERSION, 0.0, warm=True)
--- a/tests/test_decisions_placement.py
+++ b/tests/test_decisions_placement.py
@@ -22,7 +22,7 @@
     st.sets(st.integers(0, 11), max_size=3),
 )
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_few_move_at_a_time_and_no_version_with_work_loses_its_last(held, work, moving):
+def test_few_endpoints_move_at_once_and_versions_in_use_keep_one(held, work, moving):
     # Many endpoints that load weights at once serve nothing and queue at the weight
     # store, and a version without endpoint answers nobody.
     placed = {f"e{n}": version for n, version in enumerate(held)}
@@ -36,7 +36,7 @@
         assert version in after.values() or demand[version] == 0.0
 
 
-def test_the_simple_rule_moves_less_than_the_weighted_program():
+def test_the_greedy_rule_moves_less_than_the_weighted_optimum():
     simple, program = (play(rule, 1) for rule in (greedy_by_work, weighted_optimum))
     assert simple[2] < program[2]
     assert simple[0] <= program[0] * 1.02
--- a/tests/test_decisions_quarantine.py
+++ b/tests/test_decisions_quarantine.py
@@ -9,20 +9,20 @@
 
 from acaciacove.decisions.crash_evidence import MAX_CRASHES, CrashEvidence
 from acaciacove.decisions.request_quarantine import (
-    CLEARED_S,
-    MAX_HELD,
+    CLEARED_RETENTION_S,
+    MAX_ENTRIES,
     MAX_TRIALS,
-    QUARANTINE_S,
-    TRIAL_S,
+    QUARANTINE_DURATION_S,
+    TRIAL_TIMEOUT_S,
     RequestQuarantine,
 )
-from acaciacove.decisions.request_standing import RequestStanding
+from acaciacove.decisions.request_status import RequestStatus
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.event_log import EventLog
+from acaciacove.gateway.peers.gossip_sender import GossipSender
 from acaciacove.gateway.peers.peer import Peer
-from acaciacove.gateway.peers.peer_network import BUSY_EVERY_S
-from acaciacove.gateway.peers.request_talk import NEWS_S, RequestTalk
-from acaciacove.gateway.peers.tell_few import TellFew
+from acaciacove.gateway.peers.peer_network import BUSY_REPORT_INTERVAL_S
+from acaciacove.gateway.peers.request_gossip import BUSY_AFTER_UPDATE_S, RequestGossip
 from acaciacove.gateway.quarantine.request_guard import RequestGuard
 from acaciacove.gateway.quarantine.request_record import RequestRecord
 from acaciacove.messages.crash_seen import CrashSeen
@@ -41,89 +41,91 @@
 LONG_NUMBERS = st.integers(0, 2**64 - 1)
 
 
-def crashed_under(*fingerprints, times=3, quarantine=None):
+def quarantine_after_crashes(*fingerprints, times=3, quarantine=None):
     quarantine = quarantine or RequestQuarantine()
     for endpoint in range(1, times + 1):
-        quarantine.note_crash(endpoint, fingerprints, 0.0)
+        quarantine.record_crash(endpoint, fingerprints, 0.0)
     return quarantine
 
 
-def test_a_request_under_three_crashes_may_be_tried_by_one_at_a_time():
-    quarantine = crashed_under(BAD, times=2)
-    assert quarantine.standing(BAD, 0.0) is RequestStanding.FREE
-    crashed_under(BAD, quarantine=quarantine)
-    assert quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
+def test_request_in_flight_at_three_crashes_gets_one_trial_at_a_time():
+    quarantine = quarantine_after_crashes(BAD, times=2)
+    assert quarantine.status(BAD, 0.0) is RequestStatus.FREE
+    quarantine_after_crashes(BAD, quarantine=quarantine)
+    assert quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
     quarantine.claim_trial(BAD, 9, 1, 0.0)
-    assert quarantine.standing(BAD, 0.0) is RequestStanding.WAITING
-    assert quarantine.standing(OTHER, 0.0) is RequestStanding.FREE
+    assert quarantine.status(BAD, 0.0) is RequestStatus.WAITING
+    assert quarantine.status(OTHER, 0.0) is RequestStatus.FREE
 
 
-def test_a_request_that_crashes_the_endpoint_of_its_try_is_quarantined():
-    quarantine = crashed_under(BAD)
+def test_request_that_crashes_its_trial_endpoint_is_quarantined():
+    quarantine = quarantine_after_crashes(BAD)
     quarantine.claim_trial(BAD, 9, 1, 0.0)
-    quarantine.note_crash(8, (BAD,), 0.1)
-    assert quarantine.standing(BAD, 0.2) is RequestStanding.WAITING
-    quarantine.note_crash(9, (BAD,), 0.1)
-    assert quarantine.standing(BAD, 0.2) is RequestStanding.QUARANTINED
-    assert quarantine.retry_after_s(BAD, 0.2) == pytest.approx(QUARANTINE_S, abs=1)
-    assert quarantine.standing(BAD, QUARANTINE_S + 1) is RequestStanding.FREE
+    quarantine.record_crash(8, (BAD,), 0.1)
+    assert quarantine.status(BAD, 0.2) is RequestStatus.WAITING
+    quarantine.record_crash(9, (BAD,), 0.1)
+    assert quarantine.status(BAD, 0.2) is RequestStatus.QUARANTINED
+    assert quarantine.retry_after_s(BAD, 0.2) == pytest.approx(
+        QUARANTINE_DURATION_S, abs=1
+    )
+    assert quarantine.status(BAD, QUARANTINE_DURATION_S + 1) is RequestStatus.FREE
 
 
-def test_a_request_whose_tries_have_no_clear_end_is_not_tried_for_ever():
+def test_trials_without_a_result_are_limited():
     """Guards against a request that crashes endpoints behind a broken path, unseen."""
-    quarantine, now_s = crashed_under(BAD), 0.0
+    quarantine, now_s = quarantine_after_crashes(BAD), 0.0
     for number in range(MAX_TRIALS):
         quarantine.claim_trial(BAD, number + 10, 1, now_s)
-        now_s += TRIAL_S
-    assert quarantine.standing(BAD, now_s) is RequestStanding.QUARANTINED
+        now_s += TRIAL_TIMEOUT_S
+    assert quarantine.status(BAD, now_s) is RequestStatus.QUARANTINED
 
 
-def test_a_request_beside_the_one_that_crashes_endpoints_is_not_taken_for_it():
+def test_request_that_shared_endpoints_with_the_culprit_is_not_suspected():
     """Guards against requests being held back that only shared endpoints with it."""
     quarantine = RequestQuarantine()
-    quarantine.note_crash(1, (BAD,), 0.0)
+    quarantine.record_crash(1, (BAD,), 0.0)
     for endpoint in (2, 3, 4):
-        quarantine.note_crash(endpoint, (OTHER, BAD), 0.0)
-    assert quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
-    assert quarantine.standing(OTHER, 0.0) is RequestStanding.FREE
+        quarantine.record_crash(endpoint, (OTHER, BAD), 0.0)
+    assert quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
+    assert quarantine.status(OTHER, 0.0) is RequestStatus.FREE
 
 
-def test_a_served_request_is_cleared_of_old_crashes_that_are_told_again():
+def test_served_request_stays_cleared_when_old_crashes_are_reported_again():
     """Guards against an often repeated request that adds up crashes of others."""
-    quarantine = crashed_under(BAD)
+    quarantine = quarantine_after_crashes(BAD)
     assert quarantine.clear(BAD, 1.0)
-    assert crashed_under(BAD, quarantine=quarantine).standing(BAD, 1.0) is (
-        RequestStanding.FREE
+    assert quarantine_after_crashes(BAD, quarantine=quarantine).status(BAD, 1.0) is (
+        RequestStatus.FREE
     )
     (verdict,) = quarantine.verdicts(2.0)
-    assert verdict == RequestVerdict(BAD, CLEARED, left_s=CLEARED_S - 1.0)
-    assert quarantine.verdicts(2.0 + CLEARED_S) == []
+    assert verdict == RequestVerdict(BAD, CLEARED, left_s=CLEARED_RETENTION_S - 1.0)
+    assert quarantine.verdicts(2.0 + CLEARED_RETENTION_S) == []
 
 
-def test_gateways_that_were_told_the_same_in_any_order_hold_the_same():
+def test_order_of_crash_reports_does_not_matter():
     told = [CrashSeen(e, (BAD, 100 + e)) for e in range(1, 4)]
     told.append(CrashSeen(2, (55,)))
     for seed in range(10):
         quarantine = RequestQuarantine()
         for crash in Random(seed).sample(told, len(told)):
-            quarantine.note_crash(crash.endpoint, crash.suspects, 0.0)
-        assert quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
-        assert quarantine.standing(55, 0.0) is RequestStanding.FREE
+            quarantine.record_crash(crash.endpoint, crash.suspects, 0.0)
+        assert quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
+        assert quarantine.status(55, 0.0) is RequestStatus.FREE
 
 
-def test_what_is_remembered_is_bounded():
+def test_stored_evidence_and_verdicts_are_bounded():
     """Guards against memory that grows with each crash and each bad request."""
     quarantine = RequestQuarantine()
     for endpoint in range(3 * MAX_CRASHES):
-        quarantine.note_crash(endpoint, range(endpoint, endpoint + 999), 0.0)
+        quarantine.record_crash(endpoint, range(endpoint, endpoint + 999), 0.0)
     evidence = quarantine.evidence
     assert len(evidence._suspects) == MAX_CRASHES
     assert set(evidence._crashes) == {f for s in evidence._suspects.values() for f in s}
-    for fingerprint in range(10**6, 10**6 + 2 * MAX_HELD):
-        quarantine.take(RequestVerdict(fingerprint, QUARANTINED, left_s=9.0), 0.0)
+    for fingerprint in range(10**6, 10**6 + 2 * MAX_ENTRIES):
+        quarantine.apply(RequestVerdict(fingerprint, QUARANTINED, left_s=9.0), 0.0)
         quarantine.suspect(2 * fingerprint)
-    assert quarantine.held == MAX_HELD
-    assert len(quarantine.verdicts(0.0)) <= 2 * MAX_HELD
+    assert quarantine.quarantined_count == MAX_ENTRIES
+    assert len(quarantine.verdicts(0.0)) <= 2 * MAX_ENTRIES
 
 
 @given(
@@ -137,11 +139,11 @@
         for fingerprint in suspects:
             expected.setdefault(fingerprint, set()).add(endpoint)
         if forget:
-            evidence.forget(endpoint)
+            evidence.discard(endpoint)
             expected.pop(endpoint, None)
     for fingerprint in range(10):
         count = len(expected.get(fingerprint, ()))
-        assert evidence.crashes_under(fingerprint) == count
+        assert evidence.crash_count(fingerprint) == count
 
 
 @given(
@@ -157,18 +159,18 @@
                 st.sampled_from([TRIED, QUARANTINED, CLEARED]),
                 st.integers(0, 9),
                 NUMBERS,
-                st.floats(0, QUARANTINE_S, width=32),
+                st.floats(0, QUARANTINE_DURATION_S, width=32),
             ),
             max_size=3,
         ).map(tuple),
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_news_of_requests_is_read_as_it_was_written(news):
+def test_request_news_round_trips(news):
     assert decode(encode(news)) == news
 
 
-class Talkers:
+class GossipFleet:
     """Gateways that only tell each other of requests, with lost datagrams."""
 
     def __init__(self, count, loss):
@@ -182,14 +184,14 @@
     def _talk(self, number):
         guard = RequestGuard(EventLog(str(number), descriptor=None))
         others = [peer for peer in self.peers if peer.port != number]
-        few = TellFew(
+        few = GossipSender(
             members=lambda: others,
             send=lambda data, peer: self._send(number, data, peer),
             random=Random(f"{number}"),
             clock_s=lambda: 0.0,
         )
-        talk = RequestTalk(few, guard, few.random, few.clock_s)
-        guard.tell = talk.tell
+        talk = RequestGossip(few, guard, few.random, few.clock_s)
+        guard.send_update = talk.send_update
         return talk
 
     def _send(self, sender, data, peer):
@@ -200,53 +202,55 @@
     def deliver(self):
         while self.waiting:
             number, data = self.waiting.pop(0)
-            self.talks[number].take(decode(data))
+            self.talks[number].apply(decode(data))
 
     def report(self):
         for talk in self.talks:
-            for peer in talk.random.sample(list(talk.few.members()), 4):
-                talk.tell_some(peer)
+            for peer in talk.random.sample(list(talk.sender.members()), 4):
+                talk.send_state(peer)
         self.deliver()
 
-    def knowing(self, standing):
+    def count_with_status(self, status):
         guards = [talk.guard for talk in self.talks]
-        return sum(g.quarantine.standing(BAD, 0.0) is standing for g in guards)
+        return sum(g.quarantine.status(BAD, 0.0) is status for g in guards)
 
 
 @pytest.mark.parametrize("gateways", [5, 28, 68, 380])
-def test_word_of_a_bad_request_reaches_every_gateway_within_its_bytes(gateways):
+def test_gossip_of_a_bad_request_reaches_every_gateway_within_its_byte_limit(gateways):
     """Guards against gateways of a large fleet that go on sending such a request."""
 
     async def story():
-        fleet = Talkers(gateways, loss=0.05)
+        fleet = GossipFleet(gateways, loss=0.05)
         for endpoint in (1, 2, 3):
             talk = fleet.talks[endpoint]
-            talk.guard.quarantine.note_crash(endpoint, (BAD,), 0.0)
-            talk.tell(RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),)))
+            talk.guard.quarantine.record_crash(endpoint, (BAD,), 0.0)
+            talk.send_update(RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),)))
             fleet.deliver()
-        for _ in range(int(NEWS_S / BUSY_EVERY_S)):
+        for _ in range(int(BUSY_AFTER_UPDATE_S / BUSY_REPORT_INTERVAL_S)):
             fleet.report()
-        assert fleet.knowing(RequestStanding.TRIAL) == gateways
+        assert fleet.count_with_status(RequestStatus.TRIAL) == gateways
         # Three crashes cost each gateway less than a second's control bytes.
         assert max(fleet.sent_bytes) < 3_000
 
     run_virtual(story)
 
 
-def test_a_bad_request_among_hundreds_that_were_lost_with_an_endpoint_is_told():
+def test_bad_request_among_hundreds_of_lost_requests_is_in_the_update():
     """Guards against the one that matters being cut from a datagram that is full."""
 
     async def story():
         told = []
-        guard = RequestGuard(EventLog("g", descriptor=None), tell=told.append)
+        guard = RequestGuard(EventLog("g", descriptor=None), send_update=told.append)
         for number in range(3):
             endpoint = an_endpoint(number)
             others = range(1000 * number, 1000 * number + 99)
-            guard.note_crash(endpoint, [*others, *range(9000, 9200), BAD + 10**6], 0.0)
+            guard.record_crash(
+                endpoint, [*others, *range(9000, 9200), BAD + 10**6], 0.0
+            )
         crash = told[-1].crashes[0]
         assert crash.suspects[0] == BAD + 10**6
         assert len(encode(told[-1])) < 1_400
-        assert guard.quarantine.standing(BAD + 10**6, 0.0) is RequestStanding.TRIAL
+        assert guard.quarantine.status(BAD + 10**6, 0.0) is RequestStatus.TRIAL
 
     run_virtual(story)
 
@@ -254,50 +258,50 @@
 def an_endpoint(number):
     return Endpoint(
         instance=f"i-{number}",
-        generation="1",
+        incarnation="1",
         service="app",
         host="10.0.2.1",
         port=9000,
         availability_zone="a",
         version="v1",
         slots=6,
-        leaving=False,
+        draining=False,
         cold_until_s=0.0,
     )
 
 
-def test_word_of_a_cleared_request_ends():
+def test_gossip_of_a_cleared_request_ends():
     """Guards against gateways that keep telling each other, deaf to new crashes."""
-    one, other = crashed_under(BAD), crashed_under(BAD)
+    one, other = quarantine_after_crashes(BAD), quarantine_after_crashes(BAD)
     one.clear(BAD, 0.0)
-    for tenth in range(int(20 * CLEARED_S)):
+    for tenth in range(int(20 * CLEARED_RETENTION_S)):
         now_s = tenth / 10.0
         for teller, told in ((one, other), (other, one)):
             for verdict in teller.verdicts(now_s):
-                told.take(verdict, now_s + 0.05)
+                told.apply(verdict, now_s + 0.05)
     assert one.verdicts(now_s) == other.verdicts(now_s) == []
 
 
-def test_who_serves_a_request_takes_its_record_off_the_log():
+def test_gateway_that_serves_a_request_removes_its_record_from_the_log():
     """Guards against records of requests that were cleared after a restart."""
 
     async def story():
         guard = RequestGuard(EventLog("g", descriptor=None))
         guard.restore(RequestRecord(BAD, False, time.time() + 99.0), 0.0)
-        assert guard.quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
-        guard.note_served(BAD, 1.0)
+        assert guard.quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
+        guard.record_served(BAD, 1.0)
         assert guard.records == {BAD: None}
 
     run_virtual(story)
 
 
-def test_the_lower_of_two_claims_has_the_try_in_whatever_order_they_are_told():
-    one, other = crashed_under(BAD), crashed_under(BAD)
+def test_lower_of_two_claims_wins_the_trial_in_either_order():
+    one, other = quarantine_after_crashes(BAD), quarantine_after_crashes(BAD)
     first = one.claim_trial(BAD, 11, 500, 0.0)
     second = other.claim_trial(BAD, 12, 400, 0.0)
-    assert one.take(second, 0.001) and not other.take(first, 0.001)
-    assert not one.has_trial(BAD, 500) and other.has_trial(BAD, 400)
-    third = crashed_under(BAD)
-    third.take(first, 0.0)
-    third.take(second, 0.0)
-    assert third.has_trial(BAD, 400)
+    assert one.apply(second, 0.001) and not other.apply(first, 0.001)
+    assert not one.holds_trial(BAD, 500) and other.holds_trial(BAD, 400)
+    third = quarantine_after_crashes(BAD)
+    third.apply(first, 0.0)
+    third.apply(second, 0.0)
+    assert third.holds_trial(BAD, 400)
--- a/tests/test_decisions_rollout.py
+++ b/tests/test_decisions_rollout.py
@@ -23,7 +23,7 @@
         guard.observe(fleet, version, EvidenceKind.RATING, score, first + number)
 
 
-def test_a_version_that_answers_worse_is_stopped():
+def test_version_with_worse_ratings_is_quarantined():
     # A new version is released and its answers are rated a third worse. Callers who
     # draw it notice at once, the others only when its share grows.
     guard, rng = RolloutGuard("entry-1"), Random(1)
@@ -34,7 +34,7 @@
     assert "rating" in verdict.reason
 
 
-def test_a_version_that_fails_more_is_stopped_without_any_rating():
+def test_version_with_more_failures_is_quarantined_without_ratings():
     # The rating service is away while a version that fails one call in three rolls
     # out. Waiting for ratings would leave it in service.
     guard = RolloutGuard("entry-1")
@@ -54,13 +54,13 @@
     assert verdict.share == 1.0
 
 
-def test_without_evidence_the_share_stays():
+def test_share_is_unchanged_without_evidence():
     verdict = RolloutGuard("entry-1").verdict(FLEET, NEW_VERSION)
     assert verdict.action is GuardAction.KEEP
     assert verdict.share == NEW_VERSION.first_share
 
 
-def test_a_version_that_turns_bad_in_full_service_is_stopped():
+def test_version_that_degrades_at_full_share_is_quarantined():
     # Days after its roll-out a version turns bad. The replaced one gets no traffic
     # to compare with, so it is compared with its own early ratings.
     guard, rng = RolloutGuard("entry-1"), Random(3)
@@ -71,7 +71,7 @@
     assert guard.verdict(fleet, NEW_VERSION).action is GuardAction.QUARANTINE
 
 
-def test_an_entry_that_takes_over_judges_alike():
+def test_merged_counts_give_the_same_verdict():
     # The entry that judged a roll-out is replaced half way. Another one takes the
     # pooled counts over; were they lost, the bad version would serve on.
     first, second, rng = RolloutGuard("entry-1"), RolloutGuard("entry-2"), Random(4)
@@ -82,7 +82,7 @@
     assert second.verdict(FLEET, NEW_VERSION) == first.verdict(FLEET, NEW_VERSION)
 
 
-def test_a_new_declaration_starts_over():
+def test_new_declaration_discards_old_evidence():
     # An operator fixes a bad version and declares it anew under its old name. The
     # old evidence must not stop the fixed one.
     guard, rng = RolloutGuard("entry-1"), Random(5)
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -5,7 +5,7 @@
 from tests.gateway_world import call, lines, run_fleet
 
 
-def test_a_crash_is_told_from_a_connection_that_broke():
+def test_crash_is_distinguished_from_broken_connection():
     """Guards against connections that broke on the way being logged as crashes."""
 
     async def story(fleet):
