--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -15,12 +15,12 @@
 HOSTS = tuple(f"10.0.1.{number}" for number in range(1, 5))
 
 
-def crash_at(fleet, body=CRASHING):
+def set_crashing_body(fleet, body=CRASHING):
     for server in fleet.endpoints.values():
         server.behaviour.crashing_bodies = (body,)
 
 
-async def ask_again_and_again(fleet, times, every_s, gateways, path="/look/7"):
+async def send_crashing_requests(fleet, times, every_s, gateways, path="/look/7"):
     """Send the crashing request to one gateway after the other, two at a time."""
     answers = []
     for number in range(times):
@@ -48,42 +48,42 @@
     return sum(found, [])
 
 
-def tries_after(fleet, moment_s):
+def crashing_requests_after(fleet, moment_s):
     return [a for a in fleet.arrivals if a.body == CRASHING and a.at_s > moment_s]
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
-def test_a_request_that_crashes_endpoints_is_not_sent_on_and_on(gateways):
+def test_request_that_crashes_endpoints_is_sent_a_limited_number_of_times(gateways):
     """Guards against one request that takes down all endpoints, again and again."""
 
     async def story(fleet):
-        crash_at(fleet)
-        await ask_again_and_again(fleet, 12, 3.5, gateways)
+        set_crashing_body(fleet)
+        await send_crashing_requests(fleet, 12, 3.5, gateways)
         third_s = crashes(fleet)[CRASHES - 1]
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
 
     run_fleet(story, gateways=gateways, apps=9, models=0)
 
 
-def test_a_streamed_request_that_crashes_endpoints_is_stopped_too():
+def test_streamed_request_that_crashes_endpoints_is_quarantined():
     """Guards against streams that are resumed at one endpoint after the other."""
 
     async def story(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for number in range(12):
             await draft(f"bad-{number}", body=CRASHING, host=HOSTS[number % 4])
             await asyncio.sleep(1.0)
         third_s = crashes(fleet)[CRASHES - 1]
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
 
     run_fleet(story, gateways=4, apps=0, models=9)
 
 
-def test_other_requests_are_served_beside_one_that_crashes_endpoints():
+def test_other_requests_are_served_while_one_crashes_endpoints():
     """Guards against requests being held back that shared an endpoint with it."""
 
     async def story(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.15
         others = []
@@ -98,7 +98,7 @@
                 await asyncio.sleep(0.025)
 
         asking = asyncio.create_task(ask_others())
-        await ask_again_and_again(fleet, 12, 0.5, 4)
+        await send_crashing_requests(fleet, 12, 0.5, 4)
         await asking
         answers = [await other for other in others]
         assert not [a for a in answers if b"request_quarantined" in a.body]
@@ -108,7 +108,7 @@
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
-def test_a_request_that_meets_three_other_crashes_is_still_served():
+def test_request_at_three_unrelated_crashes_is_still_served():
     """Guards against crashes of other causes costing a caller its request."""
 
     async def story(fleet):
@@ -132,7 +132,7 @@
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
-def test_a_repeated_request_is_not_blamed_for_crashes_of_a_whole_zone():
+def test_repeated_request_is_not_quarantined_for_a_zone_failure():
     """Guards against a popular request that was at all endpoints that lost power."""
 
     async def story(fleet):
@@ -156,12 +156,12 @@
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
-def test_every_refusal_of_a_held_request_is_true_and_says_when_to_return():
+def test_refusals_of_a_quarantined_request_are_accurate_and_have_retry_after():
     """Guards against "not run" being said of a request that crashed an endpoint."""
 
     async def story(fleet):
-        crash_at(fleet)
-        answers = await ask_again_and_again(fleet, 12, 1.0, 4)
+        set_crashing_body(fleet)
+        answers = await send_crashing_requests(fleet, 12, 1.0, 4)
         ran = {a.request_id for a in fleet.arrivals if a.ran}
         refused = 0
         for number, answer in enumerate(answers):
@@ -176,15 +176,15 @@
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
-async def after_a_storm(fleet, upset, settled_s=CONTACT_S):
+async def check_quarantine_after(fleet, upset, settled_s=CONTACT_S):
     """Let the request crash endpoints, upset the fleet, and ask all gateways again."""
-    crash_at(fleet)
-    await ask_again_and_again(fleet, 3, 0.7, 4)
+    set_crashing_body(fleet)
+    await send_crashing_requests(fleet, 3, 0.7, 4)
     third_s = crashes(fleet)[CRASHES - 1]
     await upset(fleet)
     await asyncio.sleep(settled_s)
-    await ask_again_and_again(fleet, 6, 1.0, 4)
-    assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+    await send_crashing_requests(fleet, 6, 1.0, 4)
+    assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
 
 
 async def restart(fleet, names):
@@ -200,16 +200,18 @@
 
 
 @pytest.mark.parametrize("names", [ALL[:1], ALL])
-def test_gateways_that_start_anew_hold_the_request_back(names):
+def test_restarted_gateways_keep_the_request_quarantined(names):
     """Guards against a restart, of one or of all, forgetting which request it is."""
 
     async def upset(fleet):
         await restart(fleet, names)
 
-    run_fleet(lambda fleet: after_a_storm(fleet, upset), gateways=4, apps=9, models=0)
+    run_fleet(
+        lambda fleet: check_quarantine_after(fleet, upset), gateways=4, apps=9, models=0
+    )
 
 
-def test_a_gateway_that_starts_while_the_log_is_away_learns_it_from_the_others():
+def test_gateway_that_starts_while_the_log_is_unavailable_learns_from_peers():
     """Guards against a start that cannot read which requests are held back."""
 
     async def upset(fleet):
@@ -220,15 +222,17 @@
         await asyncio.sleep(1.0)
         fleet.store.down = None
 
-    run_fleet(lambda fleet: after_a_storm(fleet, upset), gateways=4, apps=9, models=0)
+    run_fleet(
+        lambda fleet: check_quarantine_after(fleet, upset), gateways=4, apps=9, models=0
+    )
 
 
-def test_a_gateway_that_was_cut_off_learns_it_when_it_is_back():
+def test_partitioned_gateway_learns_of_the_quarantine_once_reconnected():
     """Guards against a gateway that missed the word while nobody reached it."""
 
     async def story(fleet):
         fleet.network.cut.add(HOSTS[0])
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for number in range(4):
             await call("/look/7", f"bad-{number}", body=CRASHING, host=HOSTS[1])
             await asyncio.sleep(0.7)
@@ -237,12 +241,12 @@
         await asyncio.sleep(CONTACT_S)
         for number in range(4):
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
 
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
-def test_the_request_is_recorded_once_the_log_is_back():
+def test_quarantine_is_recorded_once_the_log_is_available_again():
     """Guards against a loss of all after a storm while the log was away."""
 
     async def upset(fleet):
@@ -252,17 +256,17 @@
 
     async def story(fleet):
         fleet.store.down = "reset"
-        await after_a_storm(fleet, upset)
+        await check_quarantine_after(fleet, upset)
 
     run_fleet(story, gateways=4, apps=9, models=0)
 
 
 @pytest.mark.parametrize("gateways", [5, 28])
-def test_copies_that_reach_all_gateways_at_one_moment_are_not_all_tried(gateways):
+def test_simultaneous_copies_at_all_gateways_do_not_all_run(gateways):
     """Guards against gateways that try it before they hear of each other."""
 
     async def story(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         await call("/look/7", "bad-0", body=CRASHING)
         assert len(crashes(fleet)) == CRASHES
         await asyncio.sleep(2 * CONTACT_S)
@@ -273,6 +277,6 @@
                 for n in range(gateways)
             )
         )
-        assert 1 <= len(tries_after(fleet, began_s - 0.1)) <= TRIES
+        assert 1 <= len(crashing_requests_after(fleet, began_s - 0.1)) <= TRIES
 
     run_fleet(story, gateways=gateways, apps=9, models=0)
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -36,7 +36,7 @@
     return received
 
 
-def test_a_request_with_two_lengths_is_refused_and_nothing_behind_it_is_read():
+def test_request_with_two_lengths_is_refused_and_the_rest_is_not_read():
     """A caller sends a length and chunks. Two programs that differ on which counts
     read different requests: the second, hidden in the first, would run with
     nobody's key checked.
@@ -52,7 +52,7 @@
     run_fleet(story)
 
 
-def test_a_body_that_looks_like_a_request_stays_a_body():
+def test_body_that_looks_like_a_request_is_not_parsed():
     async def story(fleet):
         body = (HEAD % "hidden" + "Content-Length: 0\r\n\r\n").encode()
         await call("/look/1", "r-1", body=body)
@@ -80,7 +80,7 @@
     run_fleet(story)
 
 
-def test_chunks_arrive_as_the_same_bytes():
+def test_chunked_body_is_forwarded_unchanged():
     async def story(fleet):
         sent = HEAD % "r-1" + "Transfer-Encoding: chunked\r\n\r\n"
         answer = await raw(sent + "3\r\nabc\r\n", "2\r\nde\r\n0\r\n\r\n", pause_s=0.1)
@@ -90,7 +90,7 @@
     run_fleet(story)
 
 
-def test_too_large_heads_and_bodies_are_refused():
+def test_oversized_heads_and_bodies_are_refused():
     async def story(fleet):
         large_head = HEAD % "r-1" + "X: " + "y" * 20_000 + "\r\n\r\n"
         assert (await raw(large_head)).startswith(b"HTTP/1.1 431")
@@ -101,7 +101,7 @@
     run_fleet(story)
 
 
-def test_a_caller_that_sends_slowly_is_told_and_let_go():
+def test_slow_caller_is_refused_with_408():
     """Many callers that send a byte now and then would hold every connection."""
 
     async def story(fleet):
@@ -114,20 +114,20 @@
     run_fleet(story)
 
 
-def test_an_idle_connection_is_kept_for_as_long_as_was_promised():
+def test_idle_connection_stays_open_for_the_announced_timeout():
     async def story(fleet):
         caller = await Caller().open()
-        first = await caller.ask("/look/1", "r-1", method="GET")
+        first = await caller.request("/look/1", "r-1", method="GET")
         assert first.headers["keep-alive"] == "timeout=15"
         await asyncio.sleep(12.0)
-        assert (await caller.ask("/look/1", "r-2", method="GET")).status == 200
+        assert (await caller.request("/look/1", "r-2", method="GET")).status == 200
         await asyncio.sleep(15.5)
         assert await caller.reader.read() == b""
 
     run_fleet(story)
 
 
-def test_requests_behind_each_other_on_one_connection_are_answered_in_turn():
+def test_pipelined_requests_are_answered_in_order():
     async def story(fleet):
         sent = "".join(HEAD % f"r-{n}" + "Content-Length: 0\r\n\r\n" for n in range(3))
         answer = await raw(sent)
@@ -137,7 +137,7 @@
     run_fleet(story)
 
 
-def test_a_caller_that_asks_first_is_told_to_go_on():
+def test_expect_100_continue_is_answered():
     async def story(fleet):
         head = HEAD % "r-1" + "Content-Length: 2\r\nExpect: 100-continue\r\n\r\n"
         answer = await raw(head, "ok", pause_s=0.1)
@@ -147,7 +147,7 @@
     run_fleet(story)
 
 
-def test_fields_of_one_connection_are_not_passed_on():
+def test_hop_by_hop_headers_are_not_forwarded():
     async def story(fleet):
         fields = {"Connection": "X-Private", "X-Private": "1", "X-Public": "2"}
         await call("/look/1", "r-1", fields=fields)
@@ -158,7 +158,7 @@
     run_fleet(story)
 
 
-def test_a_stop_cuts_no_request():
+def test_shutdown_completes_all_requests():
     """The gateway is told to stop while it streams, and a caller's next request
     comes on a kept connection. The stream is finished, the caller is asked to leave,
     and the process ends by itself.
@@ -170,13 +170,13 @@
             server.behaviour.events = 40
             server.behaviour.gap_s = 0.1
         kept = await Caller().open()
-        await kept.ask("/look/1", "r-0", method="GET")
+        await kept.request("/look/1", "r-0", method="GET")
         stream = asyncio.create_task(call("/draft/1", "r-1", fields=model_fields("k")))
         await asyncio.sleep(0.5)
         stop = asyncio.create_task(fleet.stop_gateway("gateway-0"))
         await asyncio.sleep(0.5)
         assert not fleet.gateways["gateway-0"].is_ready()
-        late = await kept.ask("/look/1", "r-2", method="GET")
+        late = await kept.request("/look/1", "r-2", method="GET")
         assert late.status == 200 and late.headers["connection"] == "close"
         fresh = await call("/look/1", "r-3", method="GET")
         assert fresh.status == 200
@@ -187,7 +187,7 @@
     run_fleet(story)
 
 
-def test_nothing_is_taken_that_could_not_be_finished():
+def test_connection_closes_after_a_stream_during_shutdown():
     """A caller whose stream began before the stop was not asked to leave. Its next
     request on the same connection would come seconds later and be cut by the end.
     """
@@ -210,12 +210,12 @@
 
 
 @pytest.mark.parametrize("grace_s", [1.0, 2.0, 8.0])
-def test_a_gateway_is_gone_before_its_time_to_leave_ends(grace_s):
+def test_gateway_exits_within_its_grace_period(grace_s):
     """Guards against a stop that takes callers for longer than the process has."""
 
     async def story(fleet):
         kept = await Caller().open()
-        await kept.ask("/look/1", "r-0", method="GET")
+        await kept.request("/look/1", "r-0", method="GET")
         began_s = asyncio.get_running_loop().time()
         await fleet.stop_gateway("gateway-0")
         assert asyncio.get_running_loop().time() - began_s < grace_s
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -26,7 +26,7 @@
     return Evidence(target, old, {}, 1)
 
 
-def test_answers_that_nobody_compared_are_no_proof():
+def test_answers_without_time_comparison_prove_nothing():
     """A version takes eight times as long as the old one. Twenty answers, spread over
     nine kinds of request, hold no failure and too few times of one kind to compare
     one by one. Taken for sound, it went to every caller, and their answers came late.
@@ -40,7 +40,7 @@
     assert judge(evidence(slow, old)) is Verdict.BAD
 
 
-def test_a_route_that_was_not_tried_is_not_proven():
+def test_route_without_trial_requests_is_not_proven():
     """A version fails on one route only, and none of the requests of its trial came on
     that route. The others' answers prove nothing for it.
     """
@@ -51,7 +51,7 @@
     assert judge(evidence(both, old)) is Verdict.GOOD
 
 
-def test_one_slow_machine_is_not_a_slow_version():
+def test_one_slow_endpoint_does_not_fail_the_version():
     """One of four new endpoints stands on a machine that is slow for its own reasons.
     Its late answers alone must not take the version back.
     """
@@ -64,7 +64,7 @@
     assert judge(Evidence(target, old, machines, 4)) is not Verdict.BAD
 
 
-def test_one_failing_machine_alone_does_not_speak_for_the_version():
+def test_one_failing_endpoint_does_not_fail_the_version():
     """The first two answers of a new version come from one machine of five, and both
     are failures. Taken for the version's, they took it back after two requests.
     """
@@ -81,26 +81,26 @@
     return RolloutOrder("model", "v2", duration_s, 1, 0.0)
 
 
-def test_callers_that_leave_a_slow_version_count_against_it():
+def test_abandoned_requests_of_a_slow_version_count_as_late():
     """Callers of a stalled version leave before anything is answered. If only answers
     counted, nothing would ever be known of it.
     """
     progress = RolloutProgress(order())
     for number in range(20):
-        asked = progress.await_answer(False, "a|s", f"old-{number % 3}", 0.0)
-        progress.take_answer(asked, False, 0.2)
-    progress.note_overdue(1.0)
-    asked = [progress.await_answer(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)]
+        asked = progress.record_sent(False, "a|s", f"old-{number % 3}", 0.0)
+        progress.record_answer(asked, False, 0.2)
+    progress.record_late_requests(1.0)
+    asked = [progress.record_sent(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)]
     for number in asked[:6]:
-        progress.forget(number, 2.0)
-    progress.note_overdue(2.0)
+        progress.abandon(number, 2.0)
+    progress.record_late_requests(2.0)
     counts = progress.cells(True)["a|s"]
     assert (counts.answers, counts.judged, counts.late) == (0, 12, 12)
     step(progress, RolloutSettings(), ENOUGH, 2.1)
     assert progress.phase is RolloutPhase.STOPPED
     assert progress.judged_bad
     for number in asked[6:]:
-        progress.take_answer(number, False, 3.0)
+        progress.record_answer(number, False, 3.0)
     assert progress.cells(True)["a|s"].late == 12
 
 
@@ -110,16 +110,16 @@
     for is_target, times in ((False, 60), (True, 40)):
         for number in range(times):
             endpoint = f"{is_target}-{number % 3}"
-            asked = progress.await_answer(is_target, "a|s", endpoint, now_s)
-            progress.take_answer(asked, False, 0.2)
-        progress.note_overdue(now_s)
+            asked = progress.record_sent(is_target, "a|s", endpoint, now_s)
+            progress.record_answer(asked, False, 0.2)
+        progress.record_late_requests(now_s)
     for number in range(40):
-        asked = progress.await_answer(True, "a|s", f"True-{number % 3}", now_s)
-        progress.take_answer(asked, False, 0.2)
+        asked = progress.record_sent(True, "a|s", f"True-{number % 3}", now_s)
+        progress.record_answer(asked, False, 0.2)
     return progress
 
 
-def test_a_version_that_has_lost_its_machines_does_not_take_over():
+def test_version_without_enough_endpoints_does_not_take_over():
     """Two of five new endpoints are left when the roll-out comes to its end. Completed,
     the old five would be stopped, and two would stand before the whole load.
     """
@@ -131,13 +131,13 @@
     step(progress, settings, ENOUGH, 11.1)
     assert progress.phase is RolloutPhase.ALL
     for number in range(40):
-        asked = progress.await_answer(True, "a|s", f"True-{number % 3}", 12.0)
-        progress.take_answer(asked, False, 0.2)
+        asked = progress.record_sent(True, "a|s", f"True-{number % 3}", 12.0)
+        progress.record_answer(asked, False, 0.2)
     assert may_complete(progress, settings, ENOUGH, 18.5)
     assert not may_complete(progress, settings, few, 18.5)
 
 
-def test_a_version_that_is_not_proven_in_time_goes_back():
+def test_version_not_proven_in_time_is_rolled_back():
     progress = RolloutProgress(order())
     step(progress, RolloutSettings(), ENOUGH, 19.9)
     assert progress.phase is RolloutPhase.TRIAL
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize("fault", JUDGE_FAULTS, ids=lambda fault: fault.name)
-def test_versions_that_are_bad_in_their_ways_do_not_take_over(fault):
+def test_faulty_versions_do_not_take_over(fault):
     """Bad from the start, late, on one route, with one model, under load, or slow: each
     is stopped or left unproven, and a sound version takes over.
     """
--- a/tests/test_gateway_large_service.py
+++ b/tests/test_gateway_large_service.py
@@ -6,18 +6,18 @@
 import pytest
 
 from acaciacove.decisions.endpoint_backlog import EndpointBacklog
-from acaciacove.gateway.beliefs import Beliefs
 from acaciacove.gateway.catalogue.endpoint import Endpoint
+from acaciacove.gateway.choice.prefix_affinity import preferred_endpoint
 from acaciacove.gateway.choice.prompt import Prompt
-from acaciacove.gateway.choice.weigh_endpoint import home_of
-from acaciacove.gateway.choose_endpoint import MOST_COMPARED, choose_endpoint
+from acaciacove.gateway.choose_endpoint import MAX_COMPARED, choose_endpoint
 from acaciacove.gateway.choose_model import choose_next_model
 from acaciacove.gateway.event_log import EventLog
+from acaciacove.gateway.fleet_limits import with_free_connections
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.http.caller_hints import CallerHints
 from acaciacove.gateway.http.caller_request import CallerRequest
-from acaciacove.gateway.keep_limit import with_free_connections
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.routing_view import RoutingView
 from acaciacove.platform.header_fields import DIALECT
 from acaciacove.standins.gateway_fleet import gateway_settings
 from tests.gateway_world import catalogue
@@ -28,81 +28,86 @@
 class CountedBacklog(EndpointBacklog):
     """Counts how often its wait is looked up."""
 
-    looked_up = 0
+    lookups = 0
 
-    def wait_s(self, now_s, usual_s):
-        CountedBacklog.looked_up += 1
-        return super().wait_s(now_s, usual_s)
+    def wait_s(self, now_s, baseline_s):
+        CountedBacklog.lookups += 1
+        return super().wait_s(now_s, baseline_s)
 
 
-def a_gateway(endpoints, name="gateway-0"):
-    beliefs = Beliefs(lambda: 0.0)
-    beliefs.catalogue = catalogue()
+def make_gateway(endpoints, name="gateway-0"):
+    view = RoutingView(lambda: 0.0)
+    view.catalogue = catalogue()
     for number in range(endpoints):
         engine = f"engine-{number}"
-        beliefs.endpoints[engine] = Endpoint(
+        view.endpoints[engine] = Endpoint(
             engine, "1", "model", "10.0.2.1", 9000, "a", "v1", 64, False, 0.0
         )
     settings = gateway_settings(name, "10.0.1.1", "a")
-    gateway = Gateway(settings, DIALECT, beliefs, EventLog(name, descriptor=None))
-    gateway.members_known = True
+    gateway = Gateway(settings, DIALECT, view, EventLog(name, descriptor=None))
+    gateway.members_loaded = True
     gateway.random = Random(name)
     return gateway
 
 
 def states_of(gateway):
-    return [gateway.states.of(e) for e in gateway.beliefs.endpoints.values()]
+    return [gateway.states.of(e) for e in gateway.view.endpoints.values()]
 
 
-def a_work(gateway, subject="subject"):
+def make_context(gateway, subject="subject"):
     prompt = Prompt((("all", 2000), (subject, 4000), ("own", 500)), 6500, 40)
     hints = CallerHints("1", None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "h", (), b"", hints, 0.0)
-    current = gateway.beliefs.catalogue
+    current = gateway.view.catalogue
     route = next(r for r in current.routes if r.name == "draft")
     service = current.services["model"]
-    return Work(request, route, service, None, None, 5.0, "small")
+    return RequestContext(request, route, service, None, None, 5.0, "small")
 
 
-def test_homes_of_prompts_are_spread_evenly_and_alike_for_all():
+def test_preferred_endpoints_are_even_and_independent_of_order():
     """Guards against gateways that read shared parts in different places."""
-    states = states_of(a_gateway(40))
-    homes = Counter()
+    states = states_of(make_gateway(40))
+    preferred_counts = Counter()
     for key in range(KEYS):
-        home = home_of(f"{key:x}", "small", states)
-        assert home is home_of(f"{key:x}", "small", states[::-1])
-        homes[home.endpoint.instance] += 1
-    fair = KEYS / len(states)
-    assert all(0.6 * fair < homes[s.endpoint.instance] < 1.4 * fair for s in states)
+        preferred = preferred_endpoint(f"{key:x}", "small", states)
+        assert preferred is preferred_endpoint(f"{key:x}", "small", states[::-1])
+        preferred_counts[preferred.endpoint.instance] += 1
+    fair_share = KEYS / len(states)
+    assert all(
+        0.6 * fair_share < preferred_counts[s.endpoint.instance] < 1.4 * fair_share
+        for s in states
+    )
 
 
-def test_an_endpoint_that_leaves_moves_no_other_home():
+def test_removed_endpoint_moves_only_its_own_prefixes():
     """Guards against reading all prompts again whenever one endpoint goes."""
-    states = states_of(a_gateway(40))
+    states = states_of(make_gateway(40))
     left, rest = states[0], states[1:]
     for key in range(KEYS // 10):
-        home = home_of(f"{key:x}", "small", states)
-        assert home is left or home is home_of(f"{key:x}", "small", rest)
+        preferred = preferred_endpoint(f"{key:x}", "small", states)
+        assert preferred is left or preferred is preferred_endpoint(
+            f"{key:x}", "small", rest
+        )
 
 
-def test_a_choice_among_hundreds_compares_a_few():
+def test_choice_among_hundreds_compares_a_bounded_sample():
     """Guards against decisions that take longer the larger the service is."""
-    gateway = a_gateway(600)
+    gateway = make_gateway(600)
     for state in states_of(gateway):
         state.backlog = CountedBacklog()
-    CountedBacklog.looked_up = 0
-    assert choose_endpoint(gateway, a_work(gateway), 1.0) is not None
-    assert CountedBacklog.looked_up <= MOST_COMPARED + 1
-    CountedBacklog.looked_up = 0
-    choose_next_model(gateway, a_work(gateway), 10.0, 1.0)
-    assert CountedBacklog.looked_up <= MOST_COMPARED
+    CountedBacklog.lookups = 0
+    assert choose_endpoint(gateway, make_context(gateway), 1.0) is not None
+    assert CountedBacklog.lookups <= MAX_COMPARED + 1
+    CountedBacklog.lookups = 0
+    choose_next_model(gateway, make_context(gateway), 10.0, 1.0)
+    assert CountedBacklog.lookups <= MAX_COMPARED
 
 
-def test_gateways_of_a_large_service_meet_at_the_homes_of_prompts():
+def test_sample_always_includes_the_preferred_endpoint():
     """Guards against a draw of few endpoints that leaves the prompt's home out."""
-    gateways = [a_gateway(600, f"gateway-{number}") for number in range(20)]
+    gateways = [make_gateway(600, f"gateway-{number}") for number in range(20)]
     chosen = {
-        choose_endpoint(gateway, a_work(gateway), 1.0).endpoint.instance
+        choose_endpoint(gateway, make_context(gateway), 1.0).endpoint.instance
         for gateway in gateways
     }
     assert len(chosen) == 1
@@ -112,22 +117,22 @@
 @pytest.mark.parametrize("limit", [96, 360])
 def test_all_gateways_together_keep_to_an_endpoints_connections(gateways, limit):
     """Guards against many gateways whose least parts add up to more than there are."""
-    everyone = [f"gateway-{number}" for number in range(gateways)]
-    parts = []
-    for name in everyone:
-        gateway = a_gateway(1, name)
-        gateway.members = {other: None for other in everyone if other != name}
+    all_gateways = [f"gateway-{number}" for number in range(gateways)]
+    shares = []
+    for name in all_gateways:
+        gateway = make_gateway(1, name)
+        gateway.members = {other: None for other in all_gateways if other != name}
         (state,) = states_of(gateway)
         state.load.in_flight = 0
         while with_free_connections(gateway, limit, [state]):
             state.load.in_flight += 1
-        parts.append(state.load.in_flight)
-    assert 0.75 * limit <= sum(parts) <= limit
+        shares.append(state.load.in_flight)
+    assert 0.75 * limit <= sum(shares) <= limit
 
 
-def test_a_gateway_without_a_part_of_any_connections_still_serves():
+def test_gateway_without_a_connection_share_still_serves():
     """Guards against gateways that refuse everything since their part is none."""
     for number in range(380):
-        gateway = a_gateway(3, f"gateway-{number}")
+        gateway = make_gateway(3, f"gateway-{number}")
         gateway.members = {f"gateway-{n}": None for n in range(380) if n != number}
         assert with_free_connections(gateway, 96, list(states_of(gateway)))
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -5,15 +5,15 @@
 from hypothesis import strategies as st
 
 from acaciacove.gateway.catalogue.rollout_order import RolloutOrder
-from acaciacove.gateway.choice.cold_limiter import ColdLimiter, own_part
+from acaciacove.gateway.choice.cold_limiter import ColdLimiter, gateway_share
 from acaciacove.gateway.choice.endpoint_health import (
-    LONGEST_EJECTION_S,
+    MAX_EJECTION_S,
     EndpointHealth,
 )
-from acaciacove.gateway.choice.endpoint_load import REPORT_LIFE_S, EndpointLoad
+from acaciacove.gateway.choice.endpoint_load import MAX_REPORT_AGE_S, EndpointLoad
 from acaciacove.gateway.choice.retry_budget import RetryBudget
 from acaciacove.gateway.choice.session_versions import SessionVersions
-from acaciacove.gateway.choice.sliding_count import SlidingCount
+from acaciacove.gateway.choice.sliding_window_counter import SlidingWindowCounter
 from acaciacove.gateway.rollout.rollout_progress import RolloutProgress
 from acaciacove.gateway.rollout.rollout_settings import RolloutSettings
 from acaciacove.gateway.rollout.rollout_steps import may_send_to_target
@@ -23,14 +23,14 @@
 
 @given(times, st.floats(0.0, 0.2))
 @settings(max_examples=100, derandomize=True)
-def test_a_sliding_count_is_never_too_low(moments, step_s):
-    count = SlidingCount(10.0, step_s)
-    for place, now_s in enumerate(moments):
+def test_sliding_window_never_undercounts(times_s, bucket_s):
+    count = SlidingWindowCounter(10.0, bucket_s)
+    for place, now_s in enumerate(times_s):
         count.add(now_s)
-        exact = sum(now_s - 10.0 < m <= now_s for m in moments[: place + 1])
+        exact = sum(now_s - 10.0 < m <= now_s for m in times_s[: place + 1])
         assert count.total(now_s) >= exact
         assert count.total(now_s) <= sum(
-            now_s - 10.0 - step_s - 1e-9 <= m <= now_s for m in moments[: place + 1]
+            now_s - 10.0 - bucket_s - 1e-9 <= m <= now_s for m in times_s[: place + 1]
         )
 
 
@@ -41,7 +41,7 @@
     st.integers(0, 60),
 )
 @settings(max_examples=150, derandomize=True)
-def test_repeats_of_all_gateways_keep_to_the_promise(gateways, events, ratio, extra):
+def test_retries_of_all_gateways_stay_within_the_budget(gateways, events, ratio, extra):
     """Gateways that know nothing of each other each keep to their part; summed up,
     no window holds more repeats than were promised.
     """
@@ -51,7 +51,7 @@
         budget = budgets[who % gateways]
         now_s = number * 0.01
         if is_repeat:
-            repeats += budget.take(now_s, gateways)
+            repeats += budget.consume(now_s, gateways)
         else:
             budget.count_request(now_s)
             requests += 1
@@ -64,16 +64,18 @@
     st.text("abcdef", min_size=1, max_size=5),
 )
 @settings(max_examples=150, derandomize=True)
-def test_cold_parts_of_all_gateways_add_up_to_the_limit(limit, count, endpoint):
-    everyone = frozenset(f"gateway-{n}" for n in range(count))
-    parts = [own_part(limit, endpoint, g, everyone - {g}) for g in everyone]
-    assert sum(parts) <= limit
-    assert sum(parts) > limit - count
+def test_cold_shares_sum_to_at_most_the_limit(limit, count, endpoint):
+    all_gateways = frozenset(f"gateway-{n}" for n in range(count))
+    shares = [
+        gateway_share(limit, endpoint, g, all_gateways - {g}) for g in all_gateways
+    ]
+    assert sum(shares) <= limit
+    assert sum(shares) > limit - count
 
 
 @given(st.lists(st.tuples(st.floats(0, 0.4), st.floats(0, 0.4)), max_size=120))
 @settings(max_examples=100, derandomize=True)
-def test_a_cold_endpoint_gets_no_burst_while_connections_are_made(steps):
+def test_cold_limit_holds_while_connections_are_opened(steps):
     """Many requests choose the same cold endpoint before any connection stands. Each
     keeps its place from the choice on, so they do not arrive together.
     """
@@ -95,7 +97,7 @@
 
 @given(st.lists(st.booleans(), max_size=500), st.integers(1, 8))
 @settings(max_examples=100, derandomize=True)
-def test_exposure_keeps_to_its_share_over_all_gateways(wishes, gateways):
+def test_rollout_exposure_of_all_gateways_stays_within_its_share(wishes, gateways):
     order = RolloutOrder("model", "v2", 20.0, 1, 0.0)
     bounds = RolloutSettings(exposure_share=0.15, exposure_extra=30.0)
     fleet = [RolloutProgress(order) for _ in range(gateways)]
@@ -109,19 +111,19 @@
         assert target <= 0.15 * everything + 30
 
 
-def test_an_endpoint_is_left_out_after_failures_and_taken_back():
+def test_endpoint_is_ejected_after_failures_and_readmitted():
     health = EndpointHealth()
-    assert not health.count_failure(1.0, broken=True)
-    assert not health.count_failure(1.1, broken=True)
-    assert health.count_failure(1.2, broken=True)
+    assert not health.count_failure(1.0, disconnected=True)
+    assert not health.count_failure(1.1, disconnected=True)
+    assert health.count_failure(1.2, disconnected=True)
     assert health.is_ejected(1.3) and not health.is_ejected(2.0)
 
 
-def test_pauses_of_a_failing_endpoint_grow_and_shrink():
+def test_ejections_back_off_and_recover():
     health = EndpointHealth()
     pauses = []
     for number in range(12):
-        if health.count_failure(float(number), broken=False):
+        if health.count_failure(float(number), disconnected=False):
             pauses.append(health.ejected_until_s - number)
     assert pauses == sorted(pauses) and pauses[-1] == 4.0
     for _ in range(20):
@@ -129,43 +131,43 @@
     assert health.ejections == 0
 
 
-def test_an_endpoint_that_fails_for_ever_is_left_out_for_the_longest_pause():
+def test_ejection_time_is_capped():
     """Guards against a pause that grows beyond what a number holds."""
     health = EndpointHealth()
     for number in range(10_000):
         health.count_failure(float(number), True)
-    assert health.ejected_until_s == pytest.approx(9_999.0 + LONGEST_EJECTION_S, abs=2)
+    assert health.ejected_until_s == pytest.approx(9_999.0 + MAX_EJECTION_S, abs=2)
 
 
-def test_an_endpoint_that_fails_every_other_request_is_left_out():
+def test_endpoint_failing_every_other_request_is_ejected():
     health = EndpointHealth()
     left_out = 0
     for number in range(20):
         if number % 2:
-            left_out += health.count_failure(float(number), broken=False)
+            left_out += health.count_failure(float(number), disconnected=False)
         else:
             health.count_success()
     assert left_out
 
 
-def test_others_load_fades_with_the_age_of_its_report():
+def test_reported_load_decays_with_age():
     load = EndpointLoad(in_flight=2)
-    load.report(running=6, waiting=4, now_s=10.0)
+    load.apply_report(running=6, waiting=4, now_s=10.0)
     assert load.estimate(10.0) == 10.0
-    assert load.estimate(10.0 + REPORT_LIFE_S / 2) == 6.0
-    assert load.estimate(10.0 + REPORT_LIFE_S) == 2.0
+    assert load.estimate(10.0 + MAX_REPORT_AGE_S / 2) == 6.0
+    assert load.estimate(10.0 + MAX_REPORT_AGE_S) == 2.0
 
 
-def test_sessions_are_forgotten_when_they_have_surely_ended():
-    sessions = SessionVersions(life_s=5.0)
+def test_sessions_expire():
+    sessions = SessionVersions(lifetime_s=5.0)
     sessions.put("model", "s", "v1", 100.0)
     assert sessions.get("model", "s", 110.0) == "v1"
     assert sessions.get("model", "s", 121.0) is None
     assert sessions.get("other", "s", 100.0) is None
 
 
-def test_the_table_of_sessions_is_bounded():
-    sessions = SessionVersions(life_s=5.0)
+def test_session_table_is_bounded():
+    sessions = SessionVersions(lifetime_s=5.0)
     for number in range(10_500):
         sessions.put("model", f"s{number}", "v1", 1.0)
     assert sessions.get("model", "s0", 1.0) is None
--- a/tests/test_gateway_observed.py
+++ b/tests/test_gateway_observability.py
@@ -7,7 +7,7 @@
 from acaciacove.gateway.event_log import (
     BURST_LINES,
     LINES_PER_S,
-    MAX_WAITING_BYTES,
+    MAX_BUFFERED_BYTES,
     ROUTINE_RESERVE,
     EventLog,
 )
@@ -17,39 +17,39 @@
 
 
 def test_a_request_has_one_line_with_what_decided_it():
-    async def story(fleet):
+    async def scenario(fleet):
         await call("/look/1", "r-1", method="GET")
         (line,) = [x for x in lines(fleet, "request") if x["request_id"] == "r-1"]
         assert line["status"] == "served" and line["organisation"] == "ozark"
         assert line["trail"][0].endswith("@v1") and line["revision"] == 0
         assert 0 < line["first_piece_s"] <= line["total_s"] < line["time_s"]
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_an_attempt_that_did_not_serve_has_a_line():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.failing = True
         for number in range(4):
             await call("/look/1", f"r-{number}", method="GET")
         failed = [x for x in lines(fleet, "attempt") if x["outcome"] == "failed"]
         assert failed and all(x["endpoint"] == "app-0@v1" for x in failed)
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_refusal_says_how_old_its_grounds_are():
-    async def story(fleet):
+    async def scenario(fleet):
         await call("/nowhere/1", "r-1")
         (line,) = lines(fleet, "caller_refused")
         assert line["reason"] == "unknown_api" and line["status"] == 404
         assert 0 <= line["confirmed_age_s"] < 2.0 and line["request_id"] == "r-1"
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_lost_and_regained_log_is_told_once_each():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
         await asyncio.sleep(3.0)
         fleet.store.down = None
@@ -58,13 +58,13 @@
             streams = [x["stream"] for x in lines(fleet, event)]
             assert sorted(streams) == ["endpoints", "operator"]
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_routine_lines_go_first_and_what_is_left_out_is_said():
     """A burst of requests would fill the log and hide the failures among them."""
 
-    async def story():
+    async def scenario():
         log = EventLog("p", descriptor=None)
         for number in range(2000):
             log.write(Event.REQUEST, routine=True, number=number)
@@ -82,7 +82,7 @@
         assert len(log.lines) - before <= BURST_LINES
         assert LINES_PER_S < BURST_LINES
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_a_reader_that_stalls_holds_up_nobody():
@@ -91,7 +91,7 @@
     """
     reader, writer = os.pipe()
 
-    async def story():
+    async def scenario():
         log = EventLog("p", descriptor=writer)
         loop = asyncio.get_running_loop()
         began_s = loop.time()
@@ -99,7 +99,7 @@
             log._tokens = BURST_LINES
             log.write(Event.REQUEST, number=number, filler="x" * 200)
         assert loop.time() - began_s < 20.0
-        assert log.dropped > 0 and log._waiting_bytes <= MAX_WAITING_BYTES
+        assert log.dropped > 0 and log._buffered_bytes <= MAX_BUFFERED_BYTES
         received = b""
         for _ in range(200):
             await asyncio.sleep(0)
@@ -108,7 +108,7 @@
         assert first["event"] == "request" and first["number"] == 0
 
     try:
-        asyncio.run(story())
+        asyncio.run(scenario())
     finally:
         os.close(reader)
         os.close(writer)
@@ -121,7 +121,7 @@
 
 
 def test_metrics_show_requests_refusals_and_beliefs():
-    async def story(fleet):
+    async def scenario(fleet):
         running = fleet.gateways["gateway-0"]
         assert running.metrics_page() == b"# starting\n"
         await call("/look/1", "r-1", method="GET")
@@ -144,7 +144,7 @@
         assert 'log_calls_total{call="read",result="ok"}' in page
         assert 'request_seconds_bucket{kind="repeatable",le="0.05"} 1' in page
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_the_metrics_page_does_not_grow_with_the_catalogue():
@@ -159,11 +159,11 @@
     look = next(r for r in base.routes if r.name == "look")
     many = tuple(evolve(look, name=f"n{n}", path_prefix=f"/n{n}/") for n in range(350))
 
-    async def story(fleet):
+    async def scenario(fleet):
         for number in range(0, 350, 10):
             await call(f"/n{number}/1", f"r-{number}", method="GET")
         await asyncio.sleep(5.0)
         page = fleet.gateways["gateway-0"].metrics_page()
         assert page.count(b"\n") < 200
 
-    run_fleet(story, published=catalogue(routes=(*base.routes, *many)))
+    run_fleet(scenario, published=catalogue(routes=(*base.routes, *many)))
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -16,9 +16,9 @@
     read_member,
     write_member,
 )
-from acaciacove.gateway.peers.work_news import WorkNews
-from acaciacove.gateway.usable_endpoints import cold_part
-from acaciacove.gateway.work import Work
+from acaciacove.gateway.peers.work_gossip import WorkGossip
+from acaciacove.gateway.request_context import RequestContext
+from acaciacove.gateway.usable_endpoints import cold_share
 from acaciacove.messages.gateway_report import GatewayReport
 from acaciacove.messages.rollout_view import RolloutView
 from acaciacove.messages.version_cell import VersionCell
@@ -72,11 +72,11 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_a_report_is_read_as_it_was_written(report):
+def test_report_round_trip(report):
     assert decode(encode(report)) == report
 
 
-def test_a_member_of_an_earlier_release_is_known():
+def test_member_record_of_an_earlier_release_is_accepted():
     """A fleet is upgraded one gateway after the other. Those of the earlier release
     write no zone; left out, they would not count among those that share the retry
     budget, and all together would send more repeats than are promised.
@@ -89,7 +89,7 @@
             read_member("g", junk)
 
 
-def test_gateways_find_each_other():
+def test_gateways_discover_each_other():
     async def story(fleet):
         for name, running in fleet.gateways.items():
             assert running.gateway.peers == frozenset(fleet.gateways) - {name}
@@ -97,7 +97,7 @@
     run_fleet(story, gateways=3)
 
 
-def test_a_gateway_that_the_log_turns_away_serves_by_its_peers_word():
+def test_gateway_rejected_by_the_log_serves_while_peers_confirm():
     """The log refuses one machine and serves the others. That machine cannot learn
     by itself whether a key was taken away; its peers know, and it goes on serving.
     """
@@ -114,7 +114,7 @@
     run_fleet(story, gateways=3)
 
 
-def test_a_peers_word_is_not_taken_for_decisions_that_it_knows_and_we_do_not():
+def test_peer_with_a_newer_revision_confirms_nothing():
     """A key is taken away while the log turns one machine away. Its peers know a
     newer decision, and it cannot ask them for it; their word that they are up to
     date says nothing of ours.
@@ -140,7 +140,7 @@
     run_fleet(story, gateways=3)
 
 
-def test_a_report_that_waited_in_a_queue_confirms_nothing():
+def test_delayed_report_without_echo_confirms_nothing():
     """A report lies in a socket while its receiver is suspended. Read afterwards it
     would make old beliefs look fresh, and a key that was taken away meanwhile would
     be honoured. Only an answer to an own question counts.
@@ -148,12 +148,12 @@
 
     async def story(fleet):
         await asyncio.sleep(1.0)
-        beliefs = fleet.gateways["gateway-0"].gateway.beliefs
+        view = fleet.gateways["gateway-0"].gateway.view
         stale = GatewayReport(
             instance="gateway-1",
             incarnation=1,
             address=f"10.0.1.2:{PEER_PORT}",
-            revision=beliefs.operator_revision,
+            revision=view.operator_revision,
             confirmed_age_s=0.0,
             nonce=1,
             echo=0,
@@ -163,18 +163,18 @@
             availability_zone="a",
         )
         fleet.store.down = "silent"
-        before = beliefs.confirmed_boot_s
+        before = view.confirmed_boot_s
         fleet.network.cut.add("10.0.1.1")
         await asyncio.sleep(3.0)
         fleet.network.cut.clear()
         fleet.network.carry("10.0.1.2", encode(stale), ("10.0.1.1", PEER_PORT))
         await asyncio.sleep(0.01)
-        assert beliefs.confirmed_boot_s == before
+        assert view.confirmed_boot_s == before
 
     run_fleet(story, gateways=2)
 
 
-def test_bytes_from_strangers_are_left():
+def test_undecodable_datagrams_are_ignored():
     async def story(fleet):
         for data in (b"", b"\x00" * 64, b"hello", bytes(range(200))):
             fleet.network.carry("10.9.9.9", data, ("10.0.1.1", PEER_PORT))
@@ -184,7 +184,7 @@
     run_fleet(story, gateways=2)
 
 
-def test_limits_are_shared_by_as_many_gateways_as_there_may_be():
+def test_limits_are_split_among_unreachable_gateways_too():
     async def story(fleet):
         fleet.network.cut.update({"10.0.1.1", "10.0.1.2", "10.0.1.3"})
         await asyncio.sleep(20.0)
@@ -193,7 +193,7 @@
     run_fleet(story, gateways=3)
 
 
-def test_a_gateway_that_knows_no_members_yet_spares_cold_endpoints():
+def test_gateway_without_member_list_uses_no_cold_endpoints():
     """All gateways are killed and start again at the same moment, beside an endpoint in
     its cold start. Until each knows the others, none can tell which part of its rate is
     its own: taken whole by each, the endpoint gets five times what it bears and falls
@@ -206,21 +206,21 @@
         )
         await asyncio.sleep(0.5)
         gateway = fleet.gateways["gateway-0"].gateway
-        endpoint = gateway.beliefs.endpoints["cold"]
-        work = Work(
+        endpoint = gateway.view.endpoints["cold"]
+        work = RequestContext(
             request=None,
-            route=gateway.beliefs.catalogue.routes[2],
-            service=gateway.beliefs.catalogue.services["model"],
+            route=gateway.view.catalogue.routes[2],
+            service=gateway.view.catalogue.services["model"],
             organisation=None,
             session=None,
-            until_s=1e9,
+            deadline_s=1e9,
             model=None,
         )
         now_s = asyncio.get_running_loop().time()
         state = gateway.states.of(endpoint)
-        assert cold_part(gateway, work, state, now_s) > 0
-        gateway.members_known = False
-        assert cold_part(gateway, work, state, now_s) == 0
+        assert cold_share(gateway, work, state, now_s) > 0
+        gateway.members_loaded = False
+        assert cold_share(gateway, work, state, now_s) == 0
         assert gateway.gateway_count == ASSUMED_GATEWAYS
 
     run_fleet(story, gateways=2)
@@ -235,11 +235,11 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_word_of_a_prompt_is_read_as_it_was_written(sent):
+def test_work_sent_round_trip(sent):
     assert decode(encode(sent)) == sent
 
 
-def test_a_long_prompt_at_one_gateway_is_known_to_the_other():
+def test_long_prompt_is_gossiped_to_the_other_gateway():
     async def story(fleet):
         await asyncio.sleep(1.5)
         fields = model_fields(tokens=60_000)
@@ -247,26 +247,26 @@
         asked = next(a.instance for a in fleet.arrivals)
         other = fleet.gateways["gateway-1"].gateway
         state = other.states.find(endpoint_id(asked))
-        assert state.backlog.told
-        assert any(state.holds(part_key(m, "subject")) for m in ("small", "large"))
+        assert state.backlog.peer_work
+        assert any(state.is_cached(part_key(m, "subject")) for m in ("small", "large"))
 
     run_fleet(story, gateways=2)
 
 
-def test_after_a_burst_shorter_prompts_are_told_again():
+def test_threshold_falls_again_after_a_burst():
     """Guards against a threshold that only longer prompts could bring down."""
     sent = []
-    news = WorkNews(lambda: range(200), lambda data, _: sent.append(data), None, None)
+    news = WorkGossip(lambda: range(200), lambda data, _: sent.append(data), None, None)
     for step in range(200):
-        news.tell(WorkSent(1, 5.0, ()), step * 0.01)
-    assert news.threshold.least_s > 0.5
+        news.send_update(WorkSent(1, 5.0, ()), step * 0.01)
+    assert news.threshold.min_work_s > 0.5
     sent.clear()
     for step in range(10):
-        news.tell(WorkSent(1, 0.3, ()), 60.0 + step)
+        news.send_update(WorkSent(1, 0.3, ()), 60.0 + step)
     assert sent
 
 
-def test_word_of_impossible_work_is_left():
+def test_invalid_work_is_ignored():
     """Guards against a faulty peer that makes an endpoint look busy for ever."""
 
     async def story(fleet):
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -11,51 +11,51 @@
 from acaciacove.gateway.log_reading import LogReading
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
-from acaciacove.gateway.outcome_duty import FLEET_READS_PER_S, OutcomeDuty
+from acaciacove.gateway.outcome_recorder import FLEET_READS_PER_S, OutcomeRecorder
 from acaciacove.gateway.peers.peer import Peer
 from acaciacove.gateway.relay.reader_link import ReaderLink
-from acaciacove.gateway.relay.reading_order import (
-    LEAST_GROUP,
-    SUBSTITUTES,
+from acaciacove.gateway.relay.reader_order import (
+    FALLBACK_PEERS,
+    MIN_GROUP_SIZE,
     reader_count,
-    reading_group,
-    reading_order,
-    whom_to_ask,
+    reader_group,
+    reader_order,
+    relay_candidates,
 )
-from acaciacove.gateway.relay.relay_pace import relay_pace
+from acaciacove.gateway.relay.relay_intervals import relay_intervals
 from acaciacove.gateway.relay.relayed_log import RelayedLog
-from acaciacove.gateway.relay.stream_tail import KEPT_RECORDS, StreamTail
-from acaciacove.gateway.relay.tell_records import answer
+from acaciacove.gateway.relay.serve_records import answer
+from acaciacove.gateway.relay.stream_tail import MAX_RECORDS, StreamTail
 from acaciacove.messages.log_ask import LogAsk
 from acaciacove.messages.log_told import LogTold
 from acaciacove.messages.told_record import ToldRecord
-from acaciacove.platform.store_client import CALL_TIMEOUT_S
+from acaciacove.platform.log_client import CALL_TIMEOUT_S
 from acaciacove.standins.gateway_fleet import ENDPOINTS, PEER_PORT
 from acaciacove.wire.codec import decode, encode
 from tests.gateway_world import GATEWAY_HOST, call, catalogue, report, run_fleet
 from tests.virtual import run_virtual
 
 GATEWAYS = 5
-PACE = relay_pace(2.0, 2.0)
+INTERVALS = relay_intervals(2.0, 2.0)
 NAMES = st.sets(st.text("abcdef", min_size=1, max_size=6), min_size=1, max_size=60)
 OFFSETS = st.integers(0, 2**40)
 SECONDS = st.floats(0, 1e6, allow_nan=False)
 
 
 def reader_of(fleet):
-    return reading_order(fleet.gateways)[0]
+    return reader_order(fleet.gateways)[0]
 
 
-def others(fleet):
+def followers(fleet):
     return [name for name in fleet.gateways if name != reader_of(fleet)]
 
 
-def reading(page, is_newest, complete_s):
-    return LogReading(page, is_newest, None, complete_s, complete_s)
+def reading(page, is_snapshot, complete_s):
+    return LogReading(page, is_snapshot, None, complete_s, complete_s)
 
 
 def versions(fleet, names):
-    return [fleet.gateways[n].gateway.beliefs.catalogue.version for n in names]
+    return [fleet.gateways[n].gateway.view.catalogue.version for n in names]
 
 
 @given(
@@ -86,16 +86,16 @@
     at the log. Each asks only such as come before it in one order, and the first
     ones of that order ask nobody.
     """
-    order = reading_order(names)
+    order = reader_order(names)
     readers = order[: reader_count(len(names))]
     for name in names:
-        asked = whom_to_ask(name, names - {name}, may_read=True)
+        asked = relay_candidates(name, names - {name}, may_read=True)
         assert name not in asked
         if name in readers:
             assert asked == []
             continue
         assert asked[0] in readers
-        assert len(asked) <= len(readers) + SUBSTITUTES
+        assert len(asked) <= len(readers) + FALLBACK_PEERS
         for other in asked:
             assert other in readers or order.index(other) < order.index(name)
 
@@ -103,7 +103,7 @@
 @given(st.dictionaries(st.text("abcdef", min_size=1), st.sampled_from("abcd")))
 @settings(max_examples=100, derandomize=True)
 def test_groups_of_readers_are_alike_for_all_their_members(zone_of):
-    groups = [reading_group(name, zone_of) for name in zone_of]
+    groups = [reader_group(name, zone_of) for name in zone_of]
     for name, group in zip(zone_of, groups, strict=True):
         assert name in group
         assert all(other == group or not other & group for other in groups)
@@ -111,7 +111,7 @@
     assert len({frozenset(group) for group in groups}) <= len(zones)
 
 
-@given(st.integers(LEAST_GROUP, 15), st.integers(1, 8))
+@given(st.integers(MIN_GROUP_SIZE, 15), st.integers(1, 8))
 @settings(max_examples=50, derandomize=True)
 def test_no_reader_tells_more_than_its_own_zone(in_zone, zones):
     """Guards against a reader whose link is full of a catalogue for all zones at once:
@@ -119,15 +119,15 @@
     """
     zone_of = {f"{n}-{z}": f"zone-{z}" for z in range(zones) for n in range(in_zone)}
     for name, zone in zone_of.items():
-        asked = whom_to_ask(name, reading_group(name, zone_of), may_read=True)
+        asked = relay_candidates(name, reader_group(name, zone_of), may_read=True)
         assert all(zone_of[other] == zone for other in asked)
 
 
 @given(NAMES)
 @settings(max_examples=100, derandomize=True)
 def test_a_reader_that_the_log_turns_away_asks_the_others(names):
-    order = reading_order(names)
-    asked = whom_to_ask(order[0], names, may_read=False)
+    order = reader_order(names)
+    asked = relay_candidates(order[0], names, may_read=False)
     assert order[0] not in asked
     assert bool(asked) is (len(names) > 1)
 
@@ -143,24 +143,24 @@
     that still gets requests. Whoever lacks some is told so and reads the log.
     """
 
-    async def story():
+    async def scenario():
         tail = StreamTail()
-        tail.take(reading(LogPage((), start), True, 0.0))
+        tail.apply(reading(LogPage((), start), True, 0.0))
         end = start
         for count in pages:
             records = tuple(
                 LogRecord("k", b"v", offset) for offset in range(end, end + count)
             )
             end += count
-            tail.take(reading(LogPage(records, end), False, 0.0))
+            tail.apply(reading(LogPage(records, end), False, 0.0))
         if not tail.covers(asked):
-            kept = min(end - start, KEPT_RECORDS)
+            kept = min(end - start, MAX_RECORDS)
             assert asked > end or asked < end - kept
             return
         told = [record.offset for record in tail.since(asked)]
         assert told == list(range(asked, end))
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_only_few_gateways_call_the_log():
@@ -168,25 +168,25 @@
     two streams each made 6.7 calls a second; one reader and its followers make two.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         before = fleet.store.reads
         await asyncio.sleep(30.0)
         return fleet.store.reads - before
 
-    calls = run_fleet(story, gateways=GATEWAYS)
+    calls = run_fleet(scenario, gateways=GATEWAYS)
     # Two streams each second, and each gateway's look at the list of members.
     assert calls <= 2 * 30 + 2 * GATEWAYS + 2
 
 
 def test_gateways_that_do_not_read_have_a_decision_at_once():
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.publish(catalogue(version=2))
         await asyncio.sleep(0.1)
-        assert versions(fleet, others(fleet)) == [2] * (GATEWAYS - 1)
+        assert versions(fleet, followers(fleet)) == [2] * (GATEWAYS - 1)
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_decisions_are_in_force_in_time_though_the_reader_has_lost_the_log():
@@ -196,31 +196,31 @@
     """
     for how in ("busy", "reset", "silent"):
 
-        async def story(fleet, how=how):
+        async def scenario(fleet, how=how):
             await asyncio.sleep(2.0)
             fleet.store.refused_callers = frozenset({reader_of(fleet)})
             fleet.store.down = how
             fleet.publish(catalogue(version=2))
             await asyncio.sleep(2.0)
-            assert versions(fleet, others(fleet)) == [2] * (GATEWAYS - 1)
+            assert versions(fleet, followers(fleet)) == [2] * (GATEWAYS - 1)
             # The reader learns it as well, from one of its peers.
             await asyncio.sleep(2.0)
             assert versions(fleet, [reader_of(fleet)]) == [2]
 
-        run_fleet(story, gateways=GATEWAYS)
+        run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_decisions_are_in_force_in_time_though_the_reader_has_died():
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
-        left = others(fleet)
+        left = followers(fleet)
         fleet._tasks[reader_of(fleet)].cancel()
         await asyncio.sleep(0.01)
         fleet.publish(catalogue(version=2))
         await asyncio.sleep(1.0)
         assert versions(fleet, left) == [2] * (GATEWAYS - 1)
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_a_member_that_is_dropped_while_another_is_asked_is_passed_over():
@@ -229,7 +229,7 @@
     ended the task that follows the log: the gateway stopped, with all its callers.
     """
 
-    first, second, me = reading_order(("r-1", "r-2", "r-3"))
+    first, second, me = reader_order(("r-1", "r-2", "r-3"))
     peers = {
         first: Peer(first, GATEWAY_HOST, PEER_PORT, "a", 0.0),
         second: Peer(second, "10.0.9.9", 1, "a", 0.0),
@@ -241,7 +241,7 @@
         looks.append(len(looks))
         return peers if len(looks) <= 2 else {first: peers[first]}
 
-    async def story(fleet):
+    async def scenario(fleet):
         log = fleet.gateways["gateway-0"].metadata
         relayed = RelayedLog(
             me,
@@ -251,21 +251,21 @@
             fleet.boot_time_s,
             log.log,
             log.metrics,
-            lambda: PACE,
+            lambda: INTERVALS,
         )
         page = await relayed.read(LogStream.OPERATOR, 0, 0.1)
-        assert page.records and not page.is_told
+        assert page.records and not page.is_relayed
         assert len(looks) >= 3
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_gateway_that_reaches_nobody_looks_for_the_log_itself():
     """Guards against a blind gateway that waits for others to tell it."""
-    first, second, me = reading_order(("r-1", "r-2", "r-3"))
+    first, second, me = reader_order(("r-1", "r-2", "r-3"))
     peers = {name: Peer(name, "10.0.9.9", 1, "a", 0.0) for name in (first, second)}
 
-    async def story(fleet):
+    async def scenario(fleet):
         log = fleet.gateways["gateway-0"].metadata
         clock_s = fleet.boot_time_s
         relayed = RelayedLog(
@@ -276,7 +276,7 @@
             clock_s,
             log.log,
             log.metrics,
-            lambda: PACE,
+            lambda: INTERVALS,
         )
         fleet.store.down = "reset"
         with pytest.raises(PlatformUnavailableError):
@@ -285,7 +285,7 @@
         page = await relayed.read(LogStream.OPERATOR, 0, 0.1)
         assert page.records
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_gateways_that_have_lost_the_log_do_not_assure_each_other():
@@ -293,7 +293,7 @@
     from the others every half second; none of it may make a key look valid.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "busy"
         fleet.publish(catalogue(version=2, keys=("other",)))
@@ -305,7 +305,7 @@
             await asyncio.sleep(0.2)
         assert answer.status == 503
 
-    run_fleet(story, gateways=3)
+    run_fleet(scenario, gateways=3)
 
 
 def test_entries_that_lapse_with_the_log_are_no_departures_for_any_gateway():
@@ -314,7 +314,7 @@
     without an endpoint.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "busy"
         await asyncio.sleep(4.0)
@@ -324,14 +324,14 @@
         for _ in range(10):
             await asyncio.sleep(0.1)
             for running in fleet.gateways.values():
-                assert {"app-0", "app-1"} <= set(running.gateway.beliefs.endpoints)
+                assert {"app-0", "app-1"} <= set(running.gateway.view.endpoints)
         for number, name in enumerate(("app-0", "app-1")):
             fleet.register(report(name, "app", 10 + number))
         await asyncio.sleep(3.0)
         for running in fleet.gateways.values():
-            assert {"app-0", "app-1"} <= set(running.gateway.beliefs.endpoints)
+            assert {"app-0", "app-1"} <= set(running.gateway.view.endpoints)
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_a_departure_is_one_though_the_log_turns_the_reader_away():
@@ -340,7 +340,7 @@
     seconds, and sent it requests that its end cut.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.refused_callers = frozenset({reader_of(fleet)})
         fleet.store.down = "reset"
@@ -349,10 +349,10 @@
         await asyncio.sleep(0.8)
         fleet.store.append(ENDPOINTS, "app-0", b"")
         await asyncio.sleep(1.5)
-        for name in others(fleet):
-            assert "app-0" not in fleet.gateways[name].gateway.beliefs.endpoints
+        for name in followers(fleet):
+            assert "app-0" not in fleet.gateways[name].gateway.view.endpoints
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_an_answer_that_waited_in_a_suspended_machine_is_as_old_as_its_question():
@@ -361,42 +361,42 @@
     that was taken away meanwhile would be honoured.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         reader = fleet.gateways[reader_of(fleet)]
         link = ReaderLink(
-            reader.settings.host, PEER_PORT, fleet.boot_time_s, lambda: PACE
+            reader.settings.host, PEER_PORT, fleet.boot_time_s, lambda: INTERVALS
         )
-        offset = reader.gateway.beliefs.operator_revision + 1
-        asked_boot_s = fleet.boot_time_s()
-        question = asyncio.create_task(link.ask("operator", offset, 0.2))
+        offset = reader.gateway.view.operator_revision + 1
+        requested_boot_s = fleet.boot_time_s()
+        question = asyncio.create_task(link.request_records("operator", offset, 0.2))
         await asyncio.sleep(0.1)
         fleet.suspended_s += 30.0
         page = await question
         assert page is None or page.complete_after_s <= 0.3
-        assert page is None or asked_boot_s + page.complete_after_s < (
+        assert page is None or requested_boot_s + page.complete_after_s < (
             fleet.boot_time_s() - 29.0
         )
         link.close()
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_teller_says_nothing_once_its_own_look_is_too_old():
-    async def story():
+    async def scenario():
         now_s = asyncio.get_running_loop().time
         tail = StreamTail()
-        tail.take(reading(LogPage((), 7), True, now_s()))
-        oldest_s = relay_pace(2.0, 2.0).oldest_told_s
+        tail.apply(reading(LogPage((), 7), True, now_s()))
+        oldest_s = relay_intervals(2.0, 2.0).max_relayed_age_s
         told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
         assert told.known and told.records == () and told.held_s >= 0.5
         # What others tell does not count as an own look.
-        tail.take(reading(LogPage((), 7, complete_after_s=0.0), False, now_s()))
+        tail.apply(reading(LogPage((), 7, complete_after_s=0.0), False, now_s()))
         await asyncio.sleep(oldest_s)
         told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
         assert not told.known
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 @given(st.floats(2.0, 20.0), st.floats(0.2, 20.0), st.integers(0, 600))
@@ -405,22 +405,22 @@
     promised_s, drain_s, endpoints
 ):
     """Guards against decisions that come into force after the promised time."""
-    pace = relay_pace(promised_s, drain_s)
+    intervals = relay_intervals(promised_s, drain_s)
     # A reader that rests and then waits for news can tell all the while.
-    assert pace.held_s < pace.oldest_told_s
-    assert pace.endpoints_held_s(endpoints) > 0.0
-    rested_s = pace.rest_s(endpoints) + pace.endpoints_held_s(endpoints)
-    assert rested_s < pace.oldest_endpoints_s <= pace.oldest_told_s
-    assert pace.rest_s(endpoints) <= pace.pause_s
+    assert intervals.held_s < intervals.max_relayed_age_s
+    assert intervals.endpoints_wait_s(endpoints) > 0.0
+    paused_s = intervals.read_pause_s(endpoints) + intervals.endpoints_wait_s(endpoints)
+    assert paused_s < intervals.max_endpoints_age_s <= intervals.max_relayed_age_s
+    assert intervals.read_pause_s(endpoints) <= intervals.max_pause_s
     # Word of a leaving endpoint leaves time for what is on its way to it.
-    assert pace.pause_s <= drain_s / 3.0
-    assert promised_s - pace.oldest_told_s >= pace.question_s
+    assert intervals.max_pause_s <= drain_s / 3.0
+    assert promised_s - intervals.max_relayed_age_s >= intervals.request_wait_s
     # So does a reader that falls silent while it is asked.
-    asked_s = pace.question_s + pace.late_answer_s
-    assert pace.oldest_endpoints_s + asked_s <= 0.9 * drain_s
-    assert pace.turned_away_s <= drain_s / 2.0
+    asked_s = intervals.request_wait_s + intervals.reply_margin_s
+    assert intervals.max_endpoints_age_s + asked_s <= 0.9 * drain_s
+    assert intervals.rejected_pause_s <= drain_s / 2.0
     # A call that meets a silent connection, and the one after it, end before keys do.
-    assert 2 * pace.held_s + CALL_TIMEOUT_S <= 0.9 * 5.0
+    assert 2 * intervals.held_s + CALL_TIMEOUT_S <= 0.9 * 5.0
 
 
 def test_many_heartbeats_a_second_are_read_in_few_calls():
@@ -428,7 +428,7 @@
     seconds, beats_per_s, endpoints = 10, 20, 24
     beats = [report(f"app-{n}", "app", 10 + n, "ab"[n % 2]) for n in range(endpoints)]
 
-    async def story(fleet):
+    async def scenario(fleet):
         for beat in beats:
             fleet.register(beat)
         await asyncio.sleep(1.0)
@@ -437,49 +437,49 @@
             fleet.register(beats[number % endpoints])
             await asyncio.sleep(1.0 / beats_per_s)
         reads_per_s = (fleet.store.reads - before) / seconds
-        pace = relay_pace(2.0, 2.0)
-        assert reads_per_s <= 1.0 / pace.pause_s + 1.0 / pace.held_s + 0.5
+        intervals = relay_intervals(2.0, 2.0)
+        assert reads_per_s <= 1.0 / intervals.max_pause_s + 1.0 / intervals.held_s + 0.5
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_news_of_a_few_endpoints_is_not_held_up():
     """Guards against old beliefs where a rest between reads would save no call."""
-    pace = relay_pace(2.0, 2.0)
-    assert pace.rest_s(5) <= 0.2
-    assert pace.rest_s(600) == pace.pause_s
+    intervals = relay_intervals(2.0, 2.0)
+    assert intervals.read_pause_s(5) <= 0.2
+    assert intervals.read_pause_s(600) == intervals.max_pause_s
 
 
 def test_a_reader_can_tell_what_a_large_fleet_wrote_during_two_rests():
     """Guards against followers that all read the log, as their reader lacks records."""
     endpoints, beat_s = 600, 1.2
-    rest_s = relay_pace(3.0, 3.0).rest_s(endpoints)
-    in_a_rest = int(rest_s * endpoints / beat_s)
+    read_pause_s = relay_intervals(3.0, 3.0).read_pause_s(endpoints)
+    in_a_rest = int(read_pause_s * endpoints / beat_s)
     tail = StreamTail()
-    tail.take(reading(LogPage((), 0), True, 0.0))
+    tail.apply(reading(LogPage((), 0), True, 0.0))
     asked_from = tail.next_offset
     for _ in range(2):
         begin = tail.next_offset
         records = tuple(
             LogRecord(f"i-{n}", b"x" * 250, begin + n) for n in range(in_a_rest)
         )
-        tail.take(reading(LogPage(records, begin + in_a_rest), False, 0.0))
+        tail.apply(reading(LogPage(records, begin + in_a_rest), False, 0.0))
     assert tail.covers(asked_from)
 
 
 def test_a_leaving_endpoint_is_known_everywhere_while_it_still_serves():
     """Guards against requests to an endpoint that has left, after a long rest."""
 
-    async def story(fleet):
-        beliefs = [g.gateway.beliefs for g in fleet.gateways.values()]
+    async def scenario(fleet):
+        view = [g.gateway.view for g in fleet.gateways.values()]
         for _ in range(5):
             fleet.register(report("app-0", "app", 10, "a"))
             await asyncio.sleep(0.17)
         fleet.announce_leaving("app-0")
         await asyncio.sleep(0.5 * 2.0)
-        assert all(b.endpoints["app-0"].leaving for b in beliefs)
+        assert all(b.endpoints["app-0"].draining for b in view)
 
-    run_fleet(story, gateways=GATEWAYS)
+    run_fleet(scenario, gateways=GATEWAYS)
 
 
 def test_a_large_fleet_reads_outcomes_no_more_often_than_a_small_one():
@@ -487,14 +487,14 @@
 
     async def reads_per_s(fleet, members):
         running = fleet.gateways["gateway-0"]
-        duty = OutcomeDuty(running.gateway, running.metadata, running.codec)
+        recorder = OutcomeRecorder(running.gateway, running.metadata, running.codec)
         running.gateway.members = {
             f"g-{n}": Peer(f"g-{n}", "10.0.9.9", 1, "a", 0.0) for n in range(members)
         }
-        return (members + 1) / duty._read_every_s()
+        return (members + 1) / recorder._read_every_s()
 
-    async def story(fleet):
+    async def scenario(fleet):
         for members in (5, 28, 68, 380):
             assert await reads_per_s(fleet, members) <= FLEET_READS_PER_S
 
-    run_fleet(story)
+    run_fleet(scenario)
--- a/tests/test_gateway_departures.py
+++ b/tests/test_gateway_removals.py
@@ -4,30 +4,30 @@
 
 import pytest
 
-from acaciacove.gateway.relay import tell_records
-from acaciacove.gateway.relay.reading_order import reading_order
-from acaciacove.gateway.relay.tell_records import answer
+from acaciacove.gateway.relay import serve_records
+from acaciacove.gateway.relay.reader_order import reader_order
+from acaciacove.gateway.relay.serve_records import answer
 from acaciacove.standins.gateway_fleet import ENDPOINTS
 from tests.gateway_world import run_fleet
 
 DRAINS_S = (1.0, 2.0)
 HEARTBEATS_S = (0.2, 1.2, 2.0)
-FLEETS = (1, 5)
+FLEET_SIZES = (1, 5)
 LARGE_FLEET = 28
 # From the end of trouble until a gateway is held to its bounds again.
-CONTACT_S = 3.0
+RECOVERY_S = 3.0
 # Entries that lapsed with the log are back this long after its return.
-BACK_S = 2.0
-LAPSE_HEARTBEATS = 3
+REREGISTRATION_S = 2.0
+EXPIRY_HEARTBEATS = 3
 APPS = ("app-0", "app-1")
 
 
-def believers(fleet, instance):
+def gateways_with(fleet, instance):
     """Gateways that would still send to an endpoint."""
     return [
         name
         for name, running in fleet.gateways.items()
-        if instance in running.gateway.beliefs.endpoints
+        if instance in running.gateway.view.endpoints
     ]
 
 
@@ -35,37 +35,37 @@
     fleet.store.append(ENDPOINTS, instance, b"")
 
 
-def turn_away(fleet, how, *names):
+def reject_calls(fleet, how, *names):
     fleet.store.down, fleet.store.refused_callers = how, frozenset(names)
 
 
-def mend(fleet):
-    turn_away(fleet, None)
+def restore_log(fleet):
+    reject_calls(fleet, None)
 
 
-async def lapse_with_outage(fleet, away_s, instances):
+async def expire_during_outage(fleet, away_s, instances):
     """Let entries lapse while the log is away for all."""
     await asyncio.sleep(2.0)
     fleet.store.down = "busy"
     await asyncio.sleep(away_s)
     for instance in instances:
         remove(fleet, instance)
-    mend(fleet)
+    restore_log(fleet)
 
 
 async def check_dropped(fleet, instance, drain_s):
     await asyncio.sleep(drain_s)
-    assert believers(fleet, instance) == []
+    assert gateways_with(fleet, instance) == []
 
 
 async def check_used(fleet, instances, for_s):
     for _ in range(round(for_s / 0.05)):
         for instance in instances:
-            assert len(believers(fleet, instance)) == len(fleet.gateways)
+            assert len(gateways_with(fleet, instance)) == len(fleet.gateways)
         await asyncio.sleep(0.05)
 
 
-@pytest.mark.parametrize("gateways", FLEETS)
+@pytest.mark.parametrize("gateways", FLEET_SIZES)
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 @pytest.mark.parametrize("how", ["busy", "reset"])
@@ -74,16 +74,16 @@
 ):
     """Guards against a departure that is taken for a lapse after an own failed call."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
-        reader = reading_order(fleet.gateways)[0]
-        turn_away(fleet, how, reader)
+        reader = reader_order(fleet.gateways)[0]
+        reject_calls(fleet, how, reader)
         await asyncio.sleep(0.25)
         remove(fleet, "app-0")
-        asyncio.get_running_loop().call_later(0.15, mend, fleet)
+        asyncio.get_running_loop().call_later(0.15, restore_log, fleet)
         await check_dropped(fleet, "app-0", drain_s)
 
-    run_fleet(story, gateways=gateways, drain_s=drain_s, heartbeat_s=heartbeat_s)
+    run_fleet(scenario, gateways=gateways, drain_s=drain_s, heartbeat_s=heartbeat_s)
 
 
 @pytest.mark.parametrize("place", [0, 1, 4])
@@ -91,15 +91,15 @@
 def test_a_gateway_that_is_turned_away_learns_of_departures_from_others(drain_s, place):
     """Guards against a long refusal of one gateway that is taken for an outage."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
-        turn_away(fleet, "busy", reading_order(fleet.gateways)[place])
+        reject_calls(fleet, "busy", reader_order(fleet.gateways)[place])
         for instance in APPS:
             await asyncio.sleep(4.0)
             remove(fleet, instance)
             await check_dropped(fleet, instance, drain_s)
 
-    run_fleet(story, gateways=5, drain_s=drain_s)
+    run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
 @pytest.mark.parametrize("gateways", [4, 5, LARGE_FLEET])
@@ -107,18 +107,18 @@
 def test_the_last_that_reach_the_log_tell_the_others_of_departures(drain_s, gateways):
     """Guards against a fleet in which nobody asks the one that still reads the log."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
-        order = reading_order(fleet.gateways)
+        order = reader_order(fleet.gateways)
         fleet.kill_gateway(order[0])
         del fleet.gateways[order[0]]
-        turn_away(fleet, "busy", *order[1:3])
+        reject_calls(fleet, "busy", *order[1:3])
         for instance in APPS:
-            await asyncio.sleep(CONTACT_S)
+            await asyncio.sleep(RECOVERY_S)
             remove(fleet, instance)
             await check_dropped(fleet, instance, drain_s)
 
-    run_fleet(story, gateways=gateways, drain_s=drain_s)
+    run_fleet(scenario, gateways=gateways, drain_s=drain_s)
 
 
 @pytest.mark.parametrize("frozen", [1, 2, 3, 4])
@@ -132,18 +132,18 @@
             await asyncio.Event().wait()
         return await answer(ask, tail, *rest)
 
-    monkeypatch.setattr(tell_records, "answer", keep_silent)
+    monkeypatch.setattr(serve_records, "answer", keep_silent)
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
-        for name in reading_order(fleet.gateways)[:frozen]:
+        for name in reader_order(fleet.gateways)[:frozen]:
             silent.extend(fleet.gateways.pop(name).gateway.tails.values())
         # Questions that were under way are still answered.
         await asyncio.sleep(0.55)
         remove(fleet, "app-0")
         await check_dropped(fleet, "app-0", drain_s)
 
-    run_fleet(story, gateways=5, drain_s=drain_s)
+    run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
 @pytest.mark.parametrize("away_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
@@ -151,124 +151,124 @@
 def test_a_departure_after_an_outage_is_believed(drain_s, away_s):
     """Guards against calls that hung with the log and fail seconds after its return."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
         await asyncio.sleep(away_s)
-        mend(fleet)
-        await asyncio.sleep(CONTACT_S + 0.05)
+        restore_log(fleet)
+        await asyncio.sleep(RECOVERY_S + 0.05)
         remove(fleet, "app-0")
         await check_dropped(fleet, "app-0", drain_s)
 
-    run_fleet(story, gateways=5, drain_s=drain_s)
+    run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
 @pytest.mark.parametrize("away_s", [2.0, 4.9, 5.0, 5.1, 5.2, 5.3, 5.4, 5.5])
-@pytest.mark.parametrize("gateways", [*FLEETS, LARGE_FLEET])
+@pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
 def test_all_gateways_have_the_log_back_before_their_bounds_hold_again(
     gateways, away_s
 ):
     """Guards against gateways that learn of a departure seconds after the others."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
         await asyncio.sleep(away_s)
-        mend(fleet)
+        restore_log(fleet)
         returned_s = fleet.boot_time_s()
-        await asyncio.sleep(CONTACT_S)
-        beliefs = [running.gateway.beliefs for running in fleet.gateways.values()]
-        assert min(b.endpoints_confirmed_boot_s for b in beliefs) >= returned_s
-        assert min(b.confirmed_boot_s for b in beliefs) >= returned_s
+        await asyncio.sleep(RECOVERY_S)
+        view = [running.gateway.view for running in fleet.gateways.values()]
+        assert min(b.endpoints_confirmed_boot_s for b in view) >= returned_s
+        assert min(b.confirmed_boot_s for b in view) >= returned_s
 
-    run_fleet(story, gateways=gateways)
+    run_fleet(scenario, gateways=gateways)
 
 
-@pytest.mark.parametrize("gateways", FLEETS)
+@pytest.mark.parametrize("gateways", FLEET_SIZES)
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("how", ["busy", "reset", "silent"])
 def test_endpoints_that_lapse_and_live_go_on_being_used(how, heartbeat_s, gateways):
     """Guards against a service without endpoints after each outage of the log."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = how
-        lapse_s = LAPSE_HEARTBEATS * heartbeat_s
+        lapse_s = EXPIRY_HEARTBEATS * heartbeat_s
         await asyncio.sleep(lapse_s)
         for instance in APPS:
             remove(fleet, instance)
         await asyncio.sleep(0.5)
-        mend(fleet)
-        back_s = min(BACK_S, heartbeat_s)
+        restore_log(fleet)
+        back_s = min(REREGISTRATION_S, heartbeat_s)
         await check_used(fleet, APPS, back_s)
         for instance in APPS:
             fleet.register(fleet.endpoints[instance].report)
-        await check_used(fleet, APPS, 2 * BACK_S)
+        await check_used(fleet, APPS, 2 * REREGISTRATION_S)
 
-    run_fleet(story, gateways=gateways, heartbeat_s=heartbeat_s)
+    run_fleet(scenario, gateways=gateways, heartbeat_s=heartbeat_s)
 
 
-@pytest.mark.parametrize("gateways", [*FLEETS, LARGE_FLEET])
+@pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
 def test_entries_that_lapse_after_the_logs_return_go_on_being_used(gateways):
     """Guards against a lapse that the log notices late, taken for a departure."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "busy"
         await asyncio.sleep(3.0)
-        mend(fleet)
+        restore_log(fleet)
         await asyncio.sleep(0.7)
         remove(fleet, "app-0")
         await check_used(fleet, ("app-0",), 0.8)
         fleet.register(fleet.endpoints["app-0"].report)
-        await check_used(fleet, ("app-0",), BACK_S)
+        await check_used(fleet, ("app-0",), REREGISTRATION_S)
 
-    run_fleet(story, gateways=gateways)
+    run_fleet(scenario, gateways=gateways)
 
 
 def test_entries_that_lapsed_outlast_a_second_outage():
     """Guards against endpoints dropped while the log cannot say whether they live."""
 
-    async def story(fleet):
-        await lapse_with_outage(fleet, 3.0, APPS)
+    async def scenario(fleet):
+        await expire_during_outage(fleet, 3.0, APPS)
         await check_used(fleet, APPS, 1.0)
         fleet.store.down = "busy"
         await check_used(fleet, APPS, 3.0)
-        mend(fleet)
+        restore_log(fleet)
         await check_used(fleet, APPS, 1.0)
         for instance in APPS:
             fleet.register(fleet.endpoints[instance].report)
-        await check_used(fleet, APPS, BACK_S)
+        await check_used(fleet, APPS, REREGISTRATION_S)
 
-    run_fleet(story, gateways=5)
+    run_fleet(scenario, gateways=5)
 
 
 def test_an_endpoint_that_does_not_come_back_is_dropped():
     """Guards against callers sent to a dead endpoint long after an outage."""
 
-    async def story(fleet):
-        await lapse_with_outage(fleet, 3.0, ["app-0"])
-        await asyncio.sleep(BACK_S + 2.0)
-        assert believers(fleet, "app-0") == []
+    async def scenario(fleet):
+        await expire_during_outage(fleet, 3.0, ["app-0"])
+        await asyncio.sleep(REREGISTRATION_S + 2.0)
+        assert gateways_with(fleet, "app-0") == []
 
-    run_fleet(story, gateways=5)
+    run_fleet(scenario, gateways=5)
 
 
-@pytest.mark.parametrize("gateways", [*FLEETS, LARGE_FLEET])
+@pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
 def test_an_endpoint_that_was_heard_after_an_outage_has_left_when_its_entry_goes(
     gateways,
 ):
     """Guards against requests to an endpoint that came back and left."""
 
-    async def story(fleet):
-        await lapse_with_outage(fleet, 4.0, APPS)
+    async def scenario(fleet):
+        await expire_during_outage(fleet, 4.0, APPS)
         await asyncio.sleep(1.0)
         fleet.register(fleet.endpoints["app-0"].report)
         await asyncio.sleep(0.4)
         remove(fleet, "app-0")
         await asyncio.sleep(0.6)
-        assert believers(fleet, "app-0") == []
+        assert gateways_with(fleet, "app-0") == []
         # Of this one nothing was heard since: it may have lapsed with the outage.
-        assert len(believers(fleet, "app-1")) == gateways
+        assert len(gateways_with(fleet, "app-1")) == gateways
 
-    run_fleet(story, gateways=gateways)
+    run_fleet(scenario, gateways=gateways)
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -4,8 +4,8 @@
 import json
 from random import Random
 
-from acaciacove.gateway import outcome_duty
-from acaciacove.gateway.operator_decision import RolloutWish
+from acaciacove.gateway import outcome_recorder
+from acaciacove.gateway.operator_decision import RolloutSpec
 from acaciacove.gateway.rollout.rollout_state import RolloutState
 from acaciacove.platform.names import ROLLOUT_KEY
 from acaciacove.standins.endpoint_behaviour import EndpointBehaviour
@@ -28,7 +28,9 @@
         )
 
 
-async def press(fleet, seconds_s, per_s=24, sessions=400, seed=3, path="/draft/1"):
+async def send_drafts(
+    fleet, seconds_s, per_s=24, sessions=400, seed=3, path="/draft/1"
+):
     """Ask for drafts at a steady pace, half of them at each gateway."""
     random = Random(seed)
     asked = []
@@ -45,10 +47,10 @@
 
 
 def roll_out(fleet):
-    fleet.roll_out(RolloutWish("model", "v2", DURATION_S))
+    fleet.roll_out(RolloutSpec("model", "v2", DURATION_S))
 
 
-def new_runs(fleet):
+def new_version_runs(fleet):
     return [a for a in fleet.arrivals if a.instance.startswith("new-")]
 
 
@@ -61,16 +63,16 @@
     return json.loads(recorded)["state"] if recorded else ""
 
 
-def test_a_good_version_takes_over_in_time():
+def test_good_version_takes_over_in_time():
     async def story(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
-        answers = await press(fleet, DURATION_S)
+        answers = await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "completed"
         assert [a.status for a in answers if a.status != 200] == []
         fleet.arrivals.clear()
-        await press(fleet, 1.0, seed=4)
-        assert len(model_runs(fleet)) == len(new_runs(fleet)) > 0
+        await send_drafts(fleet, 1.0, seed=4)
+        assert len(model_runs(fleet)) == len(new_version_runs(fleet)) > 0
 
     run_fleet(story, gateways=2)
 
@@ -79,16 +81,16 @@
     async def story(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
-        await press(fleet, DURATION_S * 0.5)
+        await send_drafts(fleet, DURATION_S * 0.5)
         assert state(fleet) == "in_progress"
-        assert new_runs(fleet) == []
-        await press(fleet, DURATION_S * 0.1, seed=4)
-        assert 0 < len(new_runs(fleet)) < 0.15 * len(model_runs(fleet))
+        assert new_version_runs(fleet) == []
+        await send_drafts(fleet, DURATION_S * 0.1, seed=4)
+        assert 0 < len(new_version_runs(fleet)) < 0.15 * len(model_runs(fleet))
 
     run_fleet(story, gateways=2)
 
 
-def test_a_version_that_fails_is_taken_back_everywhere():
+def test_failing_version_is_rolled_back_everywhere():
     """A new version fails one request in three. Each gateway alone sees few of its
     answers; together they see enough within seconds.
     """
@@ -96,46 +98,46 @@
     async def story(fleet):
         await add_new_version(fleet, failing_every=3)
         roll_out(fleet)
-        await press(fleet, DURATION_S)
+        await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "rolled_back"
-        assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
-        last_s = max(a.at_s for a in new_runs(fleet))
+        assert len(new_version_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
+        last_s = max(a.at_s for a in new_version_runs(fleet))
         fleet.arrivals.clear()
-        await press(fleet, 2.0, seed=4)
-        assert new_runs(fleet) == []
+        await send_drafts(fleet, 2.0, seed=4)
+        assert new_version_runs(fleet) == []
         assert last_s < DURATION_S
 
     run_fleet(story, gateways=2)
 
 
-def test_a_version_that_turns_bad_late_is_taken_back():
+def test_version_that_degrades_late_is_rolled_back():
     async def story(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
-        await press(fleet, 7.0)
+        await send_drafts(fleet, 7.0)
         for server in fleet.endpoints.values():
             if server.report.version == "v2":
                 server.behaviour.failing_every = 2
-        await press(fleet, DURATION_S - 7.0, seed=4)
+        await send_drafts(fleet, DURATION_S - 7.0, seed=4)
         assert state(fleet) == "rolled_back"
-        assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
+        assert len(new_version_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
     run_fleet(story, gateways=2)
 
 
-def test_a_version_that_is_slow_is_taken_back():
+def test_slow_version_is_rolled_back():
     async def story(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.05
         await add_new_version(fleet, work_s=0.4)
         roll_out(fleet)
-        await press(fleet, DURATION_S)
+        await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "rolled_back"
 
     run_fleet(story, gateways=2)
 
 
-def test_one_bad_machine_is_not_a_bad_version():
+def test_one_bad_endpoint_does_not_roll_back_the_version():
     """One endpoint of the new version fails half of its requests, the others none.
     Taken for the version's fault, a sound version would be rolled back.
     """
@@ -144,20 +146,20 @@
         await add_new_version(fleet, count=4)
         fleet.endpoints["new-0"].behaviour.failing_every = 2
         roll_out(fleet)
-        await press(fleet, DURATION_S)
+        await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "completed"
 
     run_fleet(story, gateways=2)
 
 
-def test_a_bad_version_is_found_also_when_gateways_do_not_hear_each_other():
+def test_bad_version_is_rolled_back_while_gateways_are_partitioned():
     async def story(fleet):
         fleet.network.cut.update(GATEWAYS)
         await add_new_version(fleet, failing_every=2)
         roll_out(fleet)
-        await press(fleet, DURATION_S)
+        await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "rolled_back"
-        assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
+        assert len(new_version_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
     run_fleet(story, gateways=2)
 
@@ -172,7 +174,7 @@
         roll_out(fleet)
         await asyncio.sleep(1.5)
         fleet.store.lost_replies = 1
-        await press(fleet, 12.0)
+        await send_drafts(fleet, 12.0)
         values = [v for _, v in fleet.store.records["keyed.status"]]
         assert sum(b"rolled_back" in v for v in values) == 1
         assert not any(b"completed" in v for v in values)
@@ -187,12 +189,12 @@
     """
 
     async def story(fleet):
-        await press(fleet, 3.0, sessions=20)
+        await send_drafts(fleet, 3.0, sessions=20)
         fleet.arrivals.clear()
         await add_new_version(fleet)
         roll_out(fleet)
-        await press(fleet, DURATION_S * 0.5, sessions=400, seed=3)
-        assert new_runs(fleet) == []
+        await send_drafts(fleet, DURATION_S * 0.5, sessions=400, seed=3)
+        assert new_version_runs(fleet) == []
 
     run_fleet(story, gateways=2)
 
@@ -206,7 +208,7 @@
     async def story(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
-        await press(fleet, DURATION_S * 0.9, sessions=60)
+        await send_drafts(fleet, DURATION_S * 0.9, sessions=60)
         on_new, back = {}, 0
         for arrival in model_runs(fleet):
             session = arrival.fields["acaciacove-prompt-prefix"].split(",")[1]
@@ -218,7 +220,7 @@
     run_fleet(story, gateways=2)
 
 
-def test_a_gateway_that_starts_after_the_end_sends_to_the_new_version():
+def test_gateway_started_after_completion_uses_the_new_version():
     """A process restarts after a roll-out is complete: it reads the order, and the
     old endpoints are gone. Without the recorded outcome it would refuse everything
     although the new version stands ready.
@@ -227,7 +229,7 @@
     async def story(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
-        await press(fleet, DURATION_S)
+        await send_drafts(fleet, DURATION_S)
         assert state(fleet) == "completed"
         for number in range(2):
             fleet.store.append("keyed.servers", f"model-{number}", b"")
@@ -241,11 +243,11 @@
     run_fleet(story, gateways=2)
 
 
-def test_a_restart_does_not_forget_a_bad_version():
+def test_gateway_started_after_rollback_avoids_the_bad_version():
     async def story(fleet):
         await add_new_version(fleet, failing_every=2)
         roll_out(fleet)
-        await press(fleet, 12.0)
+        await send_drafts(fleet, 12.0)
         assert state(fleet) == "rolled_back"
         fleet.arrivals.clear()
         await fleet.add_gateway(gateway_settings("late", "10.0.1.9", "b"))
@@ -257,14 +259,14 @@
                 host="10.0.1.9",
                 fields=model_fields(f"z{number}"),
             )
-        assert new_runs(fleet) == []
+        assert new_version_runs(fleet) == []
 
     run_fleet(story, gateways=2)
 
 
-def test_an_outcome_that_one_gateway_has_read_is_known_to_all_soon(monkeypatch):
+def test_outcome_read_by_one_gateway_soon_reaches_all(monkeypatch):
     """Guards against refusals by a gateway that waits for a version that is stopped."""
-    monkeypatch.setattr(outcome_duty, "READ_EVERY_S", 1e6)
+    monkeypatch.setattr(outcome_recorder, "READ_EVERY_S", 1e6)
 
     async def story(fleet):
         await add_new_version(fleet)
@@ -274,10 +276,10 @@
         value = fleet.outcome("model").replace("in_progress", "completed")
         fleet.store.append(OUTCOMES, ROLLOUT_KEY + "model", value.encode())
         first, second = (running.gateway for running in fleet.gateways.values())
-        first.outcomes_told = first.outcomes_offset + 1
+        first.peer_outcomes_offset = first.outcomes_offset + 1
         await asyncio.sleep(2.0)
         for gateway in (first, second):
-            assert gateway.beliefs.outcomes["model"].state is RolloutState.COMPLETED
+            assert gateway.view.outcomes["model"].state is RolloutState.COMPLETED
         # News of it ends again, and so do calls to the log.
         calls = fleet.store.reads
         await asyncio.sleep(3.0)
--- a/tests/test_gateway_beliefs.py
+++ b/tests/test_gateway_routing_view.py
@@ -20,7 +20,7 @@
 
 
 def test_a_new_catalogue_is_in_force_within_a_second():
-    async def story(fleet):
+    async def scenario(fleet):
         base = catalogue()
         kept = tuple(r for r in base.routes if r.name != "look")
         fleet.publish(catalogue(version=2, routes=kept))
@@ -28,11 +28,11 @@
         assert (await call("/look/1", "r-1", method="GET")).status == 404
         assert (await call("/book/1", "r-2")).status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_zone_that_is_taken_out_gets_nothing():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.take_zone_out("a")
         await asyncio.sleep(0.3)
         for number in range(6):
@@ -45,18 +45,18 @@
             await call("/look/1", f"s-{number}", method="GET")
         assert "app-0" in {a.instance for a in fleet.arrivals}
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_leaving_endpoint_gets_nothing_after_its_word():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.announce_leaving("app-0")
         await asyncio.sleep(0.5)
         for number in range(6):
             await call("/look/1", f"r-{number}", method="GET")
         assert {a.instance for a in fleet.arrivals} == {"app-1"}
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_records_of_other_writers_name_no_endpoint_and_hide_none():
@@ -65,7 +65,7 @@
     anything there.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         bad = (
             b"\xff\xfe",
             b"[]",
@@ -88,11 +88,11 @@
         assert "app-9" in {a.instance for a in fleet.arrivals}
         assert len(lines(fleet, "record_unreadable")) == len(bad)
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_history_that_was_forgotten_is_read_anew():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.publish(catalogue(version=2, keys=("second",)))
         fleet.store.forget_history(OPERATOR)
         fleet.store.append(ENDPOINTS, "app-0", b"")
@@ -103,7 +103,7 @@
             await call("/look/1", f"r-{number}", method="GET", key="second")
         assert {a.instance for a in fleet.arrivals} == {"app-1"}
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_keys_are_refused_once_a_revocation_could_have_been_missed():
@@ -112,7 +112,7 @@
     knew that it knew everything, it refuses, and says when to come back.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
         away_s = asyncio.get_running_loop().time()
@@ -131,7 +131,7 @@
         await asyncio.sleep(3.0)
         assert (await call("/look/1", "r-z", method="GET")).status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_wake_after_a_pause_honours_no_key_before_a_look_at_the_log():
@@ -140,7 +140,7 @@
     look fresh; the clock that went on tells that they are not.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(1.0)
         fleet.suspended_s = 6.0
         answer = await call("/book/1", "r-1")
@@ -148,17 +148,17 @@
         await asyncio.sleep(3.5)
         assert (await call("/book/1", "r-2")).status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_taken_key_is_refused():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.publish(catalogue(version=2, keys=("other",)))
         await asyncio.sleep(0.3)
         assert (await call("/look/1", "r-1", method="GET")).status == 401
         assert (await call("/look/1", "r-2", method="GET", key="other")).status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_in_doubt_nothing_is_said_not_to_exist():
@@ -166,7 +166,7 @@
     401, its holder would not come back; 503 with a time sends it elsewhere.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
         await asyncio.sleep(2.5)
         unknown_key = await call("/look/1", "r-1", method="GET", key="new")
@@ -174,7 +174,7 @@
         assert (unknown_key.status, unknown_path.status) == (503, 503)
         assert "retry-after" in unknown_key.headers
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 @pytest.mark.parametrize("begin_s", [1.4, 1.6, 2.0, 2.4, 2.8])
@@ -182,7 +182,7 @@
 def test_a_new_key_is_never_refused_once_it_must_be_known(propagation_s, begin_s):
     """Guards against doubt that begins later than decisions must be in force."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(begin_s)
         fleet.store.down = "silent"
         fleet.publish(catalogue(version=2, keys=(KEY, "new")))
@@ -190,7 +190,7 @@
         answer = await call("/look/1", "r-1", method="GET", key="new")
         assert answer.status == 503
 
-    run_fleet(story, propagation_s=propagation_s)
+    run_fleet(scenario, propagation_s=propagation_s)
 
 
 @pytest.mark.parametrize("gateways", [1, 5])
@@ -199,7 +199,7 @@
 def test_a_calm_log_leaves_no_doubt(propagation_s, revocation_s, gateways):
     """Guards against looks at the log that are rarer than the doubt that they end."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(1.0)
         for number in range(100):
             known = await call("/look/1", f"r-{number}", method="GET")
@@ -208,11 +208,11 @@
             await asyncio.sleep(0.05)
 
     bounds = {"propagation_s": propagation_s, "revocation_s": revocation_s}
-    run_fleet(story, gateways=gateways, **bounds)
+    run_fleet(scenario, gateways=gateways, **bounds)
 
 
 def test_a_start_without_the_log_says_that_it_is_not_ready():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "busy"
         from acaciacove.standins.gateway_fleet import gateway_settings
 
@@ -227,7 +227,7 @@
         answer = await call("/look/1", "r-2", host="10.0.1.9", method="GET")
         assert answer.status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_entries_that_lapse_with_the_log_are_no_departures():
@@ -236,7 +236,7 @@
     between would be refused although all endpoints stand ready.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
         # Of the three heartbeats that are missing the first may be due at once.
         await asyncio.sleep(2.6)
@@ -254,40 +254,40 @@
             await call("/look/1", f"s-{number}", method="GET")
         assert {a.instance for a in fleet.arrivals} == {"app-0"}
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_an_endpoint_that_left_without_a_word_is_dropped_at_once():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.append(ENDPOINTS, "app-0", b"")
         await asyncio.sleep(0.5)
-        assert "app-0" not in fleet.gateways["gateway-0"].gateway.beliefs.endpoints
+        assert "app-0" not in fleet.gateways["gateway-0"].gateway.view.endpoints
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_an_older_record_never_replaces_a_newer_one():
     from acaciacove.gateway.log_record import LogRecord
-    from acaciacove.platform.written_records import write_catalogue
+    from acaciacove.platform.record_writer import write_catalogue
 
-    async def story(fleet):
+    async def scenario(fleet):
         running = fleet.gateways["gateway-0"]
         newer = write_catalogue(catalogue(version=9))
         older = write_catalogue(catalogue(version=8))
         running.operator.apply(LogRecord("config", newer, 50))
         running.operator.apply(LogRecord("config", older, 49))
-        assert running.gateway.beliefs.catalogue.version == 9
+        assert running.gateway.view.catalogue.version == 9
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_crashed_endpoint_costs_no_lookup():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.crash("app-0")
         answers = [await call("/look/1", f"r-{n}", method="GET") for n in range(8)]
         assert [a.status for a in answers] == [200] * 8
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_another_life_under_the_same_name_is_met_cold():
@@ -295,9 +295,9 @@
     it is warm; with its old standing it would be flooded and fall over again.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         server = fleet.endpoints["model-0"]
-        reborn = evolve(server.report, generation="2", cold_remaining_s=3.0)
+        reborn = evolve(server.report, incarnation="2", cold_remaining_s=3.0)
         fleet.register(reborn)
         await asyncio.sleep(0.5)
         fleet.store.append(ENDPOINTS, "model-1", b"")
@@ -310,7 +310,7 @@
         assert 5 <= len([t for t in began if t < began[0] + 1.0]) <= 20
         assert {a.status for a in answers} == {200, 503}
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_connection_that_goes_silent_is_left_for_a_fresh_one():
@@ -319,7 +319,7 @@
     what it last read.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "silent"
         await asyncio.sleep(1.0)
         fleet.store.down = None
@@ -327,24 +327,24 @@
         await asyncio.sleep(4.0)
         assert (await call("/look/1", "r-1", method="GET", key="second")).status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_callers_on_kept_connections_meet_the_new_catalogue():
-    async def story(fleet):
+    async def scenario(fleet):
         caller = await Caller().open()
-        assert (await caller.ask("/look/1", "r-1", method="GET")).status == 200
+        assert (await caller.request("/look/1", "r-1", method="GET")).status == 200
         fleet.publish(catalogue(version=2, keys=("second",)))
         await asyncio.sleep(0.3)
-        assert (await caller.ask("/look/1", "r-2", method="GET")).status == 401
+        assert (await caller.request("/look/1", "r-2", method="GET")).status == 401
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_log_that_is_away_for_an_hour_ends_no_gateway():
     """Guards against a pause between tries that grows beyond what a number holds."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
         await asyncio.sleep(3600.0)
         fleet.store.down = None
@@ -352,4 +352,4 @@
         answer = await call("/look/1", "r-1", method="GET")
         assert answer.status == 200
 
-    run_fleet(story)
+    run_fleet(scenario)
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -7,11 +7,11 @@
 from hypothesis import strategies as st
 
 from acaciacove.gateway.choice.share_of import share_of
-from acaciacove.gateway.choice.stated_limit import LIFE_S, StatedLimit
+from acaciacove.gateway.choice.stated_limit import LIMIT_EXPIRY_S, StatedLimit
 from acaciacove.messages.limit_news import LimitNews
 from acaciacove.messages.limit_seen import LimitSeen
 from acaciacove.platform import names
-from acaciacove.platform.header_fields import read_answer
+from acaciacove.platform.header_fields import read_response
 from acaciacove.wire.codec import decode, encode
 from tests.gateway_world import call, lines, run_fleet
 
@@ -22,10 +22,10 @@
 LIMIT_PER_S = 1.5
 
 
-def test_a_stated_limit_and_its_end_are_logged():
+def test_stated_limit_and_its_removal_are_logged():
     """Guards against nobody being able to tell what an endpoint has asked for."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
         behaviour.limit_per_s = 2.5
         await call("/look/1", "r-1", method="GET")
@@ -35,26 +35,26 @@
         assert stated["endpoint"] == "app-0" and stated["per_s"] == 2.5
         assert lifted["lifted"] is True
 
-    run_fleet(story, apps=1, models=0)
+    run_fleet(scenario, apps=1, models=0)
 
 
-def test_an_answer_that_was_under_way_does_not_lift_a_limit():
+def test_response_to_an_earlier_request_does_not_lift_a_limit():
     """Guards against answers that overtake each other lifting a limit by turns."""
     limit = StatedLimit()
-    assert limit.hear(2.0, asked_s=1.0, now_s=1.5)
-    assert not limit.hear(None, asked_s=1.2, now_s=1.6)
+    assert limit.apply_response(2.0, sent_s=1.0, now_s=1.5)
+    assert not limit.apply_response(None, sent_s=1.2, now_s=1.6)
     assert limit.per_s == 2.0
-    assert limit.hear(None, asked_s=1.7, now_s=1.8)
+    assert limit.apply_response(None, sent_s=1.7, now_s=1.8)
     assert limit.per_s is None
 
 
-def most_in_a_window(moments, window_s=WINDOW_S):
+def max_in_window(times_s, window_s=WINDOW_S):
     return max(
-        (sum(a <= b < a + window_s for b in moments) for a in moments), default=0
+        (sum(a <= b < a + window_s for b in times_s) for a in times_s), default=0
     )
 
 
-async def ask_for(fleet, seconds, per_s, gateways, number=0):
+async def send_lookups(fleet, seconds, per_s, gateways, number=0):
     """Send lookups to all gateways by turns; returns the answers."""
     asked = []
     for _ in range(int(seconds * per_s)):
@@ -67,22 +67,22 @@
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
-def test_all_gateways_together_keep_to_a_stated_limit(gateways):
+def test_all_gateways_together_stay_within_a_stated_limit(gateways):
     """Guards against an endpoint in need being sent as much as any other."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
-        await ask_for(fleet, CONTACT_S, 60, gateways)
+        await send_lookups(fleet, CONTACT_S, 60, gateways)
         now_s = asyncio.get_running_loop().time()
-        answers = await ask_for(fleet, 12.0, 60, gateways, number=1000)
+        answers = await send_lookups(fleet, 12.0, 60, gateways, number=1000)
         arrivals = [
             a.at_s for a in fleet.arrivals if a.instance == "app-0" and a.at_s > now_s
         ]
         allowed = OVERAGE * LIMIT_PER_S * WINDOW_S + EXTRA
-        assert most_in_a_window(arrivals) <= allowed
+        assert max_in_window(arrivals) <= allowed
         assert {answer.status for answer in answers} == {200}
 
-    run_fleet(story, gateways=gateways, apps=4, models=0)
+    run_fleet(scenario, gateways=gateways, apps=4, models=0)
 
 
 def arrivals_at(fleet, instances, since_s):
@@ -91,13 +91,13 @@
     ]
 
 
-def test_a_request_that_no_limit_leaves_room_for_is_refused_at_once():
+def test_request_beyond_all_limits_is_refused_immediately():
     """Guards against callers waiting in vain, or coming back too early or too late."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.limit_per_s = LIMIT_PER_S
-        await ask_for(fleet, CONTACT_S, 20, 1)
+        await send_lookups(fleet, CONTACT_S, 20, 1)
         sent_s = asyncio.get_running_loop().time()
         refused = await call("/look/1", "r-1")
         assert refused.status == 503 and refused.at_s - sent_s < 0.05
@@ -105,81 +105,81 @@
         await asyncio.sleep(float(refused.headers["retry-after"]) + 0.01)
         assert (await call("/look/1", "r-2")).status == 200
 
-    run_fleet(story, apps=2, models=0)
+    run_fleet(scenario, apps=2, models=0)
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
-def test_endpoints_with_limits_still_get_most_of_what_they_take(gateways):
+def test_limited_endpoints_stay_well_utilised(gateways):
     """Guards against gateways that leave limited endpoints idle beside refusals."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         names = list(fleet.endpoints)
         for server in fleet.endpoints.values():
             server.behaviour.limit_per_s = LIMIT_PER_S
-        await ask_for(fleet, CONTACT_S, 60, gateways)
+        await send_lookups(fleet, CONTACT_S, 60, gateways)
         now_s = asyncio.get_running_loop().time()
-        await ask_for(fleet, 12.0, 60, gateways, number=1000)
+        await send_lookups(fleet, 12.0, 60, gateways, number=1000)
         served = len(arrivals_at(fleet, names, now_s))
         assert served >= 0.7 * 12.0 * LIMIT_PER_S * len(names)
 
-    run_fleet(story, gateways=gateways, apps=6, models=0)
+    run_fleet(scenario, gateways=gateways, apps=6, models=0)
 
 
 @pytest.mark.parametrize("gateways", [5, 28])
-def test_a_lifted_limit_is_lifted_at_gateways_without_a_share_too(gateways):
+def test_lifted_limit_reaches_gateways_without_a_share(gateways):
     """Guards against gateways that never ask an endpoint again."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
         behaviour.limit_per_s = 0.25
-        await ask_for(fleet, CONTACT_S + 2.0, 60, gateways)
+        await send_lookups(fleet, CONTACT_S + 2.0, 60, gateways)
         behaviour.limit_per_s = None
-        await ask_for(fleet, 10.0, 60, gateways, number=1000)
+        await send_lookups(fleet, 10.0, 60, gateways, number=1000)
         now_s = asyncio.get_running_loop().time()
-        await ask_for(fleet, 5.0, 60, gateways, number=2000)
+        await send_lookups(fleet, 5.0, 60, gateways, number=2000)
         assert len(arrivals_at(fleet, ["app-0"], now_s)) > 0.1 * 5.0 * 60
 
-    run_fleet(story, gateways=gateways, apps=4, models=0)
+    run_fleet(scenario, gateways=gateways, apps=4, models=0)
 
 
-def test_a_gateway_that_starts_anew_keeps_to_limits_that_others_know():
+def test_restarted_gateway_observes_limits_known_to_peers():
     """Guards against a start sending a burst to an endpoint in need."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
-        await ask_for(fleet, CONTACT_S, 60, 4)
+        await send_lookups(fleet, CONTACT_S, 60, 4)
         fleet.kill_gateway("gateway-0")
         await asyncio.sleep(0.3)
         settings = fleet.gateways["gateway-0"].settings
         await fleet.add_gateway(settings, fleet.network.talk)
         await asyncio.sleep(0.5)
         now_s = asyncio.get_running_loop().time()
-        await ask_for(fleet, 8.0, 60, 4, number=1000)
+        await send_lookups(fleet, 8.0, 60, 4, number=1000)
         arrivals = arrivals_at(fleet, ["app-0"], now_s)
-        assert most_in_a_window(arrivals) <= LIMIT_PER_S * WINDOW_S + 1
+        assert max_in_window(arrivals) <= LIMIT_PER_S * WINDOW_S + 1
 
-    run_fleet(story, gateways=4, apps=4, models=0)
+    run_fleet(scenario, gateways=4, apps=4, models=0)
 
 
 @pytest.mark.parametrize("upset", ["log", "cut"])
-def test_a_limit_holds_while_the_log_is_away_or_gateways_are_cut_off(upset):
+def test_limit_holds_during_a_log_outage_or_partition(upset):
     """Guards against a bound that needs the log, or word from every other gateway."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
-        await ask_for(fleet, 1.0, 60, 4)
+        await send_lookups(fleet, 1.0, 60, 4)
         if upset == "log":
             fleet.store.down = "reset"
         else:
             fleet.network.cut.add("10.0.1.1")
-        await ask_for(fleet, CONTACT_S, 60, 4, number=500)
+        await send_lookups(fleet, CONTACT_S, 60, 4, number=500)
         now_s = asyncio.get_running_loop().time()
-        await ask_for(fleet, 10.0, 60, 4, number=1000)
+        await send_lookups(fleet, 10.0, 60, 4, number=1000)
         arrivals = arrivals_at(fleet, ["app-0"], now_s)
         allowed = OVERAGE * LIMIT_PER_S * WINDOW_S + EXTRA
-        assert most_in_a_window(arrivals) <= allowed
+        assert max_in_window(arrivals) <= allowed
 
-    run_fleet(story, gateways=4, apps=4, models=0, revocation_strict=False)
+    run_fleet(scenario, gateways=4, apps=4, models=0, revocation_strict=False)
 
 
 @given(
@@ -188,7 +188,7 @@
     st.integers(0, 2**64 - 1),
 )
 @settings(max_examples=30, derandomize=True)
-def test_the_shares_of_all_gateways_add_up_to_the_whole(total, gateways, subject):
+def test_shares_sum_to_the_total(total, gateways, subject):
     names = frozenset(f"gateway-{number}" for number in range(gateways))
     shares = [share_of(total, subject, name, names - {name}) for name in names]
     assert sum(shares) == total
@@ -197,30 +197,30 @@
 
 @given(st.floats(0, 40), st.lists(st.floats(0, 0.5), max_size=200))
 @settings(max_examples=100, derandomize=True)
-def test_no_window_holds_more_than_a_limit_allows(per_s, pauses):
+def test_no_window_exceeds_the_limit(per_s, pauses):
     limit, now_s, sent = StatedLimit(), 100.0, []
-    limit.hear(per_s, now_s, now_s)
+    limit.apply_response(per_s, now_s, now_s)
     for pause_s in pauses:
         now_s += pause_s
         if limit.is_set(now_s) and limit.allows(now_s, limit.per_window):
             limit.count(now_s)
             sent.append(now_s)
-    assert most_in_a_window(sent) <= per_s * WINDOW_S + 1
+    assert max_in_window(sent) <= per_s * WINDOW_S + 1
 
 
-def test_a_limit_that_nobody_confirms_is_forgotten():
+def test_unconfirmed_limit_expires():
     """Guards against an endpoint left out for good because its last word was lost."""
     limit = StatedLimit()
-    limit.hear(0.0, 0.0, 0.0)
-    assert limit.is_set(LIFE_S)
-    assert not limit.is_set(LIFE_S + 1.0)
+    limit.apply_response(0.0, 0.0, 0.0)
+    assert limit.is_set(LIMIT_EXPIRY_S)
+    assert not limit.is_set(LIMIT_EXPIRY_S + 1.0)
 
 
-def test_the_newest_word_on_a_limit_wins():
+def test_newest_limit_update_wins():
     limit = StatedLimit()
-    assert limit.hear_told(2.0, 10.0)
-    assert not limit.hear_told(None, 9.0)
-    assert limit.hear_told(None, 11.0)
+    assert limit.apply_gossip(2.0, 10.0)
+    assert not limit.apply_gossip(None, 9.0)
+    assert limit.apply_gossip(None, 11.0)
     assert limit.per_s is None
 
 
@@ -239,11 +239,11 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_news_of_limits_is_read_as_it_was_written(news):
+def test_limit_gossip_round_trips(news):
     assert decode(encode(news)) == news
 
 
 @pytest.mark.parametrize("text", ["-1", "nan", "inf", "many", ""])
-def test_a_limit_that_cannot_be_read_is_none(text):
-    head = read_answer(200, b"", [(names.RATE_LIMIT, text.encode())])
+def test_unreadable_limit_is_ignored(text):
+    head = read_response(200, b"", [(names.RATE_LIMIT, text.encode())])
     assert head.rate_limit_per_s is None
--- a/tests/test_platform_engine.py
+++ b/tests/test_platform_engine.py
@@ -58,7 +58,7 @@
 
 
 @pytest.mark.parametrize("stream", [False, True])
-def test_a_whole_answer_ends_with_a_finish_and_its_usage(stream):
+def test_complete_answer_ends_with_finish_and_usage(stream):
     events = events_of(stream)
     assert text_of(events) == WHOLE
     assert isinstance(events[-1], EngineFinish)
@@ -66,7 +66,7 @@
     assert events[-1].finish_reason == "stop"
 
 
-def test_a_resumed_stream_goes_on_after_the_tokens_already_had():
+def test_resumed_stream_continues_after_received_tokens():
     events = events_of(True, resume_from_tokens=4)
     head = "".join(generated_tokens(VERSION, BODY)[:4])
     assert head + text_of(events) == WHOLE
@@ -84,7 +84,7 @@
         ("stalled", Reason.DEADLINE_EXCEEDED),
     ],
 )
-def test_a_broken_answer_ends_with_its_type(stream, fault, reason):
+def test_broken_answer_ends_with_a_typed_refusal(stream, fault, reason):
     # An engine sends someone else's answer, breaks off, falls silent or talks
     # nonsense. Relayed as it is, a swimmer would read a stranger's chat or half a
     # creek report as the whole; each case has to end as a typed failure instead.
@@ -99,7 +99,7 @@
     assert not any(isinstance(event, EngineFinish) for event in events)
 
 
-def test_a_caller_that_leaves_cancels_the_call_in_the_engine():
+def test_closing_a_stream_cancels_the_call_in_the_engine():
     # Without the cancellation the engine would go on writing for nobody.
     async def use(engine, state):
         async def read_two():
@@ -120,7 +120,7 @@
     assert state.counters.finished == 0
 
 
-def test_a_whole_answer_is_cancelled_when_its_reader_is():
+def test_cancelled_reader_cancels_a_complete_answer_call():
     async def use(engine, state):
         async def read():
             return [event async for event in engine.generate(call())]
@@ -137,7 +137,7 @@
     assert with_engine(use, token_s=0.02).in_flight == 0
 
 
-def test_pieces_come_while_the_engine_still_writes():
+def test_chunks_arrive_while_the_engine_generates():
     async def use(engine, state):
         events = engine.generate(call(stream=True))
         while not isinstance(await anext(events), EnginePiece):
@@ -149,7 +149,7 @@
     assert with_engine(use, token_s=0.02) < 9
 
 
-def test_a_cold_engine_that_is_overrun_falls_over():
+def test_overloaded_cold_engine_restarts():
     # A freshly started engine bears little. Given a full load at once it loses all
     # of it and starts anew, and callers see their streams break.
     async def use(engine, state):
@@ -168,7 +168,7 @@
     assert not state.counters.finished
 
 
-def test_a_body_that_is_no_object_is_refused_before_it_is_sent():
+def test_body_that_is_not_an_object_is_refused_before_sending():
     async def use(engine, state):
         events = engine.generate(EngineCall("r", VERSION, b"[1"))
         return [event async for event in events], state.counters.started
@@ -179,7 +179,7 @@
 
 
 @pytest.mark.parametrize("refuses", [True, False])
-def test_an_old_fence_is_refused_by_engines_that_mind_it(refuses):
+def test_stale_fence_is_refused_by_engines_that_check_it(refuses):
     # Two sidecars order one engine, the first one paused past its lease. An engine
     # that ignores fencing numbers obeys it all the same; callers must know.
     async def use(engine, state):
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE"])
-def test_the_library_sends_an_idempotent_method_again_on_a_reused_connection(method):
+def test_library_resends_idempotent_methods_on_a_reused_connection(method):
     # A server takes a booking and drops the connection before it answers. The
     # library resends methods that the HTTP standard calls idempotent: two bookings.
     async def run():
@@ -48,7 +48,7 @@
     assert asyncio.run(run()) == [method, method]
 
 
-def test_the_library_does_not_send_a_post_again():
+def test_library_does_not_resend_post():
     async def run():
         client = HTTPClient()
         async with raw_server(drop_second) as server:
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "PATCH"])
-def test_a_call_that_may_not_be_repeated_is_sent_once(method):
+def test_non_repeatable_call_is_sent_once(method):
     # The service loses every connection after it has read the call. A client that
     # tried again would book twice; the caller has to hear that nothing is known.
     async def drop(request):
@@ -86,13 +86,13 @@
     assert not outcome.not_run
 
 
-def test_a_refused_connection_is_known_not_to_have_run():
+def test_refused_connection_reports_not_run():
     outcome = asyncio.run(service_call(UNUSED_PORT_URL))
     assert outcome.reason is Reason.CONNECTION_LOST
     assert outcome.not_run
 
 
-def test_a_timeout_after_sending_leaves_the_outcome_unknown():
+def test_timeout_after_sending_leaves_the_outcome_unknown():
     # The service has the booking and says nothing until the deadline is over. On a
     # busy machine a short deadline may end before a byte was sent, and "not run" is
     # then true; so the deadline grows until the service has the booking for certain.
@@ -116,7 +116,7 @@
 
 
 @pytest.mark.parametrize("safe", [False, True])
-def test_a_cancelled_request_leaves_no_answer_for_the_next(safe):
+def test_cancelled_request_leaves_no_response_for_the_next(safe):
     # A caller leaves while its request waits on a reused connection. The library
     # keeps that connection, and the next caller is given the answer to the first
     # request. Ours closes it. The library's own behaviour stands here to show why.
@@ -153,7 +153,7 @@
         b"not http at all\r\n\r\n",
     ],
 )
-def test_a_cut_answer_is_never_taken_for_a_whole_one(cut):
+def test_truncated_response_is_never_treated_as_complete(cut):
     # The service dies while it answers. A caller must not be given half a booking
     # confirmation, nor an empty one, as if it were the answer.
     async def answer(request):
@@ -168,7 +168,7 @@
     assert not outcome.not_run
 
 
-def test_a_connection_that_the_server_has_closed_is_not_used_again():
+def test_connection_closed_by_the_server_is_not_reused():
     # Servers close idle connections. A call sent into a closed one is lost, and a
     # POST is not sent again: the caller would see a failure for no reason.
     async def answer_and_close(request):
@@ -198,7 +198,7 @@
             raise ConnectionDisconnected from None
 
 
-def test_a_connection_closed_by_the_deadline_is_told_as_the_deadline():
+def test_connection_closed_by_the_deadline_reports_the_deadline():
     # On a busy machine the client notices that its connection was closed before it
     # notices that it was cancelled. The caller read "connection lost" of a call that
     # had run out of time.
--- a/tests/test_platform_records.py
+++ b/tests/test_platform_records.py
@@ -17,14 +17,19 @@
 from acaciacove.gateway.endpoint_report import EndpointReport
 from acaciacove.gateway.http.forward_hints import ForwardHints
 from acaciacove.gateway.log_record import LogRecord
-from acaciacove.gateway.operator_decision import RolloutWish, ZoneOut
+from acaciacove.gateway.operator_decision import RolloutSpec, ZoneOut
 from acaciacove.gateway.rollout.rollout_state import RolloutState
 from acaciacove.platform.header_fields import (
     forward_headers,
-    read_answer,
     read_hints,
+    read_response,
 )
 from acaciacove.platform.node_file import decode_node_file
+from acaciacove.platform.record_writer import (
+    write_catalogue,
+    write_endpoint,
+    write_rollout,
+)
 from acaciacove.platform.records import (
     read_decision,
     read_endpoint,
@@ -33,11 +38,6 @@
     removed_zone,
     write_outcome,
 )
-from acaciacove.platform.written_records import (
-    write_catalogue,
-    write_endpoint,
-    write_rollout,
-)
 
 NAMES = st.text("abcdefghij0123", min_size=1, max_size=8)
 WHOLE_MS = st.integers(1, 60_000).map(lambda ms: ms / 1000)
@@ -68,7 +68,7 @@
 
 @given(st.lists(routes(), max_size=4), st.dictionaries(NAMES, NAMES, max_size=4))
 @settings(max_examples=60, derandomize=True)
-def test_a_catalogue_is_read_as_it_was_written(listed, keys):
+def test_catalogue_round_trip(listed, keys):
     written = Catalogue(
         revision=7,
         version=3,
@@ -87,13 +87,13 @@
     assert read.organisations == written.organisations
 
 
-def test_a_catalogue_without_organisations_is_open_to_all():
+def test_catalogue_without_organisations_is_open_to_all():
     written = Catalogue(0, 1, (), {}, {}, False, CallerLimits())
     read = read_decision(LogRecord("config", write_catalogue(written), 0))
     assert not read.has_organisations
 
 
-def test_an_unknown_kind_may_run_once_only():
+def test_unknown_route_kind_is_not_repeatable():
     value = (
         b'{"version":1,"services":[],"routes":[{"name":"r","host":"h","pathPrefix":"/",'
         b'"kind":"something new","service":"s"}]}'
@@ -104,25 +104,25 @@
 
 REPORT = EndpointReport(
     instance="i-1",
-    generation="17",
+    incarnation="17",
     service="s",
     host="10.0.0.1",
     port=80,
     availability_zone="z",
     version="v1",
     slots=4,
-    leaving=True,
+    draining=True,
     cold_remaining_s=1.5,
 )
 
 
-def test_a_heartbeat_is_read_as_it_was_written():
+def test_heartbeat_round_trip():
     assert read_endpoint(LogRecord("i-1", write_endpoint(REPORT), 0)) == REPORT
 
 
 @given(st.binary(max_size=200))
 @settings(max_examples=200, derandomize=True)
-def test_bytes_that_are_no_heartbeat_raise_one_kind_of_error(value):
+def test_undecodable_heartbeat_raises_malformed_message(value):
     with pytest.raises(MalformedMessageError):
         read_endpoint(LogRecord("i-1", value, 0))
 
@@ -137,7 +137,7 @@
     ),
 )
 @settings(max_examples=80, derandomize=True)
-def test_fields_of_another_type_are_refused(field, value):
+def test_heartbeat_fields_of_a_wrong_type_are_refused(field, value):
     import orjson
 
     document = orjson.loads(write_endpoint(REPORT))
@@ -148,8 +148,8 @@
         read_endpoint(LogRecord("i-1", orjson.dumps(document), 0))
 
 
-def test_orders_and_zones_are_read():
-    wish = RolloutWish("s", "v2", 12.0)
+def test_rollout_and_zone_records_are_decoded():
+    wish = RolloutSpec("s", "v2", 12.0)
     assert read_decision(LogRecord("rollout/s", write_rollout(wish), 0)) == wish
     assert read_decision(LogRecord("evacuate/ozark", b"{}", 0)) == ZoneOut("ozark")
     assert read_decision(LogRecord("other", b"{}", 0)) is None
@@ -158,13 +158,13 @@
 
 
 @pytest.mark.parametrize("state", RolloutState)
-def test_an_outcome_is_read_as_it_was_written(state):
+def test_outcome_round_trip(state):
     status = RolloutStatus("s", "v2", state, 5)
     key, value = write_outcome(status)
     assert read_outcome(LogRecord(key, value, 5)) == status
 
 
-def test_hints_of_a_request_for_a_model():
+def test_hints_of_a_model_request():
     hints = read_hints(
         (
             (b"acaciacove-attempt-id", b"r-1"),
@@ -187,13 +187,13 @@
     "name", [b"acaciacove-deadline-ms", b"acaciacove-token-usage", b"authorization"]
 )
 @pytest.mark.parametrize("value", [b"", b"x", b"1,x", b"nan", b"\xff", b"-"])
-def test_fields_that_cannot_be_read_count_as_not_given(name, value):
+def test_unreadable_hint_fields_count_as_absent(name, value):
     hints = read_hints(((name, value),))
     assert hints.api_key is None and hints.prompt is None
     assert hints.deadline_s is None
 
 
-def test_forwarded_fields_name_the_endpoint_and_the_time_left():
+def test_forwarded_fields_name_the_endpoint_and_the_remaining_time():
     hints = ForwardHints("i-1", 1.2345, "ozark", "small", 3, "7")
     sent = dict(
         forward_headers(
@@ -217,8 +217,8 @@
     assert b"x-hop" not in sent and b"connection" not in sent
 
 
-def test_an_answers_head_is_read():
-    head = read_answer(
+def test_response_head_is_decoded():
+    head = read_response(
         200,
         b"OK",
         (
@@ -230,12 +230,12 @@
             (b"connection", b"keep-alive"),
         ),
     )
-    assert head.signed and not head.not_run and head.load == (3, 1, 8)
+    assert head.has_receipt and not head.not_run and head.load == (3, 1, 8)
     assert head.confidence == 61 and head.idle_timeout_s == 4
     assert {n for n, _ in head.headers}.isdisjoint({b"keep-alive", b"connection"})
-    assert read_answer(421, b"", ()).not_run
-    assert read_answer(503, b"", ((b"acaciacove-not-executed", b"1"),)).not_run
-    assert not read_answer(503, b"", ()).not_run
+    assert read_response(421, b"", ()).not_run
+    assert read_response(503, b"", ((b"acaciacove-not-executed", b"1"),)).not_run
+    assert not read_response(503, b"", ()).not_run
 
 
 SETTINGS = """nodeName=edge-1
@@ -254,13 +254,13 @@
 """
 
 
-def test_a_settings_file_is_read():
+def test_node_file_is_decoded():
     read = decode_node_file(SETTINGS)
     assert read.name == "edge-1" and read.peer_port == 7340
     assert read.revocation_s == 5.0 and read.region_of_zone == {"ozark": "dixie"}
 
 
-def test_every_fault_of_a_settings_file_is_told_at_once():
+def test_all_faults_of_a_node_file_are_reported():
     text = SETTINGS.replace("nodeName=edge-1\n", "").replace("7340,7355", "many")
     text = text.replace("revocationStrict=true", "revocationStrict=perhaps")
     with pytest.raises(InvalidSettingsError) as raised:
@@ -268,7 +268,7 @@
     assert len(raised.value.faults) == 3
 
 
-def test_values_that_cannot_be_are_refused():
+def test_invalid_settings_values_are_refused():
     with pytest.raises(InvalidSettingsError):
         decode_node_file(SETTINGS.replace("10.1.0.40:8227", "edge.example:80"))
     base = decode_node_file(SETTINGS)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -7,7 +7,7 @@
 from acaciacove.bench.free_ports import free_ports
 from acaciacove.errors import InvalidSettingsError
 from acaciacove.platform.node_file import decode_node_file
-from acaciacove.platform.written_node_file import write_node_file
+from acaciacove.platform.node_file_writer import write_node_file
 from acaciacove.settings.soak_settings import SoakSettings
 from acaciacove.soak.fault_kind import FaultKind
 from acaciacove.soak.fault_plan import plan_faults
