--- a/acaciacove/decisions/admission.py
+++ b/acaciacove/decisions/admission.py
@@ -5,13 +5,13 @@
 from attrs import define, field
 
 from acaciacove.decisions.admission_settings import AdmissionSettings
-from acaciacove.decisions.lane import Lane
+from acaciacove.decisions.organisation_queue import OrganisationQueue
 from acaciacove.decisions.refused_item import RefusedItem
 from acaciacove.decisions.waiting_item import WaitingItem
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-_MAX_LANES = 1024
+_MAX_QUEUES = 1024
 _MIN_TOKEN_S = 1e-4
 
 
@@ -29,14 +29,14 @@
     settings: AdmissionSettings = AdmissionSettings()
     limit: int = 1
     running: dict[str, tuple[WaitingItem, float]] = field(factory=dict)
-    _lanes: dict[str, Lane] = field(factory=dict)
-    _virtual: float = 0.0
+    _queues: dict[str, OrganisationQueue] = field(factory=dict)
+    _virtual_time: float = 0.0
     _kind_tags: dict[bool, float] = field(factory=lambda: {False: 0.0, True: 0.0})
     _kind_counts: dict[bool, int] = field(factory=lambda: {False: 0, True: 0})
     _refused: list[RefusedItem] = field(factory=list)
     _token_s: float = field(init=False)
     _samples: int = 0
-    _looked_at_s: float = float("-inf")
+    _expiry_checked_at_s: float = float("-inf")
 
     def __attrs_post_init__(self) -> None:
         """Initialise the time per token from the settings."""
@@ -44,17 +44,19 @@
 
     def offer(self, item: WaitingItem, now_s: float) -> Refusal | None:
         """Queue an item, or return its refusal."""
-        queue = self._lane(item, now_s)
+        queue = self._queue_of(item, now_s)
         wait_s = self._expected_wait_s(queue, item.batch, now_s)
-        until_s = self._waits_until_s(item, now_s)
-        if now_s + self.settings.wait_margin * wait_s > until_s:
-            return self._overloaded(Reason.DEADLINE_EXCEEDED, wait_s)
-        if self.queued >= self.settings.max_queue and not self._push_out(queue, now_s):
-            return self._overloaded(Reason.OVERLOADED, wait_s)
+        expires_at_s = self._expires_at_s(item, now_s)
+        if now_s + self.settings.wait_margin * wait_s > expires_at_s:
+            return self._refusal(Reason.DEADLINE_EXCEEDED, wait_s)
+        if self.queued >= self.settings.max_queue and not self._evict_from_longest(
+            queue, now_s
+        ):
+            return self._refusal(Reason.OVERLOADED, wait_s)
         if not queue.queued:
-            queue.next_tag = self._start_tag(queue, now_s)
-        self._enter_kind(item.batch)
-        queue.enter(item, until_s)
+            queue.next_start_tag = self._start_tag(queue, now_s)
+        self._count_arrival(item.batch)
+        queue.append(item, expires_at_s)
         return None
 
     def next(self, now_s: float) -> WaitingItem | None:
@@ -62,17 +64,17 @@
 
         Refuses expired items, see ``take_refused``.
         """
-        self._give_up_late(now_s)
+        self._refuse_expired(now_s)
         if len(self.running) >= self.limit:
             return None
-        selected = self._pick(now_s)
+        selected = self._select(now_s)
         if selected is None:
             return None
         queue, batch = selected
-        item = queue.take(batch)
+        item = queue.pop(batch)
         self._kind_counts[batch] -= 1
-        self._virtual = max(self._virtual, queue.next_tag)
-        queue.next_tag += item.cost_tokens / item.weight
+        self._virtual_time = max(self._virtual_time, queue.next_start_tag)
+        queue.next_start_tag += item.cost_tokens / item.weight
         self._kind_tags[batch] += item.cost_tokens / self._kind_share(batch)
         queue.running += 1
         self.running[item.request_id] = (item, now_s)
@@ -91,16 +93,16 @@
         nothing by understating it.
         """
         _, started_at_s = self.running.pop(item.request_id)
-        queue = self._lanes[item.organisation]
+        queue = self._queues[item.organisation]
         queue.running -= 1
         used = item.cost_tokens if used_tokens is None else used_tokens
-        queue.next_tag += (used - item.cost_tokens) / item.weight
+        queue.next_start_tag += (used - item.cost_tokens) / item.weight
         if ok and used > 0:
-            self._learn((now_s - started_at_s) / used)
+            self._update_token_s((now_s - started_at_s) / used)
 
     def cancel(self, request_id: str) -> bool:
         """Remove a waiting item and return whether it was waiting."""
-        for queue in self._lanes.values():
+        for queue in self._queues.values():
             item = queue.remove(request_id)
             if item is not None:
                 self._kind_counts[item.batch] -= 1
@@ -118,7 +120,7 @@
         """Number of waiting items."""
         return self._kind_counts[False] + self._kind_counts[True]
 
-    def _learn(self, token_s: float) -> None:
+    def _update_token_s(self, token_s: float) -> None:
         """Update the moving average of the time per token.
 
         The first samples are weighted equally.
@@ -135,43 +137,45 @@
         has_samples = self._samples >= self.settings.min_samples
         return item.cost_tokens * self._token_s if has_samples else 0.0
 
-    def _lane(self, item: WaitingItem, now_s: float) -> Lane:
+    def _queue_of(self, item: WaitingItem, now_s: float) -> OrganisationQueue:
         """Return the organisation's queue; removes idle queues at the upper bound."""
-        queue = self._lanes.get(item.organisation)
+        queue = self._queues.get(item.organisation)
         if queue is None:
-            if len(self._lanes) >= _MAX_LANES:
-                self._forget_idle(now_s)
-            queue = self._lanes[item.organisation] = Lane(item.weight, now_s)
+            if len(self._queues) >= _MAX_QUEUES:
+                self._remove_idle(now_s)
+            queue = self._queues[item.organisation] = OrganisationQueue(
+                item.weight, now_s
+            )
         queue.weight = item.weight
-        queue.seen_at_s = now_s
+        queue.last_seen_s = now_s
         return queue
 
-    def _forget_idle(self, now_s: float) -> None:
+    def _remove_idle(self, now_s: float) -> None:
         oldest = now_s - self.settings.active_s
-        for name, queue in list(self._lanes.items()):
-            if not queue.queued and not queue.running and queue.seen_at_s < oldest:
-                del self._lanes[name]
+        for name, queue in list(self._queues.items()):
+            if not queue.queued and not queue.running and queue.last_seen_s < oldest:
+                del self._queues[name]
 
-    def _pick(self, now_s: float) -> tuple[Lane, bool] | None:
+    def _select(self, now_s: float) -> tuple[OrganisationQueue, bool] | None:
         """Return the queue and the kind (batch or not) that run next."""
         free = self.limit - len(self.running)
         is_scarce = free <= int(self.settings.reserved_share * self.limit)
-        fits = self._fits_reserve(now_s) if is_scarce else _always
-        candidates: dict[bool, Lane] = {}
+        fits = self._reserve_filter(now_s) if is_scarce else _accept_any
+        candidates: dict[bool, OrganisationQueue] = {}
         for batch in (False, True):
             if not self._kind_counts[batch]:
                 continue
             if batch and is_scarce and not self._kind_counts[False]:
                 continue
-            lanes = [q for q in self._lanes.values() if q.waiting(batch) and fits(q)]
-            if lanes:
-                candidates[batch] = min(lanes, key=lambda q: q.next_tag)
+            queues = [q for q in self._queues.values() if q.waiting(batch) and fits(q)]
+            if queues:
+                candidates[batch] = min(queues, key=lambda q: q.next_start_tag)
         if not candidates:
             return None
         batch = min(candidates, key=lambda kind: self._kind_tags[kind])
         return candidates[batch], batch
 
-    def _fits_reserve(self, now_s: float) -> Callable[[Lane], bool]:
+    def _reserve_filter(self, now_s: float) -> Callable[[OrganisationQueue], bool]:
         """Return a filter that admits only queues within their share.
 
         It applies to the last free slots. Otherwise one organisation's flood takes
@@ -179,12 +183,12 @@
         answer has ended.
         """
 
-        def fits(queue: Lane) -> bool:
-            return self._is_entitled(queue, now_s)
+        def fits(queue: OrganisationQueue) -> bool:
+            return self._is_within_share(queue, now_s)
 
         return fits
 
-    def _start_tag(self, queue: Lane, now_s: float) -> float:
+    def _start_tag(self, queue: OrganisationQueue, now_s: float) -> float:
         """Return the start tag of the next item of a queue.
 
         It is the end of the queue's previous work, but at most ``_credit`` behind the
@@ -193,16 +197,16 @@
         would put its next request behind a complete flood of another organisation,
         although over a minute it uses only part of its share.
         """
-        return max(self._virtual - self._credit(now_s), queue.next_tag)
+        return max(self._virtual_time - self._credit(now_s), queue.next_start_tag)
 
     def _credit(self, now_s: float) -> float:
         """Return the tokens per unit of weight that are served in ``credit_s``."""
         tokens_per_s = self.limit / max(_MIN_TOKEN_S, self._token_s)
         return self.settings.credit_s * tokens_per_s / self._active_weight(now_s)
 
-    def _is_entitled(self, queue: Lane, now_s: float) -> bool:
+    def _is_within_share(self, queue: OrganisationQueue, now_s: float) -> bool:
         """Return whether a queue has credit or runs at most about its share."""
-        if queue.next_tag < self._virtual:
+        if queue.next_start_tag < self._virtual_time:
             return True
         share = self.settings.slack * self.limit / self._active_weight(now_s)
         return (queue.running + 1) / queue.weight <= share
@@ -212,11 +216,11 @@
         oldest = now_s - self.settings.active_s
         return sum(
             queue.weight
-            for queue in self._lanes.values()
-            if queue.queued or queue.running or queue.seen_at_s >= oldest
+            for queue in self._queues.values()
+            if queue.queued or queue.running or queue.last_seen_s >= oldest
         )
 
-    def _enter_kind(self, batch: bool) -> None:
+    def _count_arrival(self, batch: bool) -> None:
         """Count an arrival; an idle kind continues at the higher of the two tags.
 
         An idle kind thus accumulates no credit.
@@ -230,7 +234,9 @@
         share = self.settings.batch_share
         return share if batch else 1.0 - share
 
-    def _expected_wait_s(self, queue: Lane, batch: bool, now_s: float) -> float:
+    def _expected_wait_s(
+        self, queue: OrganisationQueue, batch: bool, now_s: float
+    ) -> float:
         """Return the estimated wait of a new item.
 
         It is the time to serve the tokens of the same kind that run before it.
@@ -240,17 +246,17 @@
             return 0.0
         own_work = sum(queue.queued_tokens.values()) / queue.weight
         start_offset = max(
-            0.0, self._start_tag(queue, now_s) + own_work - self._virtual
+            0.0, self._start_tag(queue, now_s) + own_work - self._virtual_time
         )
         ahead = queue.queued_tokens[batch] + sum(
             min(other.queued_tokens[batch], start_offset * other.weight)
-            for other in self._lanes.values()
+            for other in self._queues.values()
             if other is not queue and other.queued
         )
         share = self._kind_share(batch) if self._kind_counts[not batch] else 1.0
         return ahead * self._token_s / (max(1, self.limit) * share)
 
-    def _waits_until_s(self, item: WaitingItem, now_s: float) -> float:
+    def _expires_at_s(self, item: WaitingItem, now_s: float) -> float:
         """Return when an item expires.
 
         It waits for part of the time to its deadline, which leaves time for a retry.
@@ -259,40 +265,40 @@
         longest_s = self.settings.max_wait_share * time_left_s
         return now_s + min(longest_s, time_left_s - self._service_s(item))
 
-    def _give_up_late(self, now_s: float) -> None:
+    def _refuse_expired(self, now_s: float) -> None:
         """Refuse the items that have expired."""
-        if now_s - self._looked_at_s < self.settings.look_every_s:
+        if now_s - self._expiry_checked_at_s < self.settings.look_every_s:
             return
-        self._looked_at_s = now_s
-        for queue in self._lanes.values():
-            for item in queue.overdue(now_s):
+        self._expiry_checked_at_s = now_s
+        for queue in self._queues.values():
+            for item in queue.expired(now_s):
                 queue.remove(item.request_id)
-                self._drop(queue, item, Reason.DEADLINE_EXCEEDED, now_s)
+                self._refuse(queue, item, Reason.DEADLINE_EXCEEDED, now_s)
 
-    def _overloaded(self, reason: Reason, wait_s: float) -> Refusal:
+    def _refusal(self, reason: Reason, wait_s: float) -> Refusal:
         retry_after_s = max(self.settings.min_retry_after_s, wait_s)
         return Refusal(reason, not_run=True, retry_after_s=retry_after_s)
 
-    def _push_out(self, arriving: Lane, now_s: float) -> bool:
+    def _evict_from_longest(self, arriving: OrganisationQueue, now_s: float) -> bool:
         """Evict the newest item of the longest queue by weight.
 
         Returns False, and evicts nothing, if that is the queue of the new item.
         """
-        longest = max(self._lanes.values(), key=lambda q: q.queued / q.weight)
+        longest = max(self._queues.values(), key=lambda q: q.queued / q.weight)
         if longest.queued / longest.weight <= (arriving.queued + 1) / arriving.weight:
             return False
-        item = longest.take(bool(longest.batch), newest=True)
-        self._drop(longest, item, Reason.OVERLOADED, now_s)
+        item = longest.pop(bool(longest.batch), newest=True)
+        self._refuse(longest, item, Reason.OVERLOADED, now_s)
         return True
 
-    def _drop(
-        self, queue: Lane, item: WaitingItem, reason: Reason, now_s: float
+    def _refuse(
+        self, queue: OrganisationQueue, item: WaitingItem, reason: Reason, now_s: float
     ) -> None:
         """Record the refusal of an item that was removed from its queue."""
         self._kind_counts[item.batch] -= 1
         wait_s = self._expected_wait_s(queue, item.batch, now_s)
-        self._refused.append(RefusedItem(item, self._overloaded(reason, wait_s)))
+        self._refused.append(RefusedItem(item, self._refusal(reason, wait_s)))
 
 
-def _always(_: Lane) -> bool:
+def _accept_any(_: OrganisationQueue) -> bool:
     return True
--- a/acaciacove/decisions/plan_in_use.py
+++ b/acaciacove/decisions/cached_plan.py
@@ -7,7 +7,7 @@
 
 
 @frozen
-class PlanInUse:
+class CachedPlan:
     """Plan, its trials, and the ``generation`` of the estimates it was made from."""
 
     plan: CascadePlan
--- a/acaciacove/decisions/cascade_plan.py
+++ b/acaciacove/decisions/cascade_plan.py
@@ -18,7 +18,7 @@
     start: VersionId
     escalate_to: VersionId | None = None
     bins_below: int = 0
-    edge_share: float = 0.0
+    boundary_share: float = 0.0
     quality: float = 0.0
     lower: float = 0.0
     cost: float = 0.0
--- a/acaciacove/decisions/confidence_beliefs.py
+++ b/acaciacove/decisions/confidence_calibration.py
@@ -11,11 +11,11 @@
 
 from attrs import define, field
 
-EVEN_ODDS = 50.0
-LOWEST, HIGHEST = 0.0, 100.0
+EVEN_CONFIDENCE = 50.0
+MIN_CONFIDENCE, MAX_CONFIDENCE = 0.0, 100.0
 # Confidences are limited to 0 to 100, margins are not. A confidence at either end is
 # taken as a margin this far beyond it.
-BEYOND = 10.0
+SATURATION_EXCESS = 10.0
 # Prior of the standard deviation of a confidence, and its weight in pairs of answers.
 PRIOR_NOISE = 12.0
 PRIOR_PAIRS = 20.0
@@ -25,7 +25,7 @@
 PRIOR_OFFSET = 20.0
 PRIOR_OFFSET_OF_LARGEST = 60.0
 # Minimum weight of a new pair in an offset; the first pairs weigh more.
-LEAST_SHARE = 0.05
+MIN_OFFSET_WEIGHT = 0.05
 # Prior of the share of requests that a model answers well, and its weight in answers.
 PRIOR_QUALITY = 0.6
 PRIOR_QUALITY_OF_LARGEST = 0.95
@@ -33,7 +33,7 @@
 
 
 @define
-class Offset:
+class AbilityOffset:
     """Margin of one model minus that of another, and the number of pairs behind it."""
 
     margin: float
@@ -41,7 +41,7 @@
 
 
 @define
-class Quality:
+class QualityPosterior:
     """Expected number of good answers among ``answers``, both including the prior."""
 
     good: float
@@ -49,33 +49,37 @@
 
 
 @define
-class ConfidenceBeliefs:
+class ConfidenceCalibration:
     """Offsets, qualities and noise of the models of one service.
 
     Models are identified by the names that callers pass. A new name starts from the
     prior.
     """
 
-    offsets: dict[tuple[str, str], Offset] = field(factory=dict)
-    qualities: dict[str, Quality] = field(factory=dict)
-    _square_sum: float = PRIOR_PAIRS * PRIOR_NOISE**2
-    _squares: float = PRIOR_PAIRS
+    offsets: dict[tuple[str, str], AbilityOffset] = field(factory=dict)
+    qualities: dict[str, QualityPosterior] = field(factory=dict)
+    _squared_errors: float = PRIOR_PAIRS * PRIOR_NOISE**2
+    _error_count: float = PRIOR_PAIRS
 
     @property
     def noise(self) -> float:
         """Standard deviation of one confidence."""
-        return sqrt(self._square_sum / self._squares)
+        return sqrt(self._squared_errors / self._error_count)
 
-    def good_share(self, confidence: float) -> float:
+    def good_probability(self, confidence: float) -> float:
         """Return the probability that an answer with this confidence is good."""
-        return self._likely(_margin(confidence))
+        return self._probability(_margin(confidence))
 
-    def good_share_of(self, first: str, confidence: float, second: str) -> float:
+    def good_probability_after(
+        self, first: str, confidence: float, second: str
+    ) -> float:
         """Return the probability that ``second`` answers well.
 
         ``confidence`` is what ``first`` reported for its answer to the same request.
         """
-        return self._likely(_margin(confidence) + self.offset(first, second).margin)
+        return self._probability(
+            _margin(confidence) + self.offset(first, second).margin
+        )
 
     def quality(self, model: str, is_largest: bool) -> float:
         """Return the estimated share of requests that a model answers well."""
@@ -84,10 +88,12 @@
             return PRIOR_QUALITY_OF_LARGEST if is_largest else PRIOR_QUALITY
         return posterior.good / posterior.answers
 
-    def offset(self, first: str, second: str, is_largest: bool = False) -> Offset:
+    def offset(
+        self, first: str, second: str, is_largest: bool = False
+    ) -> AbilityOffset:
         """Return the offset of ``second`` above ``first``, the smaller model."""
         prior = PRIOR_OFFSET_OF_LARGEST if is_largest else PRIOR_OFFSET
-        return self.offsets.setdefault((first, second), Offset(prior))
+        return self.offsets.setdefault((first, second), AbilityOffset(prior))
 
     def learn_answer(self, model: str, is_largest: bool, confidence: float) -> None:
         """Update a model's quality with an answer to a request.
@@ -96,13 +102,13 @@
         """
         prior = self.quality(model, is_largest)
         posterior = self.qualities.setdefault(
-            model, Quality(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
+            model, QualityPosterior(prior * PRIOR_ANSWERS, PRIOR_ANSWERS)
         )
-        posterior.good += self.good_share(confidence)
+        posterior.good += self.good_probability(confidence)
         posterior.answers += 1.0
 
     def learn_pair(
-        self, first: str, first_told: float, second: str, second_told: float
+        self, first: str, first_confidence: float, second: str, second_confidence: float
     ) -> None:
         """Update offset and noise with two models' confidences on the same request.
 
@@ -110,40 +116,44 @@
         changes the offset only if it contradicts the current one, and never the noise.
         """
         offset = self.offset(first, second)
-        observed = second_told - first_told
-        is_bound = _is_end(first_told) or _is_end(second_told)
-        if is_bound and not _contradicts(first_told, second_told, offset.margin):
+        observed = second_confidence - first_confidence
+        is_bound = _is_end(first_confidence) or _is_end(second_confidence)
+        if is_bound and not _contradicts(
+            first_confidence, second_confidence, offset.margin
+        ):
             return
         if not is_bound:
-            self._square_sum += (observed - offset.margin) ** 2 / 2.0
-            self._squares += 1.0
+            self._squared_errors += (observed - offset.margin) ** 2 / 2.0
+            self._error_count += 1.0
         offset.pairs += 1
-        weight = max(LEAST_SHARE, 1.0 / (offset.pairs + 1.0))
+        weight = max(MIN_OFFSET_WEIGHT, 1.0 / (offset.pairs + 1.0))
         offset.margin += weight * (observed - offset.margin)
 
-    def _likely(self, margin: float) -> float:
+    def _probability(self, margin: float) -> float:
         return 0.5 * (1.0 + erf(margin / self.noise / sqrt(2.0)))
 
 
 def _margin(confidence: float) -> float:
-    if confidence <= LOWEST:
-        return LOWEST - BEYOND - EVEN_ODDS
-    if confidence >= HIGHEST:
-        return HIGHEST + BEYOND - EVEN_ODDS
-    return confidence - EVEN_ODDS
+    if confidence <= MIN_CONFIDENCE:
+        return MIN_CONFIDENCE - SATURATION_EXCESS - EVEN_CONFIDENCE
+    if confidence >= MAX_CONFIDENCE:
+        return MAX_CONFIDENCE + SATURATION_EXCESS - EVEN_CONFIDENCE
+    return confidence - EVEN_CONFIDENCE
 
 
 def _is_end(confidence: float) -> bool:
-    return not LOWEST < confidence < HIGHEST
+    return not MIN_CONFIDENCE < confidence < MAX_CONFIDENCE
 
 
-def _contradicts(first_told: float, second_told: float, margin: float) -> bool:
+def _contradicts(
+    first_confidence: float, second_confidence: float, margin: float
+) -> bool:
     """Return whether a pair with a confidence at an end contradicts an offset."""
-    observed = second_told - first_told
-    if second_told >= HIGHEST and first_told > LOWEST:
+    observed = second_confidence - first_confidence
+    if second_confidence >= MAX_CONFIDENCE and first_confidence > MIN_CONFIDENCE:
         return margin < observed
-    if first_told <= LOWEST and second_told < HIGHEST:
+    if first_confidence <= MIN_CONFIDENCE and second_confidence < MAX_CONFIDENCE:
         return margin < observed
-    if second_told <= LOWEST and first_told < HIGHEST:
+    if second_confidence <= MIN_CONFIDENCE and first_confidence < MAX_CONFIDENCE:
         return margin > observed
     return False
--- a/acaciacove/decisions/delay_cost.py
+++ b/acaciacove/decisions/delay_cost.py
@@ -2,12 +2,12 @@
 
 from attrs import define
 
-from acaciacove.decisions.model_plan import late_slope
+from acaciacove.decisions.model_plan import lateness_slope
 
 # Weight of the newest answer in the moving average.
-NEWEST_SHARE = 0.04
+EWMA_WEIGHT = 0.04
 # Number of requests that one delay affects, as a delayed request delays others in turn.
-DELAYED_IN_TURN = 3.0
+DELAY_PROPAGATION = 3.0
 
 
 @define
@@ -19,13 +19,13 @@
     counts with its full weight of 1.
     """
 
-    slope: float = 1.0 / DELAYED_IN_TURN
+    slope: float = 1.0 / DELAY_PROPAGATION
 
     def learn(self, took_s: float, target_s: float) -> None:
         """Update the mean with the time that a caller waited for the first chunk."""
-        self.slope += NEWEST_SHARE * (late_slope(took_s / target_s) - self.slope)
+        self.slope += EWMA_WEIGHT * (lateness_slope(took_s / target_s) - self.slope)
 
     @property
     def weight(self) -> float:
         """Cost of a delay by one latency target, as a share of an answer's value."""
-        return min(1.0, DELAYED_IN_TURN * self.slope)
+        return min(1.0, DELAY_PROPAGATION * self.slope)
--- a/acaciacove/decisions/endpoint_backlog.py
+++ b/acaciacove/decisions/endpoint_backlog.py
@@ -6,16 +6,16 @@
 
 # An observed wait loses weight linearly with its age: half of it after this time, all
 # of it after twice this time. Queues of a few seconds drain in that time.
-MEMORY_S = 1.5
+WAIT_HALF_LIFE_S = 1.5
 # Weight of the newest wait in the moving average.
-NEWEST_SHARE = 0.6
+EWMA_WEIGHT = 0.6
 # Wait assumed at an endpoint without recent observations, as a share of the baseline.
 # With 0 all gateways would choose such endpoints at once, with 1 none would.
-UNKNOWN_SHARE = 0.35
+UNKNOWN_WAIT_SHARE = 0.35
 
 
 @frozen
-class AwaitedPiece:
+class PendingRequest:
     """Request of this gateway whose first chunk has not arrived.
 
     ``work_s`` is its time without a queue. ``expected_s`` is the expected time to the
@@ -24,14 +24,14 @@
 
     sent_s: float
     work_s: float
-    own_s: float
+    expected_s: float
 
 
 @frozen
-class ToldWork:
+class PeerWork:
     """Request that a peer reported to have sent to the endpoint."""
 
-    told_s: float
+    received_s: float
     work_s: float
 
 
@@ -45,81 +45,85 @@
     visible long before the answer arrives.
     """
 
-    free_s: float = -1e9
-    others_s: float = 0.0
-    others_seen_s: float = -1e9
-    awaited: dict[int, AwaitedPiece] = field(factory=dict)
-    told: list[ToldWork] = field(factory=list)
+    drained_at_s: float = -1e9
+    residual_s: float = 0.0
+    residual_at_s: float = -1e9
+    pending: dict[int, PendingRequest] = field(factory=dict)
+    peer_work: list[PeerWork] = field(factory=list)
 
     def send(self, number: int, work_s: float, now_s: float) -> None:
         """Record a request that is sent; ``work_s`` is its time without a queue."""
-        self.free_s = max(self.free_s, now_s) + work_s
-        self.awaited[number] = AwaitedPiece(now_s, work_s, self.free_s - now_s)
+        self.drained_at_s = max(self.drained_at_s, now_s) + work_s
+        self.pending[number] = PendingRequest(now_s, work_s, self.drained_at_s - now_s)
 
-    def answer(self, number: int, now_s: float) -> float | None:
+    def record_first_chunk(self, number: int, now_s: float) -> float | None:
         """Record the first chunk of a request.
 
         Returns the time that it took without the wait behind known requests, or None
         if the request is not pending.
         """
-        request = self.awaited.pop(number, None)
+        request = self.pending.pop(number, None)
         if request is None:
             return None
         took_s = now_s - request.sent_s
         # Endpoints read prompts in order of arrival: earlier requests have been read.
-        self.told = [work for work in self.told if work.told_s > request.sent_s]
-        self._see(max(0.0, took_s - request.own_s), now_s)
-        self._start_over(now_s)
-        return max(0.0, took_s - (request.own_s - request.work_s))
-
-    def send_other(self, work_s: float, now_s: float) -> None:
+        self.peer_work = [
+            work for work in self.peer_work if work.received_s > request.sent_s
+        ]
+        self._observe_residual(max(0.0, took_s - request.expected_s), now_s)
+        self._update_drained_at(now_s)
+        return max(0.0, took_s - (request.expected_s - request.work_s))
+
+    def add_peer_work(self, work_s: float, now_s: float) -> None:
         """Record a request that a peer reported to have just sent."""
-        if self.free_s <= now_s:
-            self.told.clear()
-        self.free_s = max(self.free_s, now_s) + work_s
-        self.told.append(ToldWork(now_s, work_s))
+        if self.drained_at_s <= now_s:
+            self.peer_work.clear()
+        self.drained_at_s = max(self.drained_at_s, now_s) + work_s
+        self.peer_work.append(PeerWork(now_s, work_s))
 
-    def drop(self, number: int, now_s: float) -> None:
+    def discard(self, number: int, now_s: float) -> None:
         """Remove a pending request that was cancelled or lost."""
-        request = self.awaited.pop(number, None)
+        request = self.pending.pop(number, None)
         if request is None:
             return
-        overdue_s = now_s - request.sent_s - request.own_s
-        if overdue_s > self.others_known_s(now_s):
-            self._see(overdue_s, now_s)
-        self._start_over(now_s)
+        overdue_s = now_s - request.sent_s - request.expected_s
+        if overdue_s > self.residual_wait_s(now_s):
+            self._observe_residual(overdue_s, now_s)
+        self._update_drained_at(now_s)
 
-    def _start_over(self, now_s: float) -> None:
+    def _update_drained_at(self, now_s: float) -> None:
         """Recompute when the remaining known requests will have been read."""
-        local_s = sum(request.work_s for request in self.awaited.values())
-        self.free_s = now_s + local_s + sum(work.work_s for work in self.told)
+        local_s = sum(request.work_s for request in self.pending.values())
+        self.drained_at_s = (
+            now_s + local_s + sum(work.work_s for work in self.peer_work)
+        )
 
-    def _see(self, wait_s: float, now_s: float) -> None:
-        previous_s = self.others_known_s(now_s)
-        self.others_s = previous_s + NEWEST_SHARE * (wait_s - previous_s)
-        self.others_seen_s = now_s
+    def _observe_residual(self, wait_s: float, now_s: float) -> None:
+        previous_s = self.residual_wait_s(now_s)
+        self.residual_s = previous_s + EWMA_WEIGHT * (wait_s - previous_s)
+        self.residual_at_s = now_s
 
     def freshness(self, now_s: float) -> float:
         """Return the weight of the last observed wait by its age, from 0 to 1."""
-        return max(0.0, 1.0 - (now_s - self.others_seen_s) / (2.0 * MEMORY_S))
+        return max(0.0, 1.0 - (now_s - self.residual_at_s) / (2.0 * WAIT_HALF_LIFE_S))
 
-    def others_known_s(self, now_s: float) -> float:
+    def residual_wait_s(self, now_s: float) -> float:
         """Return the wait beyond the known requests, as far as it was observed."""
-        residual_s = self.others_s * self.freshness(now_s)
-        for request in self.awaited.values():
-            residual_s = max(residual_s, now_s - request.sent_s - request.own_s)
+        residual_s = self.residual_s * self.freshness(now_s)
+        for request in self.pending.values():
+            residual_s = max(residual_s, now_s - request.sent_s - request.expected_s)
         return residual_s
 
-    def wait_s(self, now_s: float, usual_s: float) -> float:
+    def wait_s(self, now_s: float, baseline_s: float) -> float:
         """Return the estimated wait of a request that is sent now."""
-        unknown_s = UNKNOWN_SHARE * usual_s * (1.0 - self.freshness(now_s))
-        known_s = max(0.0, self.free_s - now_s)
-        return known_s + self.others_known_s(now_s) + unknown_s
+        unknown_s = UNKNOWN_WAIT_SHARE * baseline_s * (1.0 - self.freshness(now_s))
+        known_s = max(0.0, self.drained_at_s - now_s)
+        return known_s + self.residual_wait_s(now_s) + unknown_s
 
 
-def usual_wait_s(backlogs: Iterable[EndpointBacklog], now_s: float) -> float:
+def baseline_wait_s(backlogs: Iterable[EndpointBacklog], now_s: float) -> float:
     """Return the mean residual wait of endpoints, weighted by freshness."""
-    weighted = [(b.freshness(now_s), b.others_known_s(now_s)) for b in backlogs]
+    weighted = [(b.freshness(now_s), b.residual_wait_s(now_s)) for b in backlogs]
     weight = sum(freshness for freshness, _ in weighted)
     if weight <= 0.0:
         return 0.0
--- a/acaciacove/decisions/usual.py
+++ b/acaciacove/decisions/endpoint_baseline.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class Usual:
+class EndpointBaseline:
     """Requests per slot, service time in seconds, and slots of an endpoint."""
 
     load: float
--- a/acaciacove/decisions/exploration.py
+++ b/acaciacove/decisions/exploration.py
@@ -40,7 +40,7 @@
     """Return one of the trials at random by their probabilities, or None."""
     remaining = rng.random()
     for trial in trials:
-        remaining -= trial.chance
+        remaining -= trial.probability
         if remaining < 0.0:
             return trial
     return None
@@ -66,8 +66,8 @@
 ) -> Trial:
     positions = {version.id: position for position, version in enumerate(ladder)}
     if positions[tried.id] < positions[plan.start]:
-        return Trial((tried.id, plan.start), always_escalates=True, chance=chance)
+        return Trial((tried.id, plan.start), always_escalates=True, probability=chance)
     second = plan.escalate_to
     if second is None or positions[second] <= positions[tried.id]:
-        return Trial((tried.id,), always_escalates=False, chance=chance)
-    return Trial((tried.id, second), always_escalates=False, chance=chance)
+        return Trial((tried.id,), always_escalates=False, probability=chance)
+    return Trial((tried.id, second), always_escalates=False, probability=chance)
--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -10,14 +10,14 @@
 
 from attrs import evolve, frozen
 
-from acaciacove.decisions.confidence_beliefs import ConfidenceBeliefs
+from acaciacove.decisions.confidence_calibration import ConfidenceCalibration
 
 # Value of a poor answer, and the value that a good answer loses when it is very late.
-POOR_WORTH = 0.05
-LATE_LOSS = 0.5
+POOR_ANSWER_VALUE = 0.05
+MAX_LATE_LOSS = 0.5
 # Steepness of the loss of value around the latency target. Predicted latencies are
 # often wrong by a factor of two, and seldom by a factor of four.
-SPREAD = 2.5
+LATENESS_EXPONENT = 2.5
 
 
 @frozen
@@ -33,12 +33,12 @@
     name: str
     is_largest: bool
     price: float
-    piece_s: float
+    first_chunk_s: float
     work_s: float
 
 
 @frozen
-class Moment:
+class LatencyContext:
     """Time since the request arrived, its latency target, and the cost of delays.
 
     ``delayed_per_s`` is the number of other requests that one second of an endpoint's
@@ -54,9 +54,9 @@
 
 def first_model(
     options: Sequence[ModelOption],
-    beliefs: ConfidenceBeliefs,
-    moment: Moment,
-    may_go_on: bool,
+    calibration: ConfidenceCalibration,
+    context: LatencyContext,
+    may_escalate: bool,
 ) -> str:
     """Return the model to query first.
 
@@ -66,22 +66,26 @@
 
     def value(index: int) -> float:
         option = options[index]
-        good_probability = beliefs.quality(option.name, option.is_largest)
-        in_time = _in_time(moment, option.piece_s)
-        poor_value = POOR_WORTH
-        if may_go_on and good_probability < 1.0:
-            later_context = _after(moment, option)
+        good_probability = calibration.quality(option.name, option.is_largest)
+        in_time = _good_answer_value(context, option.first_chunk_s)
+        poor_value = POOR_ANSWER_VALUE
+        if may_escalate and good_probability < 1.0:
+            later_context = _context_after(context, option)
             poor_value = max(
-                [POOR_WORTH]
+                [POOR_ANSWER_VALUE]
                 + [
-                    _worth_of(larger, _gain(beliefs, option, larger), later_context)
+                    _option_value(
+                        larger,
+                        _recovery_probability(calibration, option, larger),
+                        later_context,
+                    )
                     for larger in options[index + 1 :]
                 ]
             )
         return (
             good_probability * in_time
             + (1.0 - good_probability) * poor_value
-            - _cost(option, moment)
+            - _cost(option, context)
         )
 
     return options[max(range(len(options)), key=value)].name
@@ -91,9 +95,9 @@
     queried: str,
     confidence: float,
     larger: Sequence[ModelOption],
-    beliefs: ConfidenceBeliefs,
-    moment: Moment,
-    may_go_on_twice: bool,
+    calibration: ConfidenceCalibration,
+    context: LatencyContext,
+    may_escalate_twice: bool,
 ) -> str | None:
     """Return the model to query after an answer, or None to deliver the answer.
 
@@ -102,55 +106,64 @@
     be queried after the next one.
     """
     best_name = None
-    good_probability = beliefs.good_share(confidence)
+    good_probability = calibration.good_probability(confidence)
     best_value = (
-        good_probability * _in_time(moment, 0.0) + (1.0 - good_probability) * POOR_WORTH
+        good_probability * _good_answer_value(context, 0.0)
+        + (1.0 - good_probability) * POOR_ANSWER_VALUE
     )
     for index, option in enumerate(larger):
-        probability = beliefs.good_share_of(queried, confidence, option.name)
-        value = _worth_of(option, probability, moment)
-        if may_go_on_twice and index + 1 < len(larger):
+        probability = calibration.good_probability_after(
+            queried, confidence, option.name
+        )
+        value = _option_value(option, probability, context)
+        if may_escalate_twice and index + 1 < len(larger):
             last = larger[-1]
-            last_probability = beliefs.good_share_of(queried, confidence, last.name)
+            last_probability = calibration.good_probability_after(
+                queried, confidence, last.name
+            )
             recovery = (last_probability - probability) / max(1e-6, 1.0 - probability)
-            second_value = _worth_of(last, max(0.0, recovery), _after(moment, option))
-            value += (1.0 - probability) * max(0.0, second_value - POOR_WORTH)
+            second_value = _option_value(
+                last, max(0.0, recovery), _context_after(context, option)
+            )
+            value += (1.0 - probability) * max(0.0, second_value - POOR_ANSWER_VALUE)
         if value > best_value:
             best_value, best_name = value, option.name
     return best_name
 
 
-def _gain(
-    beliefs: ConfidenceBeliefs, queried: ModelOption, larger: ModelOption
+def _recovery_probability(
+    calibration: ConfidenceCalibration, queried: ModelOption, larger: ModelOption
 ) -> float:
     """Return the probability that ``larger`` answers well if ``queried`` does not."""
-    small_quality = beliefs.quality(queried.name, queried.is_largest)
-    large_quality = beliefs.quality(larger.name, larger.is_largest)
+    small_quality = calibration.quality(queried.name, queried.is_largest)
+    large_quality = calibration.quality(larger.name, larger.is_largest)
     return max(0.0, large_quality - small_quality) / max(1e-6, 1.0 - small_quality)
 
 
-def _worth_of(option: ModelOption, probability: float, moment: Moment) -> float:
-    good_value = probability * _in_time(moment, option.piece_s)
-    return good_value + (1.0 - probability) * POOR_WORTH - _cost(option, moment)
+def _option_value(
+    option: ModelOption, probability: float, context: LatencyContext
+) -> float:
+    good_value = probability * _good_answer_value(context, option.first_chunk_s)
+    return good_value + (1.0 - probability) * POOR_ANSWER_VALUE - _cost(option, context)
 
 
-def _cost(option: ModelOption, moment: Moment) -> float:
-    delayed_targets = moment.delayed_per_s * option.work_s / moment.target_s
-    return option.price + moment.delay_weight * delayed_targets
+def _cost(option: ModelOption, context: LatencyContext) -> float:
+    delayed_targets = context.delayed_per_s * option.work_s / context.target_s
+    return option.price + context.delay_weight * delayed_targets
 
 
-def _after(moment: Moment, option: ModelOption) -> Moment:
-    return evolve(moment, elapsed_s=moment.elapsed_s + option.piece_s)
+def _context_after(context: LatencyContext, option: ModelOption) -> LatencyContext:
+    return evolve(context, elapsed_s=context.elapsed_s + option.first_chunk_s)
 
 
-def _in_time(moment: Moment, piece_s: float) -> float:
+def _good_answer_value(context: LatencyContext, first_chunk_s: float) -> float:
     """Return the value of a good answer whose first chunk arrives after this time."""
-    share = (moment.elapsed_s + piece_s) / moment.target_s
-    lateness = share**SPREAD / (1.0 + share**SPREAD)
-    return 1.0 - LATE_LOSS * lateness
+    share = (context.elapsed_s + first_chunk_s) / context.target_s
+    lateness = share**LATENESS_EXPONENT / (1.0 + share**LATENESS_EXPONENT)
+    return 1.0 - MAX_LATE_LOSS * lateness
 
 
-def late_slope(share: float) -> float:
+def lateness_slope(share: float) -> float:
     """Return the value that a good answer loses per latency target of further delay.
 
     ``share`` is the time to its first chunk as a share of the latency target. This is
@@ -158,5 +171,5 @@
     """
     if share <= 0.0:
         return 0.0
-    power = share**SPREAD
-    return LATE_LOSS * SPREAD * power / share / (1.0 + power) ** 2
+    power = share**LATENESS_EXPONENT
+    return MAX_LATE_LOSS * LATENESS_EXPONENT * power / share / (1.0 + power) ** 2
--- a/acaciacove/decisions/lane.py
+++ b/acaciacove/decisions/organisation_queue.py
@@ -6,11 +6,11 @@
 
 from acaciacove.decisions.waiting_item import WaitingItem
 
-Waiting = tuple[WaitingItem, float]
+QueuedItem = tuple[WaitingItem, float]
 
 
 @define
-class Lane:
+class OrganisationQueue:
     """Waiting items by kind with their expiry times, and the next start tag.
 
     There are two kinds, batch and interactive. The keys of ``queued_tokens`` are True
@@ -19,14 +19,14 @@
     """
 
     weight: float
-    seen_at_s: float
-    next_tag: float = 0.0
+    last_seen_s: float
+    next_start_tag: float = 0.0
     running: int = 0
     queued_tokens: dict[bool, float] = field(factory=lambda: {False: 0.0, True: 0.0})
-    interactive: deque[Waiting] = field(factory=deque)
-    batch: deque[Waiting] = field(factory=deque)
+    interactive: deque[QueuedItem] = field(factory=deque)
+    batch: deque[QueuedItem] = field(factory=deque)
 
-    def waiting(self, batch: bool) -> deque[Waiting]:
+    def waiting(self, batch: bool) -> deque[QueuedItem]:
         """Return the queue of one kind."""
         return self.batch if batch else self.interactive
 
@@ -35,22 +35,27 @@
         """Number of waiting items of both kinds."""
         return len(self.interactive) + len(self.batch)
 
-    def enter(self, item: WaitingItem, until_s: float) -> None:
+    def append(self, item: WaitingItem, expires_at_s: float) -> None:
         """Add an item at the end; it expires at ``expires_at_s``."""
-        self.waiting(item.batch).append((item, until_s))
+        self.waiting(item.batch).append((item, expires_at_s))
         self.queued_tokens[item.batch] += item.cost_tokens
 
-    def take(self, batch: bool, newest: bool = False) -> WaitingItem:
+    def pop(self, batch: bool, newest: bool = False) -> WaitingItem:
         """Remove and return the oldest item of a kind, or the newest."""
         queue = self.waiting(batch)
         item, _ = queue.pop() if newest else queue.popleft()
         self.queued_tokens[batch] -= item.cost_tokens
         return item
 
-    def overdue(self, now_s: float) -> list[WaitingItem]:
+    def expired(self, now_s: float) -> list[WaitingItem]:
         """Return the items that have expired."""
         both = (self.interactive, self.batch)
-        return [item for queue in both for item, until_s in queue if until_s < now_s]
+        return [
+            item
+            for queue in both
+            for item, expires_at_s in queue
+            if expires_at_s < now_s
+        ]
 
     def remove(self, request_id: str) -> WaitingItem | None:
         """Remove and return the item of a request, or None if it is not waiting."""
--- a/acaciacove/decisions/ramp.py
+++ b/acaciacove/decisions/ramp.py
@@ -63,13 +63,13 @@
         """
         if started_at_s is not None and started_at_s < self._fell_back_at_s:
             return
-        if not ok or self._is_step(latency_s):
+        if not ok or self._is_latency_step(latency_s):
             self._bad_in_a_row += 1
             if self._bad_in_a_row >= self.settings.bad_in_a_row:
                 self.fall_back(now_s)
             return
         self._bad_in_a_row = 0
-        self._learn(latency_s)
+        self._update_baseline(latency_s)
         self._earned += self.settings.earned_per_request
         if not self.warm and self.limit(now_s) >= self.version.warm_bears:
             self.warm = True
@@ -80,7 +80,7 @@
         A thrashing endpoint may take minutes to complete a request. The gap between
         tokens shows it within a fraction of a second.
         """
-        if gap_s > self.settings.gap_steps * self._usual_s(gap_s):
+        if gap_s > self.settings.gap_steps * self._effective_baseline_s(gap_s):
             self.fall_back(now_s)
 
     def reported(self, load: Load, restarts: int, now_s: float) -> None:
@@ -98,10 +98,12 @@
         self._bad_in_a_row = 0
         self.warm = False
 
-    def _is_step(self, latency_s: float) -> bool:
-        return latency_s > self.settings.latency_step * self._usual_s(latency_s)
+    def _is_latency_step(self, latency_s: float) -> bool:
+        return latency_s > self.settings.latency_step * self._effective_baseline_s(
+            latency_s
+        )
 
-    def _usual_s(self, default_s: float) -> float:
+    def _effective_baseline_s(self, default_s: float) -> float:
         """Return the baseline latency, at least ``least_usual_s``.
 
         ``default_s`` replaces the baseline below ``MIN_BASELINE_SAMPLES``.
@@ -110,7 +112,7 @@
         baseline_s = self._baseline_s if has_baseline else default_s
         return max(baseline_s, self.settings.least_usual_s)
 
-    def _learn(self, latency_s: float) -> None:
+    def _update_baseline(self, latency_s: float) -> None:
         weight = max(BASELINE_SMOOTHING, 1.0 / (self._samples + 1))
         self._baseline_s += weight * (latency_s - self._baseline_s)
         self._samples += 1
--- a/acaciacove/decisions/subset.py
+++ b/acaciacove/decisions/subset.py
@@ -6,7 +6,7 @@
 from acaciacove.fleet.instance import Instance
 
 DEFAULT_SIZE = 24
-MIN_COVER = 2
+MIN_COVERAGE = 2
 
 
 def choose_subset(
@@ -30,7 +30,7 @@
         members = [e for e in endpoints if e.availability_zone == zone]
         members.sort(key=lambda e: _hash_rank(e.name))
         share = round(size * len(members) / len(endpoints))
-        coverage = -(-MIN_COVER * len(members) // len(ranked_entries))
+        coverage = -(-MIN_COVERAGE * len(members) // len(ranked_entries))
         count = min(len(members), max(1, share, coverage))
         start = rank * len(members) // len(ranked_entries)
         picked += [members[(start + step) % len(members)] for step in range(count)]
--- a/acaciacove/decisions/zone_moves.py
+++ b/acaciacove/decisions/zone_moves.py
@@ -4,7 +4,7 @@
 
 from acaciacove.fleet.fleet_state import FleetState
 
-RETURN_S = 30.0
+RETURN_RAMP_S = 30.0
 FIRST_SHARE = 0.1
 
 
@@ -18,7 +18,7 @@
     traffic does not oscillate.
     """
 
-    return_s: float = RETURN_S
+    return_s: float = RETURN_RAMP_S
     _returned_at_s: dict[str, float] = field(factory=dict)
     _out: frozenset[str] = frozenset()
 
