--- a/acaciacove/decisions/admission.py
+++ b/acaciacove/decisions/admission.py
@@ -279,13 +279,13 @@
         retry_after_s = max(self.settings.min_retry_after_s, wait_s)
         return Refusal(reason, not_run=True, retry_after_s=retry_after_s)
 
-    def _evict_from_longest(self, arriving: OrganisationQueue, now_s: float) -> bool:
+    def _evict_from_longest(self, new_queue: OrganisationQueue, now_s: float) -> bool:
         """Evict the newest item of the longest queue by weight.
 
         Returns False, and evicts nothing, if that is the queue of the new item.
         """
         longest = max(self._queues.values(), key=lambda q: q.queued / q.weight)
-        if longest.queued / longest.weight <= (arriving.queued + 1) / arriving.weight:
+        if longest.queued / longest.weight <= (new_queue.queued + 1) / new_queue.weight:
             return False
         item = longest.pop(bool(longest.batch), newest=True)
         self._refuse(longest, item, Reason.OVERLOADED, now_s)
--- a/acaciacove/decisions/cascade_planner.py
+++ b/acaciacove/decisions/cascade_planner.py
@@ -93,7 +93,8 @@
     """Return the second version's ratings by the signal of the first answer.
 
     Requests that are difficult for the first version are also more difficult for the
-    second. Until there are ratings, part of the first version's shortfall is assumed.
+    second. Until ratings show by how much, the second version is assumed to have
+    ``SHORTFALL_CARRY_OVER`` of the first one's shortfall.
     """
     priors = [
         expected + SHORTFALL_CARRY_OVER * min(0.0, mean - before.mean)
--- a/acaciacove/decisions/confidence_calibration.py
+++ b/acaciacove/decisions/confidence_calibration.py
@@ -117,7 +117,7 @@
         """
         offset = self.offset(first, second)
         observed = second_confidence - first_confidence
-        is_bound = _is_end(first_confidence) or _is_end(second_confidence)
+        is_bound = _is_at_end(first_confidence) or _is_at_end(second_confidence)
         if is_bound and not _contradicts(
             first_confidence, second_confidence, offset.margin
         ):
@@ -141,7 +141,7 @@
     return confidence - EVEN_CONFIDENCE
 
 
-def _is_end(confidence: float) -> bool:
+def _is_at_end(confidence: float) -> bool:
     return not MIN_CONFIDENCE < confidence < MAX_CONFIDENCE
 
 
--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -49,14 +49,14 @@
     loaded endpoint at once. ``zone_shares`` (from ``ZoneMoves``) lowers the share of a
     zone that is returning to service.
     """
-    lost = {
+    rejected = {
         instance.name: reason
         for instance in candidates
         if (reason := _exclusion_reason(instance, fleet, excluded)) is not None
     }
-    usable = [instance for instance in candidates if instance.name not in lost]
+    usable = [instance for instance in candidates if instance.name not in rejected]
     if not usable:
-        return _refusal(set(lost.values()))
+        return _refusal(set(rejected.values()))
     usable = _without_returning(usable, zone_shares or {}, rng)
     preferred = _preferred_endpoints(usable, session_endpoint, prefix_hash)
     sampled = _sample(usable, views, rng, preferred, settings)
@@ -73,7 +73,7 @@
         for i in sampled
     }
     best = min(sampled, key=lambda i: scores[i.name])
-    decision = _decision(best, sampled, scores, lost)
+    decision = _decision(best, sampled, scores, rejected)
     return EndpointDecision(best, scores[best.name], decision)
 
 
@@ -91,9 +91,9 @@
     return None
 
 
-def _refusal(lost: set[RejectionReason]) -> Refusal:
+def _refusal(rejected: set[RejectionReason]) -> Refusal:
     for why, reason in _REFUSALS:
-        if why in lost and len(lost) == 1:
+        if why in rejected and len(rejected) == 1:
             return Refusal(reason, not_run=True)
     return Refusal(Reason.NO_ENDPOINT, not_run=True)
 
@@ -225,7 +225,7 @@
     best: Instance,
     sampled: list[Instance],
     scores: dict[str, float],
-    lost: dict[str, RejectionReason],
+    rejected: dict[str, RejectionReason],
 ) -> Decision:
     candidates = [Candidate(best.name, None, scores[best.name])]
     candidates += [
@@ -233,5 +233,5 @@
         for i in sampled
         if i is not best
     ]
-    candidates += [Candidate(name, why) for name, why in lost.items()]
+    candidates += [Candidate(name, why) for name, why in rejected.items()]
     return Decision(DecisionKind.ENDPOINT, best.name, tuple(candidates), "least_time")
--- a/acaciacove/decisions/exploration.py
+++ b/acaciacove/decisions/exploration.py
@@ -17,7 +17,7 @@
     estimates: QualityEstimates,
     settings: ChoiceSettings,
 ) -> tuple[Trial, ...]:
-    """List the trials next to a plan, each with its probability per request.
+    """Return the possible trials for a plan, with their probabilities per request.
 
     A version that is cheaper than the plan's first one is queried before it and only
     rated, so callers get the answer of the plan. A more expensive version replaces the
@@ -25,14 +25,15 @@
     plan's cost.
     """
     others = [version for version in ladder if version.id != plan.start]
-    chances = [
-        _chance(version, plan, request_class, estimates, settings) for version in others
+    probabilities = [
+        _probability(version, plan, request_class, estimates, settings)
+        for version in others
     ]
-    total = sum(chances)
+    total = sum(probabilities)
     scale = min(1.0, settings.max_tried_share / total) if total else 0.0
     return tuple(
-        _trial(ladder, plan, version, chance * scale)
-        for version, chance in zip(others, chances, strict=True)
+        _trial(ladder, plan, version, probability * scale)
+        for version, probability in zip(others, probabilities, strict=True)
     )
 
 
@@ -46,7 +47,7 @@
     return None
 
 
-def _chance(
+def _probability(
     version: Version,
     plan: CascadePlan,
     request_class: str,
@@ -62,12 +63,14 @@
 
 
 def _trial(
-    ladder: Sequence[Version], plan: CascadePlan, tried: Version, chance: float
+    ladder: Sequence[Version], plan: CascadePlan, tried: Version, probability: float
 ) -> Trial:
     positions = {version.id: position for position, version in enumerate(ladder)}
     if positions[tried.id] < positions[plan.start]:
-        return Trial((tried.id, plan.start), always_escalates=True, probability=chance)
+        return Trial(
+            (tried.id, plan.start), always_escalates=True, probability=probability
+        )
     second = plan.escalate_to
     if second is None or positions[second] <= positions[tried.id]:
-        return Trial((tried.id,), always_escalates=False, probability=chance)
-    return Trial((tried.id, second), always_escalates=False, probability=chance)
+        return Trial((tried.id,), always_escalates=False, probability=probability)
+    return Trial((tried.id, second), always_escalates=False, probability=probability)
--- a/acaciacove/decisions/placement.py
+++ b/acaciacove/decisions/placement.py
@@ -46,8 +46,8 @@
 ) -> PlacementMove | None:
     """Return a move from the least utilised version to the most utilised one.
 
-    Returns None if no endpoint is free, or unless the most utilised version is above
-    the utilisation of the other one after the move by more than ``MIN_GAIN``.
+    The utilisation of the receiver before the move must exceed that of the donor after
+    it by more than ``MIN_GAIN``. Returns None otherwise, or if no endpoint is free.
     """
 
     def utilisation(version: VersionId, change: int = 0) -> float:
--- a/acaciacove/decisions/version_choice.py
+++ b/acaciacove/decisions/version_choice.py
@@ -52,46 +52,46 @@
     session without a pin, a hash of its name decides on its exposure. All entries thus
     decide alike, and a growing share moves each session at most once.
     """
-    lost = _lost_versions(fleet, organisation, api, serving)
-    versions = [v for v in fleet.versions_of(api.name) if v.id not in lost]
+    rejected = _rejected_versions(fleet, organisation, api, serving)
+    versions = [v for v in fleet.versions_of(api.name) if v.id not in rejected]
     if not versions:
-        return _refusal(lost, api)
+        return _refusal(rejected, api)
     if pinned is not None and any(v.id == pinned for v in versions):
-        return _pinned_decision(pinned, versions, lost)
+        return _pinned_decision(pinned, versions, rejected)
     draw = _session_draw(session, api) if session else rng.random()
-    exposed, substitutes = _apply_exposure(versions, shares or {}, draw, lost)
+    exposed, substitutes = _apply_exposure(versions, shares or {}, draw, rejected)
     ladder = tuple(sorted(exposed, key=lambda v: (v.cost_per_1k_tokens, v.id)))
     cached = plans.plan(ladder, request_class, api.quality_target, not session)
     trial = draw_trial(cached.trials, rng)
-    return _unpinned_decision(ladder, cached.plan, trial, substitutes, lost)
+    return _unpinned_decision(ladder, cached.plan, trial, substitutes, rejected)
 
 
-def _lost_versions(
+def _rejected_versions(
     fleet: FleetState,
     organisation: Organisation,
     api: Api,
     serving: Collection[VersionId] | None,
 ) -> dict[VersionId, RejectionReason]:
     """Return the versions of an API that cannot be used, with the reasons."""
-    lost: dict[VersionId, RejectionReason] = {}
+    rejected: dict[VersionId, RejectionReason] = {}
     for version in fleet.versions_of(api.name):
         if not organisation.allows(version.id):
-            lost[version.id] = RejectionReason.NOT_ALLOWED
+            rejected[version.id] = RejectionReason.NOT_ALLOWED
         elif version.withdrawn:
-            lost[version.id] = RejectionReason.WITHDRAWN
+            rejected[version.id] = RejectionReason.WITHDRAWN
         elif version.id in fleet.quarantines:
-            lost[version.id] = RejectionReason.QUARANTINED
+            rejected[version.id] = RejectionReason.QUARANTINED
         elif serving is not None and version.id not in serving:
-            lost[version.id] = RejectionReason.NOT_SERVED
-    return lost
+            rejected[version.id] = RejectionReason.NOT_SERVED
+    return rejected
 
 
-def _refusal(lost: dict[VersionId, RejectionReason], api: Api) -> Refusal:
+def _refusal(rejected: dict[VersionId, RejectionReason], api: Api) -> Refusal:
     """Return a refusal for the reason that is closest to being served.
 
     ``_REFUSALS`` lists the reasons in this order.
     """
-    reasons = set(lost.values())
+    reasons = set(rejected.values())
     for why, reason in _REFUSALS:
         if why in reasons:
             return Refusal(reason, not_run=True, detail=f"no version of {api.name}")
@@ -107,7 +107,7 @@
     versions: list[Version],
     shares: Mapping[VersionId, float],
     draw: float,
-    lost: dict[VersionId, RejectionReason],
+    rejected: dict[VersionId, RejectionReason],
 ) -> tuple[list[Version], dict[VersionId, VersionId]]:
     """Select either a version under roll-out or the one that it replaces.
 
@@ -123,25 +123,27 @@
             continue
         share = shares.get(version.id, FULL_SHARE)
         if share >= FULL_SHARE:
-            lost[replaced] = RejectionReason.REPLACED
+            rejected[replaced] = RejectionReason.REPLACED
             del remaining[replaced]
             continue
         del remaining[version.id]
         if draw < share:
             substitutes[replaced] = version.id
         else:
-            lost[version.id] = RejectionReason.NOT_EXPOSED
+            rejected[version.id] = RejectionReason.NOT_EXPOSED
     return list(remaining.values()), substitutes
 
 
 def _pinned_decision(
-    pinned: VersionId, versions: list[Version], lost: dict[VersionId, RejectionReason]
+    pinned: VersionId,
+    versions: list[Version],
+    rejected: dict[VersionId, RejectionReason],
 ) -> VersionDecision:
     for version in versions:
         if version.id != pinned:
-            lost[version.id] = RejectionReason.PINNED_ELSEWHERE
+            rejected[version.id] = RejectionReason.PINNED_ELSEWHERE
     plan = CascadePlan(pinned)
-    decision = _decision(pinned, versions, lost, "pinned")
+    decision = _decision(pinned, versions, rejected, "pinned")
     return VersionDecision(pinned, plan, (pinned,), decision, pinned=True)
 
 
@@ -150,7 +152,7 @@
     plan: CascadePlan,
     trial: Trial | None,
     substitutes: dict[VersionId, VersionId],
-    lost: dict[VersionId, RejectionReason],
+    rejected: dict[VersionId, RejectionReason],
 ) -> VersionDecision:
     chosen_ladder = trial.ladder if trial else _plan_ladder(plan)
     is_after_start = False
@@ -158,18 +160,18 @@
         if version.id == chosen_ladder[0]:
             is_after_start = True
         else:
-            lost[version.id] = (
+            rejected[version.id] = (
                 RejectionReason.DEARER
                 if is_after_start
                 else RejectionReason.BELOW_TARGET
             )
     for replaced in substitutes.keys() & set(chosen_ladder):
-        lost[replaced] = RejectionReason.REPLACED
+        rejected[replaced] = RejectionReason.REPLACED
     chosen_ladder = tuple(
         substitutes.get(version, version) for version in chosen_ladder
     )
     decision = _decision(
-        chosen_ladder[0], ladder, lost, "trial" if trial else "cheapest"
+        chosen_ladder[0], ladder, rejected, "trial" if trial else "cheapest"
     )
     always_escalates = trial is not None and trial.always_escalates
     return VersionDecision(
@@ -184,13 +186,13 @@
 def _decision(
     chosen: VersionId,
     versions: Collection[Version],
-    lost: dict[VersionId, RejectionReason],
+    rejected: dict[VersionId, RejectionReason],
     why: str,
 ) -> Decision:
     costs = {v.id: v.cost_per_1k_tokens for v in versions}
     candidates = [Candidate(str(chosen), None, costs.get(chosen, 0.0))]
     candidates += [
         Candidate(str(version), reason, costs.get(version, 0.0))
-        for version, reason in lost.items()
+        for version, reason in rejected.items()
     ]
     return Decision(DecisionKind.VERSION, str(chosen), tuple(candidates), why)
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -66,9 +66,9 @@
 
 @given(st.integers(0, 10_000), st.sets(st.sampled_from(ZONES)), st.integers(0, 5))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_out_draining_and_excluded_endpoints_are_never_chosen(seed, out, leaving):
+def test_out_draining_and_excluded_endpoints_are_never_chosen(seed, out, draining):
     endpoints = fleet_of(8)
-    endpoints[leaving] = evolve(endpoints[leaving], status=InstanceStatus.LEAVING)
+    endpoints[draining] = evolve(endpoints[draining], status=InstanceStatus.LEAVING)
     fleet = FleetState(availability_zones_out=frozenset(out))
     decided = choose_endpoint(endpoints, {}, 0.0, Random(seed), fleet, excluded={"e7"})
     if out == set(ZONES):
@@ -79,7 +79,7 @@
         assert decided.reason is Reason.NO_ENDPOINT
         return
     assert chosen.availability_zone not in out
-    assert chosen.name not in {"e7", endpoints[leaving].name}
+    assert chosen.name not in {"e7", endpoints[draining].name}
 
 
 def test_entries_do_not_herd_to_the_least_loaded_endpoint():
--- a/tests/test_decisions_models.py
+++ b/tests/test_decisions_models.py
@@ -152,8 +152,8 @@
 def test_the_first_model_depends_on_prices_and_abilities():
     calibration = calibrated((0.54, 0.64, 1.0))
     assert first_model(options(), calibration, IDLE, True) == "m0"
-    dear_small = options(prices=(0.2, 0.21, 0.22), work_s=(0.3, 0.31, 0.32))
-    assert first_model(dear_small, calibration, IDLE, True) == "m2"
+    expensive_small = options(prices=(0.2, 0.21, 0.22), work_s=(0.3, 0.31, 0.32))
+    assert first_model(expensive_small, calibration, IDLE, True) == "m2"
     assert first_model(options(), calibration, IDLE, False) == "m2"
 
 
@@ -182,13 +182,13 @@
     """Half of the first chunks are late because of queues. If the waits counted as
     prompt reading time, all endpoints would look slow for good.
     """
-    random, pace = Random(3), PrefillLatency()
+    random, prefill = Random(3), PrefillLatency()
     for _ in range(300):
         tokens = random.choice((500, 3_000, 15_000))
         wait_s = random.expovariate(4.0) if random.random() < 0.5 else 0.0
-        pace.learn(tokens, 0.03 + tokens * 20e-6 + wait_s)
-    assert pace.predict_s(500) == pytest.approx(0.04, abs=0.06)
-    assert pace.predict_s(15_000) == pytest.approx(0.33, rel=0.3)
+        prefill.learn(tokens, 0.03 + tokens * 20e-6 + wait_s)
+    assert prefill.predict_s(500) == pytest.approx(0.04, abs=0.06)
+    assert prefill.predict_s(15_000) == pytest.approx(0.33, rel=0.3)
 
 
 def test_an_overdue_request_raises_the_wait_before_its_answer():
