--- a/acaciacove/decisions/cascade_planner.py
+++ b/acaciacove/decisions/cascade_planner.py
@@ -1,4 +1,4 @@
-"""Find the cheapest plan that meets the quality target."""
+"""Finds the cheapest cascade plan that meets the quality target."""
 
 from collections.abc import Sequence
 from itertools import chain
@@ -22,7 +22,7 @@
 
 @frozen
 class _QualityCurve:
-    """Per signal bin: share of the answers, mean rating, variance of that mean."""
+    """Share of the answers, mean rating and variance of that mean, by signal bin."""
 
     shares: tuple[float, ...]
     means: tuple[float, ...]
@@ -30,7 +30,7 @@
 
     @property
     def mean(self) -> float:
-        """Mean rating over all bins."""
+        """Mean rating over all bins, weighted by their shares."""
         return sum(s * m for s, m in zip(self.shares, self.means, strict=True))
 
 
@@ -41,41 +41,44 @@
     target: float,
     may_escalate: bool = True,
 ) -> CascadePlan:
-    """Plan for a class; ``ladder`` is in order of cost and not empty.
+    """Return the cheapest plan for a class whose lower bound meets the target.
 
-    Where nothing meets the target with confidence, the plan of the best expected
-    quality is taken, never the cheapest.
+    ``ladder`` is ordered by cost and not empty. If no plan meets the target with
+    confidence, the plan with the best expected quality is returned, not the cheapest.
     """
     first_bins = {v.id: estimates.bins(v.id, request_class) for v in ladder}
     bias = fit_response_bias(chain.from_iterable(first_bins.values()))
     curves = {v.id: _quality_curve(v, first_bins[v.id], bias) for v in ladder}
     plans = [_direct_plan(version, curves[version.id]) for version in ladder]
     if may_escalate:
-        for place, first in enumerate(ladder):
-            for second in ladder[place + 1 :]:
+        for index, first in enumerate(ladder):
+            for second in ladder[index + 1 :]:
                 before = curves[first.id]
                 expected = curves[second.id].mean
                 bins = estimates.bins(second.id, request_class, str(first.id))
                 after = _curve_after(before, expected, bins, bias)
                 plans.append(_escalating_plan(first, second, before, after, target))
-    meeting = [plan for plan in plans if plan.lower >= target]
-    if meeting:
-        return min(meeting, key=lambda plan: plan.cost)
+    sufficient = [plan for plan in plans if plan.lower >= target]
+    if sufficient:
+        return min(sufficient, key=lambda plan: plan.cost)
     return max(plans, key=lambda plan: plan.quality)
 
 
 def _quality_curve(
-    version: Version, raw: tuple[tuple[float, Tally], ...], bias: ResponseBias
+    version: Version, raw_bins: tuple[tuple[float, Tally], ...], bias: ResponseBias
 ) -> _QualityCurve:
-    """Draw each bin's mean towards the version's mean, that towards its prior."""
-    bins = [(count, bias.correct(tally)) for count, tally in raw]
-    seen = sum(count for count, _ in bins)
-    rated = sum(tally.count for _, tally in bins)
+    """Return the ratings of a version by signal bin.
+
+    Each bin's mean is shrunk towards the version's mean, and that towards its prior.
+    """
+    bins = [(count, bias.correct(tally)) for count, tally in raw_bins]
+    answer_count = sum(count for count, _ in bins)
+    rating_count = sum(tally.count for _, tally in bins)
     total = sum(tally.total for _, tally in bins)
-    overall = (total + PRIOR_RATINGS * version.quality) / (rated + PRIOR_RATINGS)
+    overall = (total + PRIOR_RATINGS * version.quality) / (rating_count + PRIOR_RATINGS)
     tallies = [tally for _, tally in bins]
     return _QualityCurve(
-        tuple((count + 1 / SIGNAL_BINS) / (seen + 1.0) for count, _ in bins),
+        tuple((count + 1 / SIGNAL_BINS) / (answer_count + 1.0) for count, _ in bins),
         tuple(_shrunk_mean(tally, overall) for tally in tallies),
         tuple(_variance(tally) for tally in tallies),
     )
@@ -87,10 +90,11 @@
     bins: tuple[tuple[float, Tally], ...],
     bias: ResponseBias,
 ) -> _QualityCurve:
-    """Return the second answer's ratings by the first one's signal.
+    """Return the second version's ratings by the signal of the first answer.
 
-    What is hard for the first version is harder for the second too; until ratings
-    tell how much, a part of the first one's shortfall is assumed to carry over.
+    Requests that are difficult for the first version are also more difficult for the
+    second. Until ratings show by how much, the second version is assumed to have
+    ``SHORTFALL_CARRY_OVER`` of the first one's shortfall.
     """
     priors = [
         expected + SHORTFALL_CARRY_OVER * min(0.0, mean - before.mean)
@@ -123,7 +127,10 @@
     after: _QualityCurve,
     target: float,
 ) -> CascadePlan:
-    """Raise the threshold bin by bin until the target is met, then share the edge."""
+    """Return the plan with the lowest threshold that meets the target.
+
+    The threshold is raised bin by bin, and the last step is interpolated.
+    """
     below = _plan_at_threshold(first, second, before, after, 0)
     if below.lower >= target:
         return below
@@ -147,21 +154,21 @@
         curve = after if bin_ < bins_below else before
         quality += share * curve.means[bin_]
         variance += share**2 * curve.variances[bin_]
-    escalated = sum(before.shares[:bins_below])
+    escalated_share = sum(before.shares[:bins_below])
     return CascadePlan(
         first.id,
         second.id,
         bins_below,
         quality=quality,
         lower=_lower_bound(quality, variance),
-        cost=first.cost_per_1k_tokens + escalated * second.cost_per_1k_tokens,
+        cost=first.cost_per_1k_tokens + escalated_share * second.cost_per_1k_tokens,
     )
 
 
 def _interpolated_plan(
     below: CascadePlan, above: CascadePlan, target: float
 ) -> CascadePlan:
-    """Mix two neighbouring thresholds so that the target is just met."""
+    """Interpolate between adjacent thresholds so that the target is just met."""
     gap = above.lower - below.lower
     share = 1.0 if gap <= 0 else min(1.0, (target - below.lower) / gap)
     return evolve(
--- a/acaciacove/decisions/endpoint_choice.py
+++ b/acaciacove/decisions/endpoint_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint runs an attempt."""
+"""Chooses the endpoint of an attempt."""
 
 from collections.abc import Collection, Mapping, Sequence
 from math import exp
@@ -41,29 +41,30 @@
     zone_shares: Mapping[str, float] | None = None,
     settings: EndpointSettings = DEFAULT_SETTINGS,
 ) -> EndpointDecision | Refusal:
-    """Choose among the entry's bounded set of endpoints of one version.
+    """Choose among the entry's subset of endpoints of one version.
 
-    A few are drawn at random, and with them the endpoints that hold the session or
-    the prompt's prefix; the least expected time wins. Comparing all by reports that
-    lag would send every entry to the same emptiest endpoint at once. ``zone_shares``
-    (from ``ZoneMoves``) thins the draws from a zone that is returning.
+    A few endpoints are sampled at random; the preferred endpoints of the session and
+    of the prompt's prefix are added. The lowest expected time wins. A comparison of
+    all endpoints by outdated load reports would send all entries to the same least
+    loaded endpoint at once. ``zone_shares`` (from ``ZoneMoves``) lowers the share of a
+    zone that is returning to service.
     """
-    lost = {
+    rejected = {
         instance.name: reason
         for instance in candidates
         if (reason := _exclusion_reason(instance, fleet, excluded)) is not None
     }
-    usable = [instance for instance in candidates if instance.name not in lost]
+    usable = [instance for instance in candidates if instance.name not in rejected]
     if not usable:
-        return _refusal(set(lost.values()))
+        return _refusal(set(rejected.values()))
     usable = _without_returning(usable, zone_shares or {}, rng)
     preferred = _preferred_endpoints(usable, session_endpoint, prefix_hash)
     sampled = _sample(usable, views, rng, preferred, settings)
-    usual = _baseline([views[i.name] for i in sampled if i.name in views], settings)
+    baseline = _baseline([views[i.name] for i in sampled if i.name in views], settings)
     scores = {
         i.name: _expected_s(
             views.get(i.name) or EndpointView(i),
-            usual,
+            baseline,
             now_s,
             _affinity(i, views, preferred, session_endpoint, prefix_hash, settings),
             organisation,
@@ -72,7 +73,7 @@
         for i in sampled
     }
     best = min(sampled, key=lambda i: scores[i.name])
-    decision = _decision(best, sampled, scores, lost)
+    decision = _decision(best, sampled, scores, rejected)
     return EndpointDecision(best, scores[best.name], decision)
 
 
@@ -90,9 +91,9 @@
     return None
 
 
-def _refusal(lost: set[RejectionReason]) -> Refusal:
+def _refusal(rejected: set[RejectionReason]) -> Refusal:
     for why, reason in _REFUSALS:
-        if why in lost and len(lost) == 1:
+        if why in rejected and len(rejected) == 1:
             return Refusal(reason, not_run=True)
     return Refusal(Reason.NO_ENDPOINT, not_run=True)
 
@@ -100,15 +101,15 @@
 def _without_returning(
     usable: list[Instance], zone_shares: Mapping[str, float], rng: Random
 ) -> list[Instance]:
-    """Leave out endpoints of a returning zone by chance, but never all endpoints."""
+    """Leave out endpoints of returning zones at random, but never all endpoints."""
     if all(share >= 1.0 for share in zone_shares.values()):
         return usable
-    kept = [
+    retained = [
         instance
         for instance in usable
         if rng.random() < zone_shares.get(instance.availability_zone, 1.0)
     ]
-    return kept or usable
+    return retained or usable
 
 
 def _sample(
@@ -118,17 +119,18 @@
     preferred: Collection[str],
     settings: EndpointSettings,
 ) -> list[Instance]:
-    """Draw a few at random, and those with affinity.
+    """Return a few endpoints at random, and the preferred ones.
 
-    More are drawn where most of the load is the entry's own, which it knows exactly.
-    With more choices from reports that lag, all entries would meet on the endpoints
-    that were emptiest a moment ago, and their requests would wait there.
+    More are sampled if at least ``own_share`` of the load comes from this entry, since
+    it knows its own requests exactly. With a larger sample and outdated reports, all
+    entries would choose the endpoints that were least loaded at the last report, and
+    their requests would queue there.
     """
-    known = [views[i.name] for i in usable if i.name in views]
-    own = sum(view.own_in_flight for view in known)
-    all_ = sum(view.at_endpoint for view in known)
-    exact = all_ > 0 and own >= settings.own_share * all_
-    choices = settings.exact_choices if exact else settings.choices
+    known_views = [views[i.name] for i in usable if i.name in views]
+    local_load = sum(view.own_in_flight for view in known_views)
+    total_load = sum(view.at_endpoint for view in known_views)
+    is_exact = total_load > 0 and local_load >= settings.own_share * total_load
+    choices = settings.exact_choices if is_exact else settings.choices
     sampled = rng.sample(usable, min(choices, len(usable)))
     sampled += [i for i in usable if i.name in preferred and i not in sampled]
     return sampled
@@ -137,10 +139,10 @@
 def _preferred_endpoints(
     usable: list[Instance], session_endpoint: str, prefix_hash: str
 ) -> set[str]:
-    """Name the endpoints of the session and of the prompt's prefix.
+    """Return the preferred endpoints of the session and of the prompt's prefix.
 
-    A prefix lives where rendezvous hashing puts it. Every entry computes the same
-    place, so no cache event has to arrive for its requests to meet there.
+    The endpoint of a prefix is found by rendezvous hashing. All entries compute the
+    same one, so they need no cache event to send its requests to the same endpoint.
     """
     preferred = {session_endpoint} if session_endpoint else set()
     if prefix_hash:
@@ -155,15 +157,18 @@
 def _baseline(
     views: list[EndpointView], settings: EndpointSettings
 ) -> EndpointBaseline:
-    """Average the reports of the endpoints that are compared."""
-    told = [v for v in views if v.load.limit]
-    if not told:
+    """Return the average of the load reports of the compared endpoints."""
+    reported_views = [v for v in views if v.load.limit]
+    if not reported_views:
         return EndpointBaseline(0.0, settings.default_service_s, settings.default_limit)
-    services = [v.load.service_s for v in told if v.load.service_s]
+    service_times_s = [v.load.service_s for v in reported_views if v.load.service_s]
     return EndpointBaseline(
-        sum(v.at_endpoint for v in told) / sum(v.load.limit for v in told),
-        sum(services) / len(services) if services else settings.default_service_s,
-        max(v.load.limit for v in told),
+        sum(v.at_endpoint for v in reported_views)
+        / sum(v.load.limit for v in reported_views),
+        sum(service_times_s) / len(service_times_s)
+        if service_times_s
+        else settings.default_service_s,
+        max(v.load.limit for v in reported_views),
     )
 
 
@@ -175,37 +180,41 @@
     prefix_hash: str,
     settings: EndpointSettings,
 ) -> float:
-    """Return the share of a service time that caches at an endpoint save."""
+    """Return the share of the service time that an endpoint's caches save."""
     if instance.name == session_endpoint:
         return settings.session_gain
     view = views.get(instance.name)
-    sent_there = view is not None and prefix_hash in view.prefixes
-    return settings.prefix_gain if sent_there or instance.name in preferred else 0.0
+    has_prefix = view is not None and prefix_hash in view.prefixes
+    return settings.prefix_gain if has_prefix or instance.name in preferred else 0.0
 
 
 def _expected_s(
     view: EndpointView,
-    usual: EndpointBaseline,
+    baseline: EndpointBaseline,
     now_s: float,
     affinity: float,
     organisation: str,
     settings: EndpointSettings,
 ) -> float:
-    """Estimate the seconds until an answer, from a report of some age."""
-    limit = view.load.limit or usual.limit
-    fade_s = max(settings.min_fade_s, settings.fade_services * usual.service_s)
-    say = exp((view.reported_at_s - now_s) / fade_s)
-    unheard = max(float(view.own_in_flight), usual.load * limit)
-    believed = say * view.at_endpoint + (1.0 - say) * unheard
-    believed = min(believed, max(settings.queue_cap * limit, view.own_in_flight))
-    slower = view.load.service_s / (settings.slower_factor * usual.service_s)
-    service_s = usual.service_s * max(1.0, slower)
-    expected_s = service_s * (1.0 + (believed + 1.0) / limit)
-    alike = view.by_organisation[organisation]
-    expected_s += settings.spread_weight * service_s * alike / limit
-    crowding = believed + 1.0 - settings.full_share * limit
-    if crowding > 0.0:
-        return expected_s + settings.wait_weight * service_s * crowding / limit
+    """Return the expected seconds until the answer, from a report of some age."""
+    limit = view.load.limit or baseline.limit
+    fade_s = max(settings.min_fade_s, settings.fade_services * baseline.service_s)
+    report_weight = exp((view.reported_at_s - now_s) / fade_s)
+    fallback_load = max(float(view.own_in_flight), baseline.load * limit)
+    estimated_load = (
+        report_weight * view.at_endpoint + (1.0 - report_weight) * fallback_load
+    )
+    estimated_load = min(
+        estimated_load, max(settings.queue_cap * limit, view.own_in_flight)
+    )
+    slowdown = view.load.service_s / (settings.slower_factor * baseline.service_s)
+    service_s = baseline.service_s * max(1.0, slowdown)
+    expected_s = service_s * (1.0 + (estimated_load + 1.0) / limit)
+    same_organisation = view.by_organisation[organisation]
+    expected_s += settings.spread_weight * service_s * same_organisation / limit
+    excess_load = estimated_load + 1.0 - settings.full_share * limit
+    if excess_load > 0.0:
+        return expected_s + settings.wait_weight * service_s * excess_load / limit
     expected_s -= affinity * service_s
     if now_s - view.failed_at_s < settings.failure_pause_s * view.failures:
         expected_s += service_s * view.failures
@@ -216,7 +225,7 @@
     best: Instance,
     sampled: list[Instance],
     scores: dict[str, float],
-    lost: dict[str, RejectionReason],
+    rejected: dict[str, RejectionReason],
 ) -> Decision:
     candidates = [Candidate(best.name, None, scores[best.name])]
     candidates += [
@@ -224,5 +233,5 @@
         for i in sampled
         if i is not best
     ]
-    candidates += [Candidate(name, why) for name, why in lost.items()]
+    candidates += [Candidate(name, why) for name, why in rejected.items()]
     return Decision(DecisionKind.ENDPOINT, best.name, tuple(candidates), "least_time")
--- a/acaciacove/decisions/model_plan.py
+++ b/acaciacove/decisions/model_plan.py
@@ -1,9 +1,9 @@
-"""Which model answers a request first, and whether a larger one is asked after it.
+"""Chooses the model that is queried first, and whether a larger one is queried next.
 
-Search with costs: an answer is worth 1 when it is good and in time, and less when late
-or poor. Each model costs money and an endpoint's time, which others wait for. The next
-model is asked while what it adds is worth more than what it costs (Weitzman, "Optimal
-Search for the Best Alternative", 1979, for boxes that are opened in turn).
+This is a search with costs. A good answer in time has a value of 1, a late or poor one
+less. Each model costs money and an endpoint's time, for which other requests wait. The
+next model is queried if it adds more value than it costs (Weitzman, "Optimal Search for
+the Best Alternative", 1979, where boxes are opened one after the other).
 """
 
 from collections.abc import Sequence
@@ -12,21 +12,22 @@
 
 from acaciacove.decisions.confidence_calibration import ConfidenceCalibration
 
-# What an answer is worth that is too poor, and what a late one loses.
+# Value of a poor answer, and the value that a good answer loses when it is very late.
 POOR_ANSWER_VALUE = 0.05
 MAX_LATE_LOSS = 0.5
-# How surely a first piece that is expected at its target is late: predictions are off
-# by a factor of two often, by four seldom.
+# Steepness of the loss of value around the latency target. Predicted latencies are
+# often wrong by a factor of two, and seldom by a factor of four.
 LATENESS_EXPONENT = 2.5
 
 
 @frozen
 class ModelOption:
-    """One model that could be asked now.
+    """A model that could be queried now.
 
-    ``price`` is what its answer costs as a share of what a good answer is worth,
-    ``first_chunk_s`` when its first piece is expected from now on, ``work_s`` for how
-    long it occupies an endpoint. ``is_largest`` tells the last of its route's sizes.
+    ``price`` is the cost of its answer as a share of the value of a good answer.
+    ``first_chunk_s`` is the expected time from now to its first chunk. ``work_s`` is
+    the time for which it occupies an endpoint. ``is_largest`` marks the largest model
+    of the route.
     """
 
     name: str
@@ -38,10 +39,11 @@
 
 @frozen
 class LatencyContext:
-    """When a decision is made: time since the request came, and its target.
+    """Time since the request arrived, its latency target, and the cost of delays.
 
-    ``delayed_per_s`` is how many other requests a second of an endpoint's work delays
-    by a second, and ``delay_weight`` what it costs to delay one by its target.
+    ``delayed_per_s`` is the number of other requests that one second of an endpoint's
+    work delays by a second. ``delay_weight`` is the cost of delaying one request by
+    its latency target, see ``DelayCost``.
     """
 
     elapsed_s: float
@@ -56,80 +58,98 @@
     context: LatencyContext,
     may_escalate: bool,
 ) -> str:
-    """Return the model to ask first; ``options`` are ordered by size, not empty."""
+    """Return the model to query first.
 
-    def worth(place: int) -> float:
-        option = options[place]
-        good = calibration.quality(option.name, option.is_largest)
+    ``options`` is ordered by size and not empty. ``may_escalate`` says whether a larger
+    model may be queried after the first one.
+    """
+
+    def value(index: int) -> float:
+        option = options[index]
+        good_probability = calibration.quality(option.name, option.is_largest)
         in_time = _good_answer_value(context, option.first_chunk_s)
-        rest = POOR_ANSWER_VALUE
-        if may_escalate and good < 1.0:
-            later = _context_after(context, option)
-            rest = max(
+        poor_value = POOR_ANSWER_VALUE
+        if may_escalate and good_probability < 1.0:
+            later_context = _context_after(context, option)
+            poor_value = max(
                 [POOR_ANSWER_VALUE]
                 + [
                     _option_value(
                         larger,
                         _recovery_probability(calibration, option, larger),
-                        later,
+                        later_context,
                     )
-                    for larger in options[place + 1 :]
+                    for larger in options[index + 1 :]
                 ]
             )
-        return good * in_time + (1.0 - good) * rest - _cost(option, context)
+        return (
+            good_probability * in_time
+            + (1.0 - good_probability) * poor_value
+            - _cost(option, context)
+        )
 
-    return options[max(range(len(options)), key=worth)].name
+    return options[max(range(len(options)), key=value)].name
 
 
 def next_model(
-    asked: str,
+    queried: str,
     confidence: float,
     larger: Sequence[ModelOption],
     calibration: ConfidenceCalibration,
     context: LatencyContext,
     may_escalate_twice: bool,
 ) -> str | None:
-    """Return the model to ask after an answer, or None where the answer is to stay.
+    """Return the model to query after an answer, or None to deliver the answer.
 
-    ``larger`` holds the models above ``asked``, smallest first. ``may_escalate_twice``
-    tells that still another could be asked after the next.
+    ``queried`` is the model that answered with ``confidence``. ``larger`` holds the
+    larger models, smallest first. ``may_escalate_twice`` says whether another model may
+    be queried after the next one.
     """
     best_name = None
-    good = calibration.good_probability(confidence)
-    best = good * _good_answer_value(context, 0.0) + (1.0 - good) * POOR_ANSWER_VALUE
-    for place, option in enumerate(larger):
-        likely = calibration.good_probability_after(asked, confidence, option.name)
-        worth = _option_value(option, likely, context)
-        if may_escalate_twice and place + 1 < len(larger):
+    good_probability = calibration.good_probability(confidence)
+    best_value = (
+        good_probability * _good_answer_value(context, 0.0)
+        + (1.0 - good_probability) * POOR_ANSWER_VALUE
+    )
+    for index, option in enumerate(larger):
+        probability = calibration.good_probability_after(
+            queried, confidence, option.name
+        )
+        value = _option_value(option, probability, context)
+        if may_escalate_twice and index + 1 < len(larger):
             last = larger[-1]
-            likely_last = calibration.good_probability_after(
-                asked, confidence, last.name
+            last_probability = calibration.good_probability_after(
+                queried, confidence, last.name
             )
-            gain = (likely_last - likely) / max(1e-6, 1.0 - likely)
-            again = _option_value(last, max(0.0, gain), _context_after(context, option))
-            worth += (1.0 - likely) * max(0.0, again - POOR_ANSWER_VALUE)
-        if worth > best:
-            best, best_name = worth, option.name
+            recovery = (last_probability - probability) / max(1e-6, 1.0 - probability)
+            second_value = _option_value(
+                last, max(0.0, recovery), _context_after(context, option)
+            )
+            value += (1.0 - probability) * max(0.0, second_value - POOR_ANSWER_VALUE)
+        if value > best_value:
+            best_value, best_name = value, option.name
     return best_name
 
 
 def _recovery_probability(
-    calibration: ConfidenceCalibration, asked: ModelOption, larger: ModelOption
+    calibration: ConfidenceCalibration, queried: ModelOption, larger: ModelOption
 ) -> float:
-    """Return how likely ``larger`` answers well what ``asked`` does not."""
-    small = calibration.quality(asked.name, asked.is_largest)
-    large = calibration.quality(larger.name, larger.is_largest)
-    return max(0.0, large - small) / max(1e-6, 1.0 - small)
+    """Return the probability that ``larger`` answers well if ``queried`` does not."""
+    small_quality = calibration.quality(queried.name, queried.is_largest)
+    large_quality = calibration.quality(larger.name, larger.is_largest)
+    return max(0.0, large_quality - small_quality) / max(1e-6, 1.0 - small_quality)
 
 
-def _option_value(option: ModelOption, likely: float, context: LatencyContext) -> float:
-    answered = likely * _good_answer_value(context, option.first_chunk_s)
-    return answered + (1.0 - likely) * POOR_ANSWER_VALUE - _cost(option, context)
+def _option_value(
+    option: ModelOption, probability: float, context: LatencyContext
+) -> float:
+    good_value = probability * _good_answer_value(context, option.first_chunk_s)
+    return good_value + (1.0 - probability) * POOR_ANSWER_VALUE - _cost(option, context)
 
 
 def _cost(option: ModelOption, context: LatencyContext) -> float:
-    delayed = context.delayed_per_s * option.work_s / context.target_s
-    return option.price + context.delay_weight * delayed
+    delayed_targets = context.delayed_per_s * option.work_s / context.target_s
+    return option.price + context.delay_weight * delayed_targets
 
 
 def _context_after(context: LatencyContext, option: ModelOption) -> LatencyContext:
@@ -137,16 +157,17 @@
 
 
 def _good_answer_value(context: LatencyContext, first_chunk_s: float) -> float:
-    """Return what a good answer is worth when its first piece comes then."""
+    """Return the value of a good answer whose first chunk arrives after this time."""
     share = (context.elapsed_s + first_chunk_s) / context.target_s
-    late = share**LATENESS_EXPONENT / (1.0 + share**LATENESS_EXPONENT)
-    return 1.0 - MAX_LATE_LOSS * late
+    lateness = share**LATENESS_EXPONENT / (1.0 + share**LATENESS_EXPONENT)
+    return 1.0 - MAX_LATE_LOSS * lateness
 
 
 def lateness_slope(share: float) -> float:
-    """Return what a good answer loses for each target of further delay.
+    """Return the value that a good answer loses per latency target of further delay.
 
-    ``share`` is the time to its first piece as a share of its target.
+    ``share`` is the time to its first chunk as a share of the latency target. This is
+    the negative derivative of ``_good_answer_value``.
     """
     if share <= 0.0:
         return 0.0
--- a/acaciacove/decisions/placement.py
+++ b/acaciacove/decisions/placement.py
@@ -1,4 +1,4 @@
-"""Which version each endpoint should hold."""
+"""Plans which version each endpoint holds."""
 
 from collections.abc import Mapping
 
@@ -17,10 +17,10 @@
 ) -> tuple[PlacementMove, ...]:
     """Plan the next few moves towards equal work per endpoint.
 
-    ``placed`` maps endpoints to the version they hold, ``work`` versions to the
-    measured demand in busy endpoints. Endpoints in ``moving`` are still loading and
-    count against ``max_moves``. The last endpoint of a version stays while it has
-    work. Planned anew from what is measured, step by step.
+    ``placed`` maps endpoints to the version that they hold. ``work`` maps versions to
+    their measured demand, in busy endpoints. Endpoints in ``moving`` are still loading
+    and count against ``max_moves``. A version with work keeps at least one endpoint.
+    Callers plan again from new measurements after each step.
     """
     counts = dict.fromkeys(work, 0)
     for version in placed.values():
@@ -44,21 +44,25 @@
     counts: dict[VersionId, int],
     free: list[str],
 ) -> PlacementMove | None:
-    """Move from the version with most room to the one with least."""
+    """Return a move from the least utilised version to the most utilised one.
 
-    def use(version: VersionId, change: int = 0) -> float:
+    The utilisation of the receiver before the move must exceed that of the donor after
+    it by more than ``MIN_GAIN``. Returns None otherwise, or if no endpoint is free.
+    """
+
+    def utilisation(version: VersionId, change: int = 0) -> float:
         count = counts[version] + change
-        load = work.get(version, 0.0)
-        return load / count if count > 0 else (float("inf") if load else 0.0)
+        demand = work.get(version, 0.0)
+        return demand / count if count > 0 else (float("inf") if demand else 0.0)
 
-    receiver = max(sorted(counts), key=use)
-    givers = [v for v in sorted(counts) if v != receiver and counts[v] > 0]
-    if not givers:
+    receiver = max(sorted(counts), key=utilisation)
+    donors = [v for v in sorted(counts) if v != receiver and counts[v] > 0]
+    if not donors:
         return None
-    giver = min(givers, key=lambda v: use(v, -1))
-    if use(giver, -1) + MIN_GAIN >= use(receiver):
+    donor = min(donors, key=lambda v: utilisation(v, -1))
+    if utilisation(donor, -1) + MIN_GAIN >= utilisation(receiver):
         return None
     for name in free:
-        if placed[name] == giver:
-            return PlacementMove(name, receiver, giver)
+        if placed[name] == donor:
+            return PlacementMove(name, receiver, donor)
     return None
--- a/acaciacove/decisions/plan_cache.py
+++ b/acaciacove/decisions/plan_cache.py
@@ -1,4 +1,4 @@
-"""Plans that stay in use until enough new ratings have come."""
+"""Cache of cascade plans."""
 
 from attrs import define, field
 
@@ -14,7 +14,10 @@
 
 @define
 class PlanCache:
-    """Remembers plans, so that a decision costs a look-up and not a search."""
+    """Caches plans until enough new ratings have arrived.
+
+    A decision then costs a look-up instead of a search.
+    """
 
     estimates: QualityEstimates
     settings: ChoiceSettings = ChoiceSettings()
@@ -27,12 +30,12 @@
         target: float,
         may_escalate: bool,
     ) -> CachedPlan:
-        """Return the plan in use, made anew after ``replan_ratings`` ratings."""
+        """Return the cached plan, or a new one after ``replan_ratings`` ratings."""
         key = (tuple(v.id for v in ladder), request_class, target, may_escalate)
-        known = self._plans.get(key)
-        due = self.estimates.generation - self.settings.replan_ratings
-        if known is not None and known.generation > due:
-            return known
+        cached = self._plans.get(key)
+        stale_generation = self.estimates.generation - self.settings.replan_ratings
+        if cached is not None and cached.generation > stale_generation:
+            return cached
         if len(self._plans) >= MAX_PLANS:
             self._plans.clear()
         self._plans[key] = self._make_plan(ladder, request_class, target, may_escalate)
--- a/tests/test_decisions_endpoints.py
+++ b/tests/test_decisions_endpoints.py
@@ -1,4 +1,4 @@
-"""Subsets are bounded and even; endpoints are chosen without herds."""
+"""Subsets are bounded and even; endpoint choices do not herd."""
 
 from collections import Counter
 from random import Random
@@ -28,10 +28,10 @@
     ]
 
 
-def view(instance, in_flight, at_s=0.0, limit=8):
-    known = EndpointView(instance)
-    known.reported(Load(in_flight=in_flight, limit=limit, service_s=1.0), at_s)
-    return known
+def view_of(instance, in_flight, at_s=0.0, limit=8):
+    endpoint_view = EndpointView(instance)
+    endpoint_view.reported(Load(in_flight=in_flight, limit=limit, service_s=1.0), at_s)
+    return endpoint_view
 
 
 @given(st.integers(1, 60), st.integers(1, 120))
@@ -56,8 +56,8 @@
 
 
 def test_one_added_endpoint_changes_little_of_a_subset():
-    # An endpoint is replaced. If each entry then drew a fresh set, all connections
-    # and prefix caches of the fleet would be lost at once.
+    # If an added endpoint changed the subsets completely, all connections and prefix
+    # caches of the fleet would be lost at once.
     names = [f"entry-{n}" for n in range(40)]
     before = {e.name for e in choose_subset("entry-7", names, fleet_of(200))}
     after = {e.name for e in choose_subset("entry-7", names, fleet_of(201))}
@@ -66,9 +66,9 @@
 
 @given(st.integers(0, 10_000), st.sets(st.sampled_from(ZONES)), st.integers(0, 5))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_out_draining_and_excluded_endpoints_are_never_chosen(seed, out, leaving):
+def test_out_draining_and_excluded_endpoints_are_never_chosen(seed, out, draining):
     endpoints = fleet_of(8)
-    endpoints[leaving] = evolve(endpoints[leaving], status=InstanceStatus.LEAVING)
+    endpoints[draining] = evolve(endpoints[draining], status=InstanceStatus.LEAVING)
     fleet = FleetState(availability_zones_out=frozenset(out))
     decided = choose_endpoint(endpoints, {}, 0.0, Random(seed), fleet, excluded={"e7"})
     if out == set(ZONES):
@@ -79,14 +79,16 @@
         assert decided.reason is Reason.NO_ENDPOINT
         return
     assert chosen.availability_zone not in out
-    assert chosen.name not in {"e7", endpoints[leaving].name}
+    assert chosen.name not in {"e7", endpoints[draining].name}
 
 
 def test_entries_do_not_herd_to_the_least_loaded_endpoint():
-    # All entries hold the same report, a second old, in which one endpoint is empty.
-    # If each sent there, its queue would be the longest a moment later.
+    # All entries hold the same report, one second old, in which one endpoint is idle.
+    # If all entries chose it, it would have the longest queue right afterwards.
     endpoints = fleet_of(12)
-    views = {e.name: view(e, in_flight=0 if e.name == "e3" else 5) for e in endpoints}
+    views = {
+        e.name: view_of(e, in_flight=0 if e.name == "e3" else 5) for e in endpoints
+    }
     chosen = Counter(
         choose_endpoint(endpoints, views, 1.0, Random(seed), FleetState()).endpoint.name
         for seed in range(300)
@@ -95,22 +97,22 @@
 
 
 def test_local_requests_count_before_a_report_includes_them():
-    known = view(fleet_of(1)[0], in_flight=2)
+    endpoint_view = view_of(fleet_of(1)[0], in_flight=2)
     for number in range(3):
-        known.sent(1.0 + number)
-    assert known.at_endpoint == 5
-    known.reported(Load(in_flight=4, limit=8), 2.5)
-    assert known.at_endpoint == 5
+        endpoint_view.sent(1.0 + number)
+    assert endpoint_view.at_endpoint == 5
+    endpoint_view.reported(Load(in_flight=4, limit=8), 2.5)
+    assert endpoint_view.at_endpoint == 5
 
 
 def test_requests_with_the_same_prefix_choose_the_same_endpoint():
-    # Cache events come late or never. Entries that each guess alone would spread one
-    # prompt over all engines, and each would compute it anew.
+    # Cache events arrive late or not at all. If entries chose independently, they would
+    # spread one prompt over all engines, and each engine would compute it again.
     endpoints = fleet_of(12)
     chosen = Counter(
         choose_endpoint(
             endpoints,
-            {e.name: view(e, in_flight=2) for e in endpoints},
+            {e.name: view_of(e, in_flight=2) for e in endpoints},
             0.0,
             Random(seed),
             FleetState(),
@@ -123,24 +125,26 @@
 
 def test_a_full_preferred_endpoint_is_not_chosen():
     endpoints = fleet_of(12)
-    home = choose_endpoint(
+    preferred = choose_endpoint(
         endpoints,
-        {e.name: view(e, in_flight=2) for e in endpoints},
+        {e.name: view_of(e, in_flight=2) for e in endpoints},
         0.0,
         Random(1),
         FleetState(),
         prefix_hash="p",
     ).endpoint
-    views = {e.name: view(e, in_flight=8 if e == home else 2) for e in endpoints}
+    views = {
+        e.name: view_of(e, in_flight=8 if e == preferred else 2) for e in endpoints
+    }
     decided = choose_endpoint(
         endpoints, views, 0.0, Random(1), FleetState(), prefix_hash="p"
     )
-    assert decided.endpoint != home
+    assert decided.endpoint != preferred
 
 
 def test_a_returning_zone_ramps_up_and_flapping_restarts_the_ramp():
-    # An operator takes a zone out and in again, twice in a row. Its endpoints are
-    # cold; with a full share at once their callers would wait longest.
+    # An operator takes a zone out of service and back, twice in a row. Its endpoints
+    # are cold; with a full share at once, their callers would wait longest.
     moves, out = ZoneMoves(), FleetState(availability_zones_out=frozenset({"ozark"}))
     moves.update(out, 0.0)
     assert moves.share("ozark", 1.0) == 0.0
--- a/tests/test_decisions_limits.py
+++ b/tests/test_decisions_limits.py
@@ -1,4 +1,4 @@
-"""Ramps, queues and budgets keep endpoints and organisations whole."""
+"""Ramps, queues and budgets protect endpoints and the shares of organisations."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -26,8 +26,8 @@
     )
 
 
-def served(queue, count, step_s=1.0):
-    """Run items one after the other; returns the organisations in order."""
+def run_items(queue, count, step_s=1.0):
+    """Run items one after the other and return them in order."""
     order, now_s = [], 0.0
     for _ in range(count):
         taken = queue.next(now_s)
@@ -41,13 +41,13 @@
 
 def test_a_flood_does_not_take_the_share_of_other_organisations():
     # One organisation sends a hundred requests at once, then another sends five. In
-    # order of arrival the second would wait for the whole flood.
+    # order of arrival, the second one would wait for all requests of the first.
     queue = AdmissionQueue(limit=1)
     for number in range(100):
         assert queue.offer(item(number, "flood"), 0.0) is None
     for number in range(5):
         assert queue.offer(item(number, "small"), 0.0) is None
-    order = [taken.organisation for taken in served(queue, 12)]
+    order = [taken.organisation for taken in run_items(queue, 12)]
     assert order.count("small") == 5
 
 
@@ -56,7 +56,7 @@
     for number in range(80):
         queue.offer(item(number, "large", weight=3.0), 0.0)
         queue.offer(item(number, "small", weight=1.0), 0.0)
-    order = [taken.organisation for taken in served(queue, 80)]
+    order = [taken.organisation for taken in run_items(queue, 80)]
     assert 58 <= order.count("large") <= 62
 
 
@@ -65,13 +65,13 @@
     for number in range(120):
         queue.offer(item(number, "chat"), 0.0)
         queue.offer(item(number, "reports", batch=True), 0.0)
-    batch = sum(taken.batch for taken in served(queue, 100))
+    batch = sum(taken.batch for taken in run_items(queue, 100))
     assert 8 <= batch <= 12
 
 
 def test_refused_work_earns_no_credit():
-    # A flood waits beyond its time and is refused again and again. Were it given
-    # credit for that, it would crowd out those who sent little.
+    # Most requests of a flood expire and are refused. If refused requests earned
+    # credit, the flood would displace the organisation that sends little.
     queue = AdmissionQueue(AdmissionSettings(min_samples=0, token_s=0.0), limit=1)
     now_s = 0.0
     shares = {"flood": 0, "small": 0}
@@ -91,12 +91,12 @@
 
 
 def test_work_that_cannot_end_in_time_is_refused_at_once():
-    # At twice the capacity a queue grows until everything in it is late. The caller
-    # then waits for an answer that no longer helps, and a place is lost to it.
+    # At twice the capacity, a queue grows until all its items miss their deadlines.
+    # Callers wait for answers that come too late, and these answers occupy slots.
     queue = AdmissionQueue(limit=1)
     for number in range(10):
         queue.offer(item(number, tokens=10.0), 0.0)
-    served(queue, 10, step_s=10.0)
+    run_items(queue, 10, step_s=10.0)
     for number in range(10, 14):
         assert queue.offer(item(number), 100.0) is None
     refusal = queue.offer(item(99, deadline=120.0), 100.0)
@@ -113,28 +113,30 @@
 
 @given(steps, st.integers(1, 4))
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_every_item_is_run_refused_or_cancelled_exactly_once(walk, limit):
+def test_every_item_is_run_refused_or_cancelled_exactly_once(actions, limit):
     queue = AdmissionQueue(AdmissionSettings(max_queue=6), limit=limit)
     offered, ran, refused, cancelled = set(), set(), set(), set()
-    for now_s, (step, number) in enumerate(walk):
-        if step == "offer":
+    for now_s, (action, number) in enumerate(actions):
+        if action == "offer":
             new = item(
                 f"{now_s}", f"org-{number % 3}", 1 + number, now_s + 9.0 + number
             )
             offered.add(new.request_id)
             if queue.offer(new, float(now_s)) is not None:
                 refused.add(new.request_id)
-        elif step == "next" and (taken := queue.next(float(now_s))) is not None:
+        elif action == "next" and (taken := queue.next(float(now_s))) is not None:
             assert taken.request_id not in ran
             ran.add(taken.request_id)
-        elif step == "finish" and queue.running:
+        elif action == "finish" and queue.running:
             name = sorted(queue.running)[number % len(queue.running)]
             queue.finish(queue.running[name][0], float(now_s), ok=True)
-        elif step == "cancel" and offered:
+        elif action == "cancel" and offered:
             name = sorted(offered)[number % len(offered)]
             if queue.cancel(name):
                 cancelled.add(name)
-        refused |= {gone.item.request_id for gone in queue.take_refused()}
+        refused |= {
+            refused_item.item.request_id for refused_item in queue.take_refused()
+        }
         assert len(queue.running) <= limit
         assert queue.queued <= 6
     assert not (ran & refused or ran & cancelled or refused & cancelled)
@@ -148,41 +150,39 @@
     for second in range(90):
         ramp.finished(0.03, True, float(second))
         limits.append(ramp.limit(float(second)))
-        bears = 2 + 14 * min(1.0, second / 60.0)
-        assert limits[-1] <= bears
+        capacity = 2 + 14 * min(1.0, second / 60.0)
+        assert limits[-1] <= capacity
     assert limits == sorted(limits) and limits[-1] == 16
 
 
 def test_time_alone_does_not_warm_an_endpoint():
-    # A fresh endpoint stands idle for an hour. Its caches are as cold as before, and
-    # with the warm limit the first burst would make it fall over.
+    # A fresh endpoint is idle for an hour, and its caches are still cold. With the warm
+    # limit, the first burst would overload it.
     assert Ramp(VERSION, 0.0).limit(3600.0) == 2
 
 
 def test_an_endpoint_that_turns_cold_unannounced_restarts_its_ramp():
-    # An engine restarts within its instance, or its accelerator is throttled, and no
-    # message tells of it. Answers stall, and more work only makes it worse.
-    for notice in ("gap", "latency", "restart", "report"):
+    # An engine restarts within its instance, or its accelerator is throttled, without
+    # any message. Answers stall, and more work makes it worse.
+    for sign in ("gap", "latency", "restart", "report"):
         ramp = Ramp(VERSION, 0.0, warm=True)
         for second in range(30):
             ramp.finished(0.03, True, float(second))
             ramp.reported(Load(), 1, float(second))
         assert ramp.limit(30.0) == 16
-        if notice == "gap":
+        if sign == "gap":
             ramp.observed_gap(0.3, 31.0)
-        elif notice == "latency":
+        elif sign == "latency":
             for _ in range(3):
                 ramp.finished(0.2, True, 31.0)
         else:
-            ramp.reported(
-                Load(cold=notice == "report"), 1 + (notice == "restart"), 31.0
-            )
-        assert ramp.limit(31.0) == 2, notice
+            ramp.reported(Load(cold=sign == "report"), 1 + (sign == "restart"), 31.0)
+        assert ramp.limit(31.0) == 2, sign
 
 
 def test_single_cancelled_or_slow_requests_do_not_restart_the_ramp():
-    # One caller cancels, another sends a prompt that takes long. Were the limit put
-    # back to cold for it, everybody else would queue before a warm endpoint.
+    # One caller cancels, another sends a long prompt. If either restarted the ramp, all
+    # other requests would queue although the endpoint is warm.
     ramp = Ramp(VERSION, 0.0, warm=True)
     for second in range(40):
         ramp.finished(0.03, True, float(second))
@@ -214,7 +214,7 @@
 
 
 def test_a_call_that_may_not_be_repeated_is_never_hedged():
-    # A booking's first attempt is slow. A hedge could book the shuttle twice.
+    # The first attempt of a booking call is slow. A hedge could book twice.
     delays = HedgeDelays()
     for _ in range(100):
         delays.record("call", 0.2)
