--- a/acaciacove/decisions/crash_evidence.py
+++ b/acaciacove/decisions/crash_evidence.py
@@ -1,20 +1,20 @@
-"""Which requests were under way at which crashes of endpoints."""
+"""Records which requests were in flight at which endpoint crashes."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
 
 from attrs import define, field
 
-# Crashes that are remembered, the oldest forgotten first; and requests of each.
+# Bounds of the stored evidence; the oldest crashes are evicted first.
 MAX_CRASHES = 128
 MAX_SUSPECTS = 128
 
 
 @define(eq=False)
 class CrashEvidence:
-    """Grows by what gateways saw; the order in which they tell it does not matter.
+    """Crashes seen by all gateways; the order of the reports does not matter.
 
-    Endpoints are numbers that stand for one life of each, requests their
+    Endpoints are identified by the number of one incarnation, requests by their
     fingerprints.
     """
 
@@ -22,18 +22,18 @@
     _crashes: dict[int, set[int]] = field(factory=dict)
 
     def __contains__(self, fingerprint: int) -> bool:
-        """Tell whether any endpoint crashed while the request was there."""
+        """Return whether any endpoint crashed with the request in flight."""
         return fingerprint in self._crashes
 
     def __bool__(self) -> bool:
-        """Tell whether there is any."""
+        """Return whether any request was in flight at a crash."""
         return bool(self._crashes)
 
     def add(self, endpoint: int, suspects: Iterable[int]) -> list[int]:
-        """Note a crash; returns the suspects that were not known of it.
+        """Record a crash; returns the suspects that are new for it.
 
-        Those that most endpoints crashed under come first, and are kept if there are
-        too many.
+        Suspects are sorted by their number of crashes, highest first. Beyond
+        ``MAX_SUSPECTS_PER_CRASH`` the ones with the fewest crashes are dropped.
         """
         known = self._suspects.setdefault(endpoint, set())
         new = sorted(set(suspects) - known, key=self.crashes_under, reverse=True)
@@ -54,31 +54,31 @@
             del self._crashes[fingerprint]
 
     def forget(self, fingerprint: int) -> None:
-        """Take a request off all crashes: one that was served has caused none."""
+        """Remove a request from all crashes, as it was served and caused none."""
         for endpoint in self._crashes.pop(fingerprint, ()):
             self._suspects[endpoint].discard(fingerprint)
 
     def crashes_under(self, fingerprint: int) -> int:
-        """Return how many endpoints crashed while the request was there."""
+        """Return how many endpoints crashed with the request in flight."""
         return len(self._crashes.get(fingerprint, ()))
 
     def was_at(self, endpoint: int, fingerprint: int) -> bool:
-        """Tell whether the request was at an endpoint when it crashed."""
+        """Return whether the request was in flight when the endpoint crashed."""
         return endpoint in self._crashes.get(fingerprint, ())
 
     def suspects_of(self, endpoint: int) -> list[int]:
-        """Return the requests that were at an endpoint when it crashed.
+        """Return the requests that were in flight when an endpoint crashed.
 
-        Those that most endpoints crashed under come first.
+        They are sorted by their number of crashes, highest first.
         """
         found = self._suspects.get(endpoint, ())
         return sorted(found, key=self.crashes_under, reverse=True)
 
     def is_explained(self, fingerprint: int) -> bool:
-        """Tell whether another request was there at all the same crashes, and more.
+        """Return whether another request was in flight at all its crashes and more.
 
-        That one is the likelier cause. Without this, requests that share endpoints
-        with the one that crashes them would be taken for it.
+        The other request is then the likelier cause. Without this check, requests
+        that share endpoints with the request that crashes them would be suspected.
         """
         own = self._crashes.get(fingerprint)
         if not own:
--- a/acaciacove/decisions/evidence_kind.py
+++ b/acaciacove/decisions/evidence_kind.py
@@ -1,10 +1,10 @@
-"""The kinds of evidence on a version."""
+"""The kinds of evidence about a version."""
 
 from enum import StrEnum
 
 
 class EvidenceKind(StrEnum):
-    """Each is a score from 0 (bad) to 1 (good)."""
+    """What a score measures; every score is between 0 (bad) and 1 (good)."""
 
     RATING = "rating"
     SUCCESS = "success"
--- a/acaciacove/decisions/evidence_test.py
+++ b/acaciacove/decisions/evidence_test.py
@@ -1,4 +1,4 @@
-"""A sequential test on scores between 0 and 1, valid at every look."""
+"""Sequential test on scores between 0 and 1, valid after any number of checks."""
 
 from math import exp, log
 
@@ -8,18 +8,19 @@
 
 
 def score_bucket(score: float) -> int:
-    """Sort a score into one of ``BUCKETS + 1`` buckets; 0 and 1 are exact."""
+    """Return the histogram bucket, 0 to ``BUCKETS``, that is nearest to a score."""
     return round(min(1.0, max(0.0, score)) * BUCKETS)
 
 
 def evidence_below(counts: list[float], mean: float) -> float:
     """Return the log odds against "the true mean is at least ``mean``".
 
-    ``counts`` holds scores per bucket. A player who bets against the claim at fair
-    odds multiplies its stake by ``1 + bet * (mean - score)`` at each score. If the
-    claim holds, the stake reaches ``1 / alpha`` at any time with probability alpha
-    at most (Ville's inequality), so looking after every score is free. The result
-    depends on the counts alone, so entries that share counts agree.
+    ``counts`` holds the number of scores per bucket. This is a test by betting: a
+    bet against the hypothesis at fair odds multiplies the wealth by
+    ``1 + bet * (mean - score)`` at each score. If the hypothesis is true, the wealth
+    ever reaches ``1 / alpha`` with a probability of at most alpha (Ville's
+    inequality), so the test may be repeated after every score. The result depends
+    on the counts alone, so entries with the same counts reach the same result.
     """
     largest = 1.0 / max(_MIN_MEAN, 1.0 - mean)
     return _log_stake(counts, [(mean, size * largest) for size in _BET_SIZES])
@@ -32,7 +33,7 @@
 
 
 def _log_stake(counts: list[float], bets: list[tuple[float, float]]) -> float:
-    """Return the log of the mean stake over several bet sizes."""
+    """Return the log of the mean wealth over several bets."""
     logs = [_log_growth(counts, mean, bet) for mean, bet in bets]
     top = max(logs)
     return top + log(sum(exp(value - top) for value in logs) / len(logs))
--- a/acaciacove/decisions/exposures.py
+++ b/acaciacove/decisions/exposures.py
@@ -1,4 +1,4 @@
-"""What share of its traffic each version under roll-out gets."""
+"""The share of traffic that each version under roll-out gets."""
 
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.version import Version
@@ -8,14 +8,17 @@
 
 
 def exposure(fleet: FleetState, version: Version) -> float:
-    """Return the share in force; without a living predecessor it is all."""
+    """Return the share in force of a version.
+
+    A version without a predecessor in the fleet gets the full share.
+    """
     if version.replaces is None or version.replaces not in fleet.versions:
         return FULL_SHARE
     return fleet.exposures.get(version.id, version.first_share)
 
 
 def exposures(fleet: FleetState) -> dict[VersionId, float]:
-    """Return the share of every version under roll-out, as the log has it."""
+    """Return the share of every version under roll-out, as recorded in the log."""
     return {
         v.id: exposure(fleet, v)
         for v in fleet.versions.values()
--- a/acaciacove/decisions/guard_action.py
+++ b/acaciacove/decisions/guard_action.py
@@ -1,10 +1,10 @@
-"""What the roll-out guard wants done with a version."""
+"""Actions of the roll-out guard on a version."""
 
 from enum import StrEnum
 
 
 class GuardAction(StrEnum):
-    """Keep its share, widen it, or stop it everywhere."""
+    """Keep the share of the version, widen it, or quarantine the version."""
 
     KEEP = "keep"
     WIDEN = "widen"
--- a/acaciacove/decisions/guard_settings.py
+++ b/acaciacove/decisions/guard_settings.py
@@ -5,16 +5,17 @@
 
 @frozen
 class GuardSettings:
-    """How much evidence it takes.
+    """How much evidence the roll-out guard requires.
 
-    ``false_alarm`` bounds the chance that a version as good as its reference is ever
-    stopped by one kind of evidence in one window, whatever the number of looks.
-    ``tolerance`` is the loss of mean score that counts as no worse;
-    ``unacceptable`` the loss that a version must be shown not to have before its
-    share grows, each time with odds of ``widen_odds`` and ``stage_ratings`` more
-    ratings. Windows start every ``window_ratings`` ratings of the whole service, the
-    last ``kept_windows`` are kept. A reference is the mean of the first
-    ``baseline_scores`` scores of a version.
+    ``false_alarm`` bounds the probability that a version as good as its reference is
+    ever quarantined by one kind of evidence in one window, for any number of checks.
+    ``tolerance`` is the loss of mean score that still counts as no worse.
+    ``unacceptable`` is the loss that must be ruled out before the share grows: each
+    stage requires another factor of ``widen_odds`` in the odds and
+    ``stage_ratings`` more ratings. A window starts every ``window_ratings`` ratings
+    of the whole service, and the last ``kept_windows`` are retained. The baseline of
+    a version is the mean of its first ``baseline_scores`` scores, and a reference
+    needs at least ``min_reference_scores``.
     """
 
     false_alarm: float = 0.0005
--- a/acaciacove/decisions/guard_verdict.py
+++ b/acaciacove/decisions/guard_verdict.py
@@ -1,4 +1,4 @@
-"""The verdict on one version under watch."""
+"""Verdict of the roll-out guard on one version."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class GuardVerdict:
-    """``share`` is the exposure from now on; ``reason`` names the evidence."""
+    """``share`` is the new exposure; ``reason`` names the evidence for it."""
 
     action: GuardAction
     share: float
--- a/acaciacove/decisions/lost.py
+++ b/acaciacove/decisions/lost.py
@@ -4,7 +4,7 @@
 
 
 class Lost(StrEnum):
-    """Stable codes that the log line of a decision carries."""
+    """Stable codes that appear in the log line of a decision."""
 
     NOT_ALLOWED = "not_allowed"
     WITHDRAWN = "withdrawn"
--- a/acaciacove/decisions/request_quarantine.py
+++ b/acaciacove/decisions/request_quarantine.py
@@ -1,9 +1,9 @@
-"""Finds the request that crashes the endpoints that run it, and holds it back.
+"""Finds requests that crash the endpoints that run them, and quarantines them.
 
-A request under which three endpoints have crashed is suspected, unless another one
-explains the same crashes. It gets one more try at a time in the whole fleet: many
-requests are under way at an endpoint that crashes, and most of them did nothing. One
-that is served is cleared; one that crashes the endpoint of its try is quarantined.
+A request is suspected once three endpoints have crashed with it in flight, unless
+another request explains the same crashes. Most requests in flight at a crash did not
+cause it, so a suspected request gets trials, one at a time in the whole fleet. It is
+cleared if it is served, and quarantined if it crashes the endpoint of its trial.
 """
 
 from collections import OrderedDict
@@ -22,24 +22,25 @@
 )
 
 SUSPICIOUS_CRASHES = 3
-# Tries of a suspected request, in case that one has no clear end.
+# Trials of a suspected request, as one may end without a clear result.
 MAX_TRIALS = 2
-# How long others wait for the end of a try.
+# How long a trial without a result blocks other trials.
 TRIAL_S = 10.0
-# When the end of another's try is likely known.
+# Retry-After during a trial; its result is usually known by then.
 TRIAL_ENDS_S = 1.0
 QUARANTINE_S = 86_400.0
-# Gateways that have not heard of it may still tell old crashes of a cleared request.
+# Gateways that have not yet received the clearance may still report old crashes of a
+# cleared request.
 CLEARED_S = 60.0
 MAX_HELD = 1024
 
 
 @define(eq=False)
 class RequestQuarantine:
-    """What one gateway knows of requests that may crash endpoints.
+    """One gateway's view of the requests that may crash endpoints.
 
-    All gateways that have been told the same hold the same; times are of the
-    caller's clock.
+    Gateways that have received the same updates have the same view. Times are on the
+    clock of the caller.
     """
 
     evidence: CrashEvidence = field(factory=CrashEvidence)
@@ -49,16 +50,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no request to hold back or to clear."""
+        """Return whether there is no request to quarantine or to clear."""
         return not (self.evidence or self._trials or self._quarantined)
 
     @property
     def held(self) -> int:
-        """How many requests are in quarantine."""
+        """Number of quarantined requests."""
         return len(self._quarantined)
 
     def standing(self, fingerprint: int, now_s: float) -> RequestStanding:
-        """Return what the request may do now."""
+        """Return whether the request may be sent now."""
         self._forget_old(now_s)
         if fingerprint in self._quarantined:
             return RequestStanding.QUARANTINED
@@ -73,14 +74,14 @@
         return RequestStanding.QUARANTINED
 
     def retry_after_s(self, fingerprint: int, now_s: float) -> float:
-        """Return when a request that is held back may do better."""
+        """Return the seconds until a refused request should be retried."""
         until_s = self._quarantined.get(fingerprint)
         return TRIAL_ENDS_S if until_s is None else until_s - now_s
 
     def note_crash(
         self, endpoint: int, suspects: Iterable[int], now_s: float
     ) -> list[int]:
-        """Note a crash; returns the suspects that were not known of it."""
+        """Record a crash; returns the suspects that are new for it."""
         self._forget_old(now_s)
         new = self.evidence.add(
             endpoint, [each for each in suspects if each not in self._cleared]
@@ -90,7 +91,7 @@
         return new
 
     def _judge(self, fingerprint: int, now_s: float) -> None:
-        """Suspect a request, or quarantine one that crashed the endpoint of its try."""
+        """Suspect a request, or quarantine it if it crashed its trial endpoint."""
         trial = self._trials.get(fingerprint)
         if trial is not None:
             if self.evidence.was_at(trial.endpoint, fingerprint):
@@ -110,10 +111,10 @@
     def claim_trial(
         self, fingerprint: int, endpoint: int, claim: int, now_s: float
     ) -> RequestVerdict:
-        """Claim the one try that a suspected request has; returns what to tell.
+        """Claim the one trial of a suspected request; returns the verdict to gossip.
 
-        Others may claim it at the same moment: it is had by who still has it once
-        word of theirs would have come.
+        Other gateways may claim it at the same time. The claimant must check
+        ``holds_trial`` after the time in which competing claims arrive.
         """
         number = self._trials.get(fingerprint, TrialOfRequest()).number + 1
         trial = TrialOfRequest(number, endpoint, claim, now_s + TRIAL_S)
@@ -121,12 +122,12 @@
         return _verdict_of(fingerprint, trial)
 
     def has_trial(self, fingerprint: int, claim: int) -> bool:
-        """Tell whether the try is still that of a claim."""
+        """Return whether the trial still belongs to a claim."""
         trial = self._trials.get(fingerprint)
         return trial is not None and trial.claim == claim
 
     def suspect(self, fingerprint: int) -> None:
-        """Hold a request back but for tries of one at a time."""
+        """Refuse a request from now on, except for one trial at a time."""
         if fingerprint not in self._trials and fingerprint not in self._quarantined:
             self._try(fingerprint, TrialOfRequest())
 
@@ -136,7 +137,7 @@
             self._trials.popitem(last=False)
 
     def clear(self, fingerprint: int, now_s: float) -> bool:
-        """Note that the request was served; tells whether others should know."""
+        """Record that a request was served; returns whether peers need an update."""
         held = self._trials.pop(fingerprint, None) is not None
         held = self._quarantined.pop(fingerprint, None) is not None or held
         matters = held or self.evidence.crashes_under(fingerprint) > 1
@@ -146,7 +147,7 @@
         return matters
 
     def take(self, verdict: RequestVerdict, now_s: float) -> bool:
-        """Take another gateway's word; tells whether it was news."""
+        """Apply a verdict of another gateway; returns whether it was new."""
         self._forget_old(now_s)
         fingerprint = verdict.fingerprint
         if fingerprint in self._cleared:
@@ -188,7 +189,7 @@
         return True
 
     def verdicts(self, now_s: float) -> list[RequestVerdict]:
-        """Return all that others should hold, too."""
+        """Return all verdicts that peers should have as well."""
         self._forget_old(now_s)
         found = [
             RequestVerdict(each, QUARANTINED, left_s=until_s - now_s)
@@ -213,7 +214,10 @@
 
 
 def _is_ahead(known: TrialOfRequest, told: RequestVerdict) -> bool:
-    """Tell whether a trial is as good as another gateway's word, or better."""
+    """Return whether a local trial takes precedence over a received one.
+
+    The higher trial number wins, and the lower claim if the numbers are equal.
+    """
     return known.number > told.trials or (
         known.number == told.trials and known.claim <= told.claim
     )
--- a/acaciacove/decisions/request_standing.py
+++ b/acaciacove/decisions/request_standing.py
@@ -4,10 +4,10 @@
 
 
 class RequestStanding(Enum):
-    """What the crashes under a request let it do.
+    """Status of a request, derived from the crashes with it in flight.
 
-    FREE is any request's. One of TRIAL may be sent once, while nobody else tries
-    it; in WAITING somebody does. QUARANTINED is not sent.
+    FREE: not suspected, may be sent. TRIAL: suspected, may be sent once as a trial.
+    WAITING: suspected, and a trial is in progress. QUARANTINED: may not be sent.
     """
 
     FREE = "free"
--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -1,4 +1,4 @@
-"""Exposure of versions under roll-out, and quarantine of bad ones."""
+"""Sets the exposure of versions under roll-out and quarantines bad ones."""
 
 from math import log
 
@@ -29,12 +29,12 @@
 
 @define
 class RolloutGuard:
-    """Evidence on each version, pooled over entries, and what follows from it.
+    """Pools the evidence on each version over all entries and derives verdicts.
 
-    The verdict is a function of counts alone, which only grow and merge in any
-    order, and of the shares in force: an entry that restarts, or a roll-out whose
-    judge vanished, goes on where evidence and release stream stand. Counts are of
-    one declaration of a version; a release note that declares it anew starts over.
+    A verdict depends only on the counts, which only grow and merge in any order, and
+    on the shares in force. So a roll-out continues from the shared counts and the
+    release stream when an entry restarts or fails. Counts belong to one declaration of a version: a release note that
+    declares the version again starts with empty counts.
     """
 
     origin: str
@@ -44,7 +44,7 @@
     _rows: dict[CellName, list[float]] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Count under the own name."""
+        """Create the counters under the local origin."""
         self._counts = SharedCounts(self.origin)
 
     def observe(
@@ -57,8 +57,8 @@
     ) -> None:
         """Count one score (0 to 1) of a version.
 
-        ``sequence`` is a rating's sequence number. It sets the window, so that
-        entries agree on windows without agreeing on a clock.
+        ``sequence`` is the sequence number of a rating. It sets the window, so that
+        entries agree on windows without synchronised clocks.
         """
         self.turn_to(sequence // self.settings.window_ratings)
         bucket = str(score_bucket(score))
@@ -69,10 +69,11 @@
             self._count(_name(BASELINE, fleet, version, kind, bucket))
 
     def verdict(self, fleet: FleetState, version: Version) -> GuardVerdict:
-        """Weigh all evidence on a version; the caller records what is not KEEP.
+        """Evaluate all evidence on a version; the caller records all but KEEP.
 
-        Until it has the full share, a version is compared with the one it replaces,
-        then with its own early scores, so that a slow decline is seen as well.
+        Until it has the full share, a version is compared with the one it replaces.
+        After that it is compared with its own early scores, which also detects a
+        slow decline.
         """
         share = exposure(fleet, version)
         reference = version.id
@@ -88,11 +89,11 @@
         return GuardVerdict(GuardAction.WIDEN, earned, f"as good as {reference}")
 
     def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
-        """Take up to ``limit`` counters to send to a peer."""
+        """Remove and return up to ``limit`` counters to send to a peer."""
         return self._counts.export_delta(limit)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> None:
-        """Take in a peer's counters."""
+        """Merge the counters of a peer."""
         windows = [int(c.name[0]) for c in cells if c.name[0] != BASELINE]
         self.turn_to(max(windows, default=self.window))
         oldest = self.window - self.settings.kept_windows
@@ -105,14 +106,14 @@
         self._add_to_row(name, 1.0)
 
     def _add_to_row(self, name: CellName, count: float) -> None:
-        """Keep a histogram per window, version and kind beside the counters."""
+        """Update the histogram of the window, version and kind of a counter."""
         if name[-1] == ALL_BUCKETS:
             return
         row = self._rows.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
         row[int(name[-1])] += count
 
     def turn_to(self, window: int) -> None:
-        """Go on to a later window, and forget those that are no longer kept."""
+        """Advance to a later window, and remove those no longer retained."""
         if window <= self.window:
             return
         self.window = window
@@ -133,7 +134,7 @@
         reference: VersionId,
         kind: EvidenceKind,
     ) -> bool:
-        """Test the scores since the start of each kept window."""
+        """Test the scores since the start of each retained window."""
         mean = self._reference_mean(fleet, reference, kind, version != reference)
         if mean is None:
             return False
@@ -151,7 +152,7 @@
     def _earned_share(
         self, fleet: FleetState, version: Version, reference: VersionId, share: float
     ) -> float:
-        """Return the share that the evidence of being no worse has earned."""
+        """Return the share that the evidence of being no worse justifies."""
         mean = self._reference_mean(fleet, reference, EvidenceKind.RATING, True)
         if mean is None or share >= FULL_SHARE:
             return share
@@ -169,10 +170,11 @@
         kind: EvidenceKind,
         lately: bool,
     ) -> float | None:
-        """Return the mean to compare with; None while too little is known.
+        """Return the mean to compare with, or None while there are too few scores.
 
-        A version that still serves is taken as it is ``lately``, under the same
-        requests as the new one; compared with itself, as it was at first.
+        With ``is_recent`` it is the mean of the retained windows, in which the
+        reference and the new version serve the same mix of requests. Otherwise, or
+        with too few recent scores, it is the mean of the first scores.
         """
         counts = self._lately(fleet, version, kind) if lately else []
         if sum(counts) < self.settings.min_reference_scores:
@@ -185,7 +187,7 @@
     def _lately(
         self, fleet: FleetState, version: VersionId, kind: EvidenceKind
     ) -> list[float]:
-        """Sum the kept windows."""
+        """Sum the histograms of the retained windows."""
         since = [0.0] * (BUCKETS + 1)
         for window in self._kept():
             counts = self._histogram(str(window), fleet, version, kind)
@@ -193,7 +195,7 @@
         return since
 
     def _kept(self) -> range:
-        """Return the kept windows, newest first."""
+        """Return the retained windows, newest first."""
         oldest = max(-1, self.window - self.settings.kept_windows)
         return range(self.window, oldest, -1)
 
--- a/acaciacove/decisions/shared_cell.py
+++ b/acaciacove/decisions/shared_cell.py
@@ -1,4 +1,4 @@
-"""One counter of one origin, as entries exchange it."""
+"""One counter of one origin, as exchanged between entries."""
 
 from attrs import frozen
 
@@ -7,9 +7,9 @@
 
 @frozen
 class SharedCell:
-    """Totals that ``origin`` alone adds to and that only grow.
+    """Totals that only ``origin`` adds to and that only grow.
 
-    ``count`` orders two copies of a cell: the larger one is the newer.
+    Of two copies of a cell the one with the larger ``count`` is the newer.
     """
 
     origin: str
--- a/acaciacove/decisions/shared_counts.py
+++ b/acaciacove/decisions/shared_counts.py
@@ -1,4 +1,4 @@
-"""Counters that entries share at constant cost: per origin, and only growing."""
+"""Grow-only counters per origin that entries exchange at constant cost."""
 
 from attrs import define, field
 
@@ -10,13 +10,13 @@
 
 @define
 class SharedCounts:
-    """Sums over the scores that every origin has counted, own ones included.
+    """Sums over the scores counted by all origins, including the local one.
 
-    A message may be lost, doubled or overtaken: a cell is the origin's whole total,
-    so a merge keeps the larger count and adds nothing twice. ``export_delta`` sends
-    at most ``limit`` cells, changed ones first and in turn, so an exchange costs
-    the same at any fleet size; a lost message is made good because unchanged
-    cells follow when nothing new is waiting.
+    Messages may be lost, duplicated or reordered: a cell holds the complete total of
+    its origin, so a merge keeps the larger count and adds nothing twice.
+    ``export_delta`` returns at most ``limit`` cells, changed ones first, so an
+    exchange costs the same at any fleet size. When fewer have changed, it fills up
+    with unchanged cells in rounds, which makes up for lost messages.
     """
 
     origin: str
@@ -26,7 +26,7 @@
     _rounds: list[tuple[str, CellName]] = field(factory=list)
 
     def add(self, name: CellName, score: float = 0.0, count: float = 1.0) -> None:
-        """Count ``count`` scores of the same value."""
+        """Add ``count`` scores of the same value."""
         key = (self.origin, name)
         old = self._cells.get(key) or SharedCell(self.origin, name, 0.0)
         added = SharedCell(
@@ -43,7 +43,7 @@
         return self._totals.get(name, Tally())
 
     def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
-        """Take up to ``limit`` cells to send to a peer."""
+        """Remove and return up to ``limit`` cells to send to a peer."""
         keys = list(self._changed)[:limit]
         for key in keys:
             del self._changed[key]
@@ -54,9 +54,9 @@
         return tuple(self._cells[key] for key in keys if key in self._cells)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> list[tuple[CellName, float]]:
-        """Take in a peer's cells; returns by how much each name's count grew.
+        """Merge the cells of a peer; returns by how much each name's count grew.
 
-        Own cells come back only after a restart.
+        Cells of the local origin are only new after a restart.
         """
         grown: list[tuple[CellName, float]] = []
         for cell in cells:
@@ -68,7 +68,7 @@
         return grown
 
     def forget(self, names: set[CellName]) -> None:
-        """Drop cells of withdrawn versions or past epochs."""
+        """Remove cells, as of withdrawn versions or past epochs."""
         for key in [key for key in self._cells if key[1] in names]:
             del self._cells[key]
             self._changed.pop(key, None)
@@ -76,7 +76,7 @@
             self._totals.pop(name, None)
 
     def names(self) -> tuple[CellName, ...]:
-        """List the cells that any origin has counted in."""
+        """Return the names of all cells with counts of any origin."""
         return tuple(self._totals)
 
     def _store(self, cell: SharedCell) -> None:
--- a/acaciacove/decisions/tally.py
+++ b/acaciacove/decisions/tally.py
@@ -13,9 +13,9 @@
 
     @property
     def mean(self) -> float:
-        """Mean score; 0 without any."""
+        """Mean score, or 0 without any scores."""
         return self.total / self.count if self.count else 0.0
 
     def plus(self, count: float, total: float, squares: float) -> "Tally":
-        """Return the tally with some more scores."""
+        """Return a tally that includes more scores."""
         return Tally(self.count + count, self.total + total, self.squares + squares)
--- a/acaciacove/decisions/trial.py
+++ b/acaciacove/decisions/trial.py
@@ -1,4 +1,4 @@
-"""A way to try another version than the planned one."""
+"""An exploration of another version than the planned one."""
 
 from attrs import frozen
 
@@ -7,9 +7,10 @@
 
 @frozen
 class Trial:
-    """``ladder`` to use instead of the plan's, on a ``chance`` of the requests.
+    """Uses ``ladder`` instead of the plan's for a random part of the requests.
 
-    With ``always_escalates`` the first answer is only rated, never delivered.
+    ``probability`` is the probability that a request takes part. With
+    ``always_escalates`` the first answer is only rated, never delivered.
     """
 
     ladder: tuple[VersionId, ...]
--- a/acaciacove/decisions/trial_of_request.py
+++ b/acaciacove/decisions/trial_of_request.py
@@ -1,14 +1,15 @@
-"""One try of a request that is suspected of crashing endpoints."""
+"""One trial of a request that is suspected of crashing endpoints."""
 
 from attrs import frozen
 
 
 @frozen
 class TrialOfRequest:
-    """The ``number``-th try; others wait for its end until ``until_s``.
+    """The ``number``-th trial; it blocks other trials until ``until_s``.
 
-    ``endpoint`` stands for the life of an endpoint that got it. Number 0 means that
-    nobody has tried the suspected request yet. ``claim`` is drawn by whoever tries it.
+    ``endpoint`` identifies the incarnation of the endpoint that runs it. Number 0
+    means that the suspected request has had no trial yet. ``claim`` is a random number
+    drawn by the gateway that runs the trial.
     """
 
     number: int = 0
--- a/acaciacove/gateway/quarantine/__init__.py
+++ b/acaciacove/gateway/quarantine/__init__.py
@@ -1,1 +1,1 @@
-"""Holds back requests that crash the endpoints that run them."""
+"""Quarantine of requests that crash the endpoints that run them."""
--- a/acaciacove/gateway/quarantine/crash_watch.py
+++ b/acaciacove/gateway/quarantine/crash_watch.py
@@ -1,4 +1,4 @@
-"""Tells crashes of endpoints from connections that merely broke."""
+"""Distinguishes endpoint crashes from broken connections."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,11 +14,11 @@
 from acaciacove.gateway.metric import Metric
 from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
 
-# Requests of one crash are lost within milliseconds of each other.
+# The requests of one crash are lost within milliseconds of each other.
 GATHER_S = 0.02
-# A machine that answers nothing within this is out of reach, which proves no crash.
+# A host that does not answer within this time is unreachable, which proves no crash.
 CHECK_TIMEOUT_S = 0.4
-# Of the requests of one crash, those that are named in the log.
+# Fingerprints in the log line of one crash.
 MAX_LOGGED = 16
 
 OnCrash = Callable[[Endpoint, list[int], float], None]
@@ -26,11 +26,12 @@
 
 @define(eq=False)
 class CrashWatch:
-    """Asks an endpoint for a connection after requests at it were lost.
+    """Opens a test connection to an endpoint after requests to it were lost.
 
-    A process that has ended refuses it, whatever broke the others: a reset on the
-    way does not stop the endpoint from listening. ``on_crash`` gets the fingerprints
-    of the requests that this gateway lost, in pieces if they end one after the other.
+    If the process has ended, the connection is refused. A reset by the network leaves
+    the endpoint listening, so the connection succeeds. ``on_crash`` receives the
+    fingerprints of the requests that this gateway lost. Requests that are lost more
+    than ``GATHER_WINDOW_S`` apart are reported in several calls.
     """
 
     log: EventLog
@@ -40,7 +41,7 @@
     _checks: set[asyncio.Task[None]] = field(factory=set)
 
     def note_lost(self, state: EndpointState, fingerprint: int) -> None:
-        """Note a request whose connection broke while the endpoint may have run it."""
+        """Record a request whose connection broke while it may have been running."""
         gathered = self._lost.get(state)
         if gathered is not None:
             gathered.append(fingerprint)
--- a/acaciacove/gateway/quarantine/quarantine_records.py
+++ b/acaciacove/gateway/quarantine/quarantine_records.py
@@ -1,7 +1,7 @@
-"""Reads requests that are held back from the platform's log, and writes them there.
+"""Restores quarantined and suspected requests from the platform's log and writes them.
 
-Without it a loss of all gateways would forget which requests crash endpoints, and they
-would crash as many again.
+Without these records a restart of all gateways would lose track of the requests that
+crash endpoints, and as many endpoints would crash again.
 """
 
 import asyncio
@@ -27,7 +27,7 @@
 async def keep_records(
     guard: RequestGuard, metadata: MetadataLog, log: EventLog
 ) -> None:
-    """Take up what the log holds, then write what is new, until cancelled."""
+    """Restore the records of the log, then write changes, until cancelled."""
     await _restore(guard, metadata, log)
     while True:
         await guard.to_record.wait()
@@ -42,8 +42,8 @@
             page = await metadata.newest(LogStream.QUARANTINE)
             break
         except PlatformUnavailableError:
-            # Said already by the followers of the decisions; other gateways tell
-            # what they know in the meantime.
+            # Not logged here, as the readers of decisions log the outage. Peers
+            # gossip their verdicts in the meantime.
             await asyncio.sleep(RETRY_S)
     for record in page.records:
         _take_up(guard, record, log)
@@ -70,7 +70,7 @@
     try:
         await metadata.append(LogStream.QUARANTINE, key_of(fingerprint), value, None)
     except PlatformUnavailableError:
-        # An append without an answer may have been taken; the same again does no harm.
+        # An append without a reply may have taken effect; repeating it is harmless.
         await asyncio.sleep(RETRY_S)
         return
     if guard.records.get(fingerprint, record) is record:
--- a/acaciacove/gateway/quarantine/request_fingerprint.py
+++ b/acaciacove/gateway/quarantine/request_fingerprint.py
@@ -1,4 +1,4 @@
-"""A number for what a request asks, the same for each time that it is sent."""
+"""Fingerprint of a request that is equal each time the request is sent."""
 
 from hashlib import blake2b
 
@@ -8,10 +8,10 @@
 
 
 def request_fingerprint(request: CallerRequest, organisation: str) -> int:
-    """Return 64 bits of method, target, body and caller.
+    """Return a 64-bit hash of method, target, organisation and body.
 
-    Header fields are left out: each time a request is sent it bears another id and
-    another deadline.
+    Header fields are excluded, as the request id and the deadline differ each time
+    the request is sent.
     """
     digest = blake2b(digest_size=SIZE_BYTES)
     for part in (request.method, request.target, organisation.encode(), request.body):
@@ -21,5 +21,5 @@
 
 
 def written_fingerprint(fingerprint: int) -> str:
-    """Return a fingerprint as log lines and records spell it."""
+    """Return the hexadecimal form that log lines and records use."""
     return f"{fingerprint:0{2 * SIZE_BYTES}x}"
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -1,4 +1,4 @@
-"""Holds requests back by what is known of crashes, and spreads what is new."""
+"""Refuses requests that crash endpoints and shares new evidence with peers."""
 
 import asyncio
 import math
@@ -28,33 +28,32 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# Requests lost with an endpoint of this gateway's, the oldest forgotten first.
+# Requests lost by this gateway in crashes; the oldest are evicted first.
 MAX_LOST = 1024
-# Of the requests of one crash, those under which most endpoints crashed are told to
-# others: more do not fit into one datagram.
+# More suspects do not fit into one datagram; those with the most crashes are sent.
 MAX_TOLD_SUSPECTS = 64
-# Requests whose standing has been logged.
+# Requests whose last logged status is remembered.
 MAX_TOLD = 4096
-# In which word of another gateway's claim arrives.
+# Competing claims of other gateways arrive within this time.
 CLAIM_S = 0.01
 CLAIM_BITS = 32
-# Records that wait for the log; one that is full drops the oldest.
+# Records waiting to be written to the log; beyond this the oldest are dropped.
 MAX_RECORDS = 256
 
 Tell = Callable[[RequestNews], None]
 
 
 def tell_nobody(news: RequestNews) -> None:
-    """Stand in until the other gateways can be told."""
+    """Drop an update; the default until the peer network is connected."""
 
 
 @define(eq=False)
 class RequestGuard:
-    """One gateway's quarantine, with what others and the log are to be told.
+    """One gateway's quarantine, with its updates to peers and records for the log.
 
-    ``tell`` sends news to a few other gateways, ``tell_all`` to all. ``records`` are
-    to be written to the log: the newest for each request, None where it is to be
-    removed.
+    ``send_update`` sends an update to a subset of peers, ``broadcast_update`` to all.
+    ``pending_records`` holds the newest record of each request that has to be written
+    to the log, or None if its record has to be removed.
     """
 
     log: EventLog
@@ -68,7 +67,7 @@
     _told: OrderedDict[int, RequestStanding] = field(factory=OrderedDict)
 
     def note_crash(self, endpoint: Endpoint, suspects: list[int], now_s: float) -> None:
-        """Take note of requests that were lost with an endpoint that crashed."""
+        """Record the requests that were lost when an endpoint crashed."""
         for fingerprint in suspects:
             self._lost_here[fingerprint] = None
         while len(self._lost_here) > MAX_LOST:
@@ -81,7 +80,7 @@
             self.tell(RequestNews((seen,), verdicts))
 
     def held_back(self, fingerprint: int, now_s: float) -> Refusal | None:
-        """Return why a request is not sent now; None where it may be."""
+        """Return why a request is not sent now, or None if it may be."""
         standing = self.quarantine.standing(fingerprint, now_s)
         if standing in (RequestStanding.FREE, RequestStanding.TRIAL):
             return None
@@ -92,25 +91,32 @@
         return Refusal(Reason.REQUEST_QUARANTINED, True, detail, after_s)
 
     def is_on_trial(self, fingerprint: int, now_s: float) -> bool:
-        """Tell whether the request may be sent only once, as a try."""
+        """Return whether the request may be sent only once, as a trial."""
         standing = self.quarantine.standing(fingerprint, now_s)
         return standing is RequestStanding.TRIAL
 
     async def take_trial(self, fingerprint: int, endpoint: Endpoint) -> None:
-        """Take a suspected request's one try, and let the others wait for its end.
+        """Acquire the one trial of a suspected request; peers wait for its result.
 
-        Raises TrialTakenError if somebody else has taken it, or does so meanwhile.
+        Raises TrialTakenError if another request or gateway already has the trial or
+        wins it with a competing claim.
         """
         now_s = asyncio.get_running_loop().time()
         if not self.is_on_trial(fingerprint, now_s):
-            raise TrialTakenError(written_fingerprint(fingerprint))
+            raise TrialTakenError(
+                f"request {written_fingerprint(fingerprint)} has no trial available"
+            )
         claim = self.random.getrandbits(CLAIM_BITS)
         life = life_number(endpoint)
         verdict = self.quarantine.claim_trial(fingerprint, life, claim, now_s)
         self.tell_all(RequestNews((), (verdict,)))
         await asyncio.sleep(CLAIM_S)
         if not self.quarantine.has_trial(fingerprint, claim):
-            raise TrialTakenError(written_fingerprint(fingerprint))
+            raise TrialTakenError(
+                f"another claim won the trial of request "
+                f"{written_fingerprint(fingerprint)} while it waited for "
+                f"{endpoint.instance}"
+            )
         self.log.write(
             Event.REQUEST_TRIED,
             fingerprint=written_fingerprint(fingerprint),
@@ -119,17 +125,17 @@
         )
 
     def note_served(self, fingerprint: int, now_s: float) -> None:
-        """Clear a request whose whole answer an endpoint has given."""
+        """Clear a request that an endpoint has answered completely."""
         if not self.quarantine.clear(fingerprint, now_s):
             return
         if self._note_cleared(fingerprint):
-            # Who served it does, so that not every gateway does.
+            # Only the gateway that served the request removes its record.
             self._record(fingerprint, None)
         verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_S)
         self.tell(RequestNews((), (verdict,)))
 
     def take(self, news: RequestNews, now_s: float) -> RequestNews:
-        """Take another gateway's word; returns what of it was new."""
+        """Apply an update of another gateway; returns the part that was new."""
         crashes = []
         touched: list[int] = []
         for crash in news.crashes:
@@ -140,7 +146,10 @@
         verdicts = []
         for verdict in news.verdicts:
             if not math.isfinite(verdict.left_s):
-                detail = f"a quarantine of {verdict.left_s} s"
+                detail = (
+                    f"verdict on request {verdict.fingerprint:016x}: expected a "
+                    f"finite left_s, got {verdict.left_s}"
+                )
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
             elif self.quarantine.take(verdict, now_s):
                 verdicts.append(verdict)
@@ -151,7 +160,7 @@
         return RequestNews(tuple(crashes), tuple(verdicts))
 
     def restore(self, record: RequestRecord, now_s: float) -> None:
-        """Take up what a record of the log says; it need not be written again."""
+        """Restore a record of the log, without writing it again."""
         left_s = min(record.until_s - time.time(), QUARANTINE_S)
         if record.quarantined:
             verdict = RequestVerdict(record.fingerprint, QUARANTINED, left_s=left_s)
@@ -164,7 +173,7 @@
     def _verdicts_on(
         self, fingerprints: Iterable[int], now_s: float
     ) -> tuple[RequestVerdict, ...]:
-        """Log and record what has changed for these; returns new quarantines."""
+        """Log and record status changes; returns verdicts on newly quarantined ones."""
         held = []
         for fingerprint in fingerprints:
             standing = self.quarantine.standing(fingerprint, now_s)
@@ -182,7 +191,7 @@
                     RequestVerdict(fingerprint, QUARANTINED, left_s=QUARANTINE_S)
                 )
             if fingerprint in self._lost_here:
-                # Those that lost it write it, so that not every gateway does.
+                # Only the gateways that lost the request write its record.
                 until_s = time.time() + QUARANTINE_S
                 self._record(fingerprint, RequestRecord(fingerprint, is_held, until_s))
         return tuple(held)
@@ -193,7 +202,7 @@
             self._told.popitem(last=False)
 
     def _note_cleared(self, fingerprint: int) -> bool:
-        """Log the end of a suspicion; tells whether there was one."""
+        """Log that a request is cleared; returns whether it was suspected before."""
         if self._told.pop(fingerprint, None) is None:
             return False
         name = written_fingerprint(fingerprint)
--- a/acaciacove/gateway/quarantine/request_record.py
+++ b/acaciacove/gateway/quarantine/request_record.py
@@ -1,4 +1,4 @@
-"""The record of a request that is held back, in the platform's log."""
+"""Records of suspected and quarantined requests in the platform's log."""
 
 import math
 
@@ -13,9 +13,9 @@
 
 @frozen
 class RequestRecord:
-    """``until_s`` is the time of day, in seconds since 1970, when it may be forgotten.
+    """A suspected or, if ``quarantined``, a quarantined request.
 
-    A request that is not ``quarantined`` is suspected.
+    The record expires at ``until_s``, in Unix seconds.
     """
 
     fingerprint: int
@@ -24,18 +24,18 @@
 
 
 def key_of(fingerprint: int) -> str:
-    """Return the key of a request's record."""
+    """Return the key of the record of a request."""
     return written_fingerprint(fingerprint)
 
 
 def write_record(record: RequestRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Encode the value of a record as JSON."""
     document = {"quarantined": record.quarantined, "until_s": record.until_s}
     return orjson.dumps(document)
 
 
 def read_record(key: str, value: bytes) -> RequestRecord:
-    """Read a record; raises MalformedMessageError."""
+    """Decode a record; raises MalformedMessageError."""
     try:
         document = orjson.loads(value)
         record = RequestRecord(
@@ -44,7 +44,12 @@
             until_s=float(document["until_s"]),
         )
     except (ValueError, KeyError, TypeError) as error:
-        raise MalformedMessageError(f"{key}: {error!r}") from error
+        raise MalformedMessageError(
+            f"quarantine record {key!r} is not valid: {error!r}"
+        ) from error
     if not math.isfinite(record.until_s) or key != key_of(record.fingerprint):
-        raise MalformedMessageError(f"{key}: not a record of a request")
+        raise MalformedMessageError(
+            f"quarantine record {key!r}: expected {HEX} hexadecimal digits as key and "
+            f"a finite until_s, got until_s {record.until_s}"
+        )
     return record
--- a/acaciacove/gateway/quarantine/trial_taken_error.py
+++ b/acaciacove/gateway/quarantine/trial_taken_error.py
@@ -1,7 +1,7 @@
-"""A suspected request that somebody else tries by now."""
+"""Raised when the trial of a suspected request is already taken."""
 
 from acaciacove.errors import AcaciacoveError
 
 
 class TrialTakenError(AcaciacoveError):
-    """The one try of a request was taken while a connection for it was made."""
+    """Another claim won the trial of a request while its connection was opened."""
