--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -33,8 +33,9 @@
 
     A verdict depends only on the counts, which only grow and merge in any order, and
     on the shares in force. So a roll-out continues from the shared counts and the
-    release stream when an entry restarts or fails. Counts belong to one declaration of a version: a release note that
-    declares the version again starts with empty counts.
+    release stream when an entry restarts or fails. Counts belong to one declaration
+    of a version: a release note that declares the version again starts with empty
+    counts.
     """
 
     origin: str
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -113,9 +113,8 @@
         await asyncio.sleep(CLAIM_S)
         if not self.quarantine.has_trial(fingerprint, claim):
             raise TrialTakenError(
-                f"another claim won the trial of request "
-                f"{written_fingerprint(fingerprint)} while it waited for "
-                f"{endpoint.instance}"
+                f"lost the trial of request {written_fingerprint(fingerprint)} at "
+                f"endpoint {endpoint.instance} to another claim"
             )
         self.log.write(
             Event.REQUEST_TRIED,
--- a/acaciacove/gateway/quarantine/request_record.py
+++ b/acaciacove/gateway/quarantine/request_record.py
@@ -49,7 +49,7 @@
         ) from error
     if not math.isfinite(record.until_s) or key != key_of(record.fingerprint):
         raise MalformedMessageError(
-            f"quarantine record {key!r}: expected {HEX} hexadecimal digits as key and "
-            f"a finite until_s, got until_s {record.until_s}"
+            f"quarantine record {key!r}: expected a key of 16 hexadecimal digits "
+            f"and a finite until_s, got until_s {record.until_s}"
         )
     return record
--- a/acaciacove/gateway/rollout/__init__.py
+++ b/acaciacove/gateway/rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Judging a new version of a service while it takes a bounded share."""
+"""Roll-outs: a new version is judged while it gets a bounded share of requests."""
--- a/acaciacove/gateway/rollout/awaited_answer.py
+++ b/acaciacove/gateway/rollout/awaited_answer.py
@@ -1,11 +1,11 @@
-"""A request on its way while a roll-out is judged."""
+"""A request in flight during a roll-out."""
 
 from attrs import define
 
 
 @define(eq=False)
 class AwaitedAnswer:
-    """Its version, kind and endpoint, and since when its first piece is awaited.
+    """Version, kind and endpoint of a request whose first chunk has not arrived.
 
     ``is_late`` is set once it has been counted as late.
     """
--- a/acaciacove/gateway/rollout/cell_counts.py
+++ b/acaciacove/gateway/rollout/cell_counts.py
@@ -1,4 +1,4 @@
-"""Counts of one cell of evidence."""
+"""Counts of answers in one cell of evidence."""
 
 import math
 
@@ -9,11 +9,12 @@
 
 @define
 class CellCounts:
-    """Answers, failures among them, and how soon their first pieces came.
+    """Answers, failures among them, and the times to the first chunk.
 
-    ``timed`` and ``log_time_sum`` hold times to the first piece. ``judged`` counts
-    requests that were compared with what is usual for their kind, ``late`` those of
-    them that took much longer, whether or not an answer came in the end.
+    ``timed`` is the number of measured times and ``log_time_sum`` the sum of their
+    logarithms. ``judged`` counts the requests that were compared with the baseline of
+    their kind. ``late`` counts those of them that took much longer, including
+    requests that never got an answer.
     """
 
     answers: int = 0
@@ -32,7 +33,7 @@
             self.log_time_sum += math.log(max(first_piece_s, SHORTEST_TIME_S))
 
     def add_judged(self, is_late: bool) -> None:
-        """Count one request that was compared with the usual time."""
+        """Count one request that was compared with the baseline time."""
         self.judged += 1
         self.late += is_late
 
@@ -46,9 +47,9 @@
         self.late += other.late
 
     def since(self, earlier: "CellCounts") -> "CellCounts":
-        """Return what was counted after ``earlier``; never below nothing.
+        """Return the counts added after ``earlier``, at least zero.
 
-        Counts of a peer that has restarted begin anew, and would seem to have fallen.
+        The counts of a peer drop when it restarts, as they start again from zero.
         """
         return CellCounts(
             answers=max(0, self.answers - earlier.answers),
@@ -61,5 +62,5 @@
 
     @property
     def typical_s(self) -> float:
-        """Geometric mean of the times to the first piece, in seconds."""
+        """Geometric mean of the times to the first chunk, in seconds."""
         return math.exp(self.log_time_sum / self.timed) if self.timed else 0.0
--- a/acaciacove/gateway/rollout/evidence.py
+++ b/acaciacove/gateway/rollout/evidence.py
@@ -1,4 +1,4 @@
-"""What is known of the new and the old version of a service at one moment."""
+"""Evidence on the new and the old version of a service at one moment."""
 
 from collections.abc import Mapping
 
@@ -13,8 +13,9 @@
 class Evidence:
     """Counts of both versions, summed over gateways.
 
-    ``target`` and ``old`` are keyed by kind of request (route and model),
-    ``target_endpoints`` by endpoint of the new version, of which ``machines`` serve.
+    ``target`` (the new version) and ``old`` are keyed by kind of request (route and
+    model), ``target_endpoints`` by endpoint of the new version. At the moment
+    ``target_endpoint_count`` endpoints serve the new version.
     """
 
     target: Cells
@@ -32,7 +33,7 @@
 
 
 def since(cells: Cells, earlier: Cells) -> dict[str, CellCounts]:
-    """Return what was counted in each cell after ``earlier``."""
+    """Return the counts added to each cell after ``earlier``."""
     nothing = CellCounts()
     return {
         name: counts.since(earlier.get(name, nothing)) for name, counts in cells.items()
--- a/acaciacove/gateway/rollout/judge.py
+++ b/acaciacove/gateway/rollout/judge.py
@@ -1,8 +1,8 @@
-"""Judges a new version by its answers beside those of the old one.
+"""Judges a new version by comparing its answers with those of the old one.
 
-Each look is a sequential test that holds at every look (the library's
-``evidence_above`` and ``evidence_below``), on the share of answers that failed and on
-the share of requests that were late for their kind.
+Sequential tests (``evidence_above`` and ``evidence_below``), which may be repeated at
+any time, are applied to the share of failed answers and to the share of requests that
+were late for their kind.
 """
 
 from collections.abc import Callable, Mapping
@@ -15,30 +15,30 @@
 from acaciacove.gateway.rollout.evidence import Cells, Evidence, total
 from acaciacove.gateway.rollout.verdict import Verdict
 
-# How often a sound version may be called bad by one of the tests, and a bad one sound.
-# A sound version that is held back costs operators a second try; a bad one that goes to
-# everybody costs callers their answers.
+# Error rates of each test: a sound version judged bad, and a bad one judged sound. A
+# wrongly rejected version costs operators a second roll-out; a wrongly accepted one
+# costs callers their answers.
 FALSE_ALARM = 0.02
 MISSED_FAULT = 0.02
 MISSED_IN_GROUP = 0.05
-# What counts as worse than the old version: this much more of all answers, or of the
-# answers of one route or model. These are fewer, and prove less.
+# Increases of a share over the old version that count as worse, for all answers and
+# for those of one route or model. The latter are fewer and prove less.
 WORSE_FAILURES = 0.15
 WORSE_LATENESS = 0.25
 WORSE_IN_GROUP = 0.50
-# When all requests move to a new version, its endpoints read every shared prompt for
-# the first time, under all of the load. This much more lateness says nothing of it.
+# After the cutover the endpoints of the new version process every shared prompt for
+# the first time, under full load. This increase in late requests is tolerated.
 MOVING_LATENESS = 0.30
-# Shares that the old version is taken to have at least: with none seen, the first late
-# answer of a sound version would be proof against it.
+# Lower bounds of the baseline shares. With a baseline of zero, the first late answer
+# of a sound version would prove it bad.
 LEAST_FAILURES = 0.01
 LEAST_LATENESS = 0.10
-# Answers assumed of the old version, all of them as they should be.
+# Good answers of the old version that are assumed in addition to the counted ones.
 PRIOR_ANSWERS = 5.0
-# A route or a model with less than this share of the old version's answers cannot be
-# judged by itself: its few requests of a roll-out prove nothing.
+# A route or model with less than this share of the old version's answers is not judged
+# separately, as it gets too few requests during a roll-out.
 GROUP_SHARE = 0.15
-# Without its worst endpoint a bad version still looks bad: odds of e to one.
+# Log odds that a bad version must reach without its worst endpoint: odds of e to one.
 SPREAD_ODDS = 1.0
 
 Bad = Callable[[CellCounts], tuple[int, int]]
@@ -46,11 +46,11 @@
 
 @frozen
 class _Fault:
-    """One way to be bad.
+    """One criterion by which a version can be bad.
 
-    ``count`` returns (answers, bad ones) of a cell. The old version is taken to have
-    a share of bad ones of ``least`` at least, and ``allowed`` more; ``worse`` than
-    that much more is bad.
+    ``count`` returns (answers, bad answers) of a cell. The baseline is the old
+    version's share of bad answers, at least ``min_baseline``, plus ``allowance``. A
+    sound version must prove to be less than ``margin`` above it.
     """
 
     count: Bad
@@ -69,16 +69,16 @@
 
 
 def judge(evidence: Evidence) -> Verdict:
-    """Compare the new version with the old one, both under way side by side.
+    """Compare the new version with the old one while both serve requests.
 
-    GOOD needs proof: in all answers, and in each route and model that callers use,
-    enough of them that a fault would have shown. Having seen none is no proof.
+    GOOD requires enough answers that a fault would have shown, overall and for each
+    route and model in use. Too few answers without a fault give UNKNOWN.
     """
     return _verdict(_TRIED, evidence, list(_groups(evidence)))
 
 
 def judge_moved(recent: Evidence) -> Verdict:
-    """Judge the answers since all requests moved to the new version."""
+    """Judge the answers since the cutover of all requests to the new version."""
     return _verdict(_MOVED, recent, [])
 
 
@@ -95,7 +95,7 @@
 
 
 def _groups(evidence: Evidence) -> list[tuple[CellCounts, CellCounts]]:
-    """Pair new and old counts of each route and of each model in use."""
+    """Return pairs of new and old counts for each route and each model in use."""
     found = []
     least = GROUP_SHARE * total(evidence.old).answers
     for part in (0, 1):
@@ -110,7 +110,7 @@
 
 
 def _by_part(cells: Cells, part: int) -> Mapping[str, CellCounts]:
-    """Sum cells by route (part 0) or model (part 1) of their names."""
+    """Sum the cells by the route (part 0) or model (part 1) in their names."""
     summed: dict[str, CellCounts] = {}
     for name, counts in cells.items():
         key = name.split(CELL_SEPARATOR)[part]
@@ -137,10 +137,9 @@
 
 
 def _is_spread(fault: _Fault, evidence: Evidence, usual: float) -> bool:
-    """Tell whether the version looks bad also without its worst endpoint.
+    """Return whether the version looks bad even without its worst endpoint.
 
-    One machine that is broken, or slow for its own reasons, would otherwise take a
-    sound version back.
+    Otherwise one broken or slow host would cause the rollback of a sound version.
     """
     if evidence.machines < 2:
         return True
--- a/acaciacove/gateway/rollout/rollout_phase.py
+++ b/acaciacove/gateway/rollout/rollout_phase.py
@@ -1,10 +1,10 @@
-"""Phases of a roll-out as one gateway carries it out."""
+"""Phases of a roll-out at one gateway."""
 
 from enum import Enum
 
 
 class RolloutPhase(Enum):
-    """From a bounded share to all requests, or back to none."""
+    """A bounded share of the requests, all of them, or none after a rollback."""
 
     TRIAL = "trial"
     ALL = "all"
--- a/acaciacove/gateway/rollout/rollout_progress.py
+++ b/acaciacove/gateway/rollout/rollout_progress.py
@@ -1,4 +1,4 @@
-"""One roll-out under way, with its evidence."""
+"""State and evidence of one roll-out in progress."""
 
 from collections.abc import Callable
 
@@ -14,28 +14,29 @@
 from acaciacove.messages.version_cell import VersionCell
 
 ENDPOINT_PREFIX = "endpoint/"
-# A request is late when its first piece takes this many times what is usual for its
-# kind. Times of one kind differ by half, with prompts of unlike length.
+# A request is late when its first chunk takes this multiple of the baseline of its
+# kind. Within a kind, times vary by half with the length of the prompt.
 LATE_RATIO = 2.5
-# Times of the old version from which on its usual time is known.
+# Measured answers of the old version that are needed for a baseline.
 MIN_TIMED = 4
-# What is late by less than this is not worth a roll-out, whatever its ratio.
+# A smaller delay never counts as late, whatever the ratio.
 LEAST_LATE_S = 0.1
 
 
 def kind_cell(route: str, model: str | None) -> str:
-    """Name the cell of a kind of request."""
+    """Return the name of the cell of a kind of request."""
     return f"{route}{CELL_SEPARATOR}{model or ''}"
 
 
 @define(eq=False)
 class RolloutProgress:
-    """Counts of this gateway and of its peers for one order.
+    """Counts of this gateway and its peers for one roll-out order.
 
-    ``sent_target`` and ``sent_all`` are requests that this gateway has sent to
-    the new version and to the whole service since the order; ``reserved_target``
-    are on their way to a connection to the new version. ``moved`` holds what was
-    counted of the new version when all requests moved to it.
+    ``sent_target`` and ``sent_all`` are the requests that this gateway has sent to
+    the new version and to the whole service since the order. ``reserved_target``
+    are those that are waiting for a connection to the new version.
+    ``cutover_cells`` holds the counts of the new version at the cutover of all
+    requests to it.
     """
 
     order: RolloutOrder
@@ -57,13 +58,13 @@
     _next_awaited: int = 0
 
     #
-    # Own answers
+    # Requests of this gateway
     #
 
     def await_answer(
         self, is_target: bool, kind: str, endpoint: str, now_s: float
     ) -> int:
-        """Note a request that was sent; returns its number."""
+        """Record a request that was sent; returns its number."""
         self._next_awaited += 1
         self.awaited[self._next_awaited] = AwaitedAnswer(
             is_target, kind, endpoint, now_s
@@ -73,7 +74,7 @@
     def take_answer(
         self, number: int, failed: bool, first_piece_s: float | None
     ) -> None:
-        """Count the first piece of an answer, or a failure."""
+        """Record the first chunk of an answer, or a failure."""
         awaited = self.awaited.pop(number, None)
         if awaited is None:
             return
@@ -84,20 +85,20 @@
             self._judge_time(awaited, first_piece_s)
 
     def forget(self, number: int, now_s: float) -> None:
-        """Stop waiting: the request has ended without an answer to count.
+        """Remove a request that ended without an answer to count.
 
-        One that was given up after more than the usual time was late, also if nobody
-        waited for it to the end: callers leave the slow answers first.
+        It counts as late if it was abandoned after the limit of its kind, because
+        callers abandon the slow answers first.
         """
         awaited = self.awaited.pop(number, None)
         if awaited is not None and not awaited.is_late:
             self._note_if_late(awaited, now_s)
 
     def note_overdue(self, now_s: float) -> None:
-        """Count requests as late that already wait for longer than is usual.
+        """Count requests in flight as late once they exceed the limit of their kind.
 
-        The answers of a slow version come late or not at all. Counted only when they
-        come, the sound ones among them would be all that is known for seconds.
+        The answers of a slow version arrive late or never. If they were counted only
+        on arrival, the evidence of the first seconds would consist of fast answers.
         """
         self._limits_s = self._late_limits_s()
         for awaited in self.awaited.values():
@@ -120,7 +121,7 @@
             cell.add_judged(awaited.is_late)
 
     def _late_limits_s(self) -> dict[str, float]:
-        """Return from when on a request of each kind is late."""
+        """Return the time after which a request of each kind is late."""
         return {
             kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + LEAST_LATE_S)
             for kind, counts in self.cells(False).items()
@@ -135,7 +136,7 @@
     #
 
     def own_cells(self) -> tuple[VersionCell, ...]:
-        """Return the own counts as they are told to peers."""
+        """Return the counts of this gateway as messages to peers."""
         return tuple(
             VersionCell(
                 service=self.order.service,
@@ -155,7 +156,7 @@
     def take_peer(
         self, peer: str, view: RolloutView, cells: list[VersionCell], now_s: float
     ) -> None:
-        """Replace what one life of a peer has told before."""
+        """Replace the view and counts of one incarnation of a peer."""
         self.peers[peer] = {
             (c.is_target, c.name): CellCounts(
                 c.answers, c.failures, c.timed, c.log_time_sum, c.judged, c.late
@@ -166,7 +167,7 @@
         self.began_s = min(self.began_s, now_s - view.age_s)
 
     def view(self, now_s: float) -> RolloutView:
-        """Return what peers are told."""
+        """Return the view of this gateway for its peers."""
         return RolloutView(
             service=self.order.service,
             revision=self.order.revision,
@@ -176,25 +177,25 @@
         )
 
     #
-    # Sums
+    # Sums over gateways
     #
 
     def evidence(self, machines: int) -> Evidence:
-        """Return all that is known; ``machines`` serve the new version."""
+        """Return all evidence since the order."""
         return Evidence(
             self.cells(True), self.cells(False), self._endpoint_cells(), machines
         )
 
     def mark_moved(self) -> None:
-        """Remember what was known when all requests moved to the new version."""
+        """Save the counts at the cutover of all requests to the new version."""
         self.moved = self.cells(True)
         self.moved_endpoints = self._endpoint_cells()
 
     def evidence_since_moved(self, machines: int) -> Evidence:
-        """Return what answers since then say of the new version.
+        """Return the evidence on the new version since the cutover.
 
-        A version that turns bad late, or under all of the load, would hide behind the
-        sound answers that it gave before.
+        The good answers before it would otherwise hide a version that turns bad late
+        or under full load.
         """
         return Evidence(
             since(self.cells(True), self.moved),
@@ -204,7 +205,7 @@
         )
 
     def cells(self, is_target: bool) -> dict[str, CellCounts]:
-        """Sum the kinds of request over this gateway and its peers."""
+        """Sum the counts by kind of request over this gateway and its peers."""
         return self._summed(
             is_target, lambda name: not name.startswith(ENDPOINT_PREFIX)
         )
--- a/acaciacove/gateway/rollout/rollout_state.py
+++ b/acaciacove/gateway/rollout/rollout_state.py
@@ -1,10 +1,10 @@
-"""States of a roll-out."""
+"""Recorded states of a roll-out."""
 
 from enum import Enum
 
 
 class RolloutState(Enum):
-    """How far a roll-out is; the last two are final."""
+    """State of a roll-out; COMPLETED and ROLLED_BACK are final."""
 
     IN_PROGRESS = "in_progress"
     COMPLETED = "completed"
@@ -12,5 +12,5 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether nothing follows this state."""
+        """Return whether no other state can follow."""
         return self is not RolloutState.IN_PROGRESS
--- a/acaciacove/gateway/rollout/rollout_steps.py
+++ b/acaciacove/gateway/rollout/rollout_steps.py
@@ -1,4 +1,4 @@
-"""When a roll-out moves from one phase to the next."""
+"""Transitions between the phases of a roll-out."""
 
 from acaciacove.gateway.rollout.judge import judge, judge_moved
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
@@ -7,7 +7,7 @@
 from acaciacove.gateway.rollout.verdict import Verdict
 from acaciacove.gateway.rollout.version_capacity import VersionCapacity
 
-# A peer's report older than this says nothing of its requests under way.
+# An older view of a peer no longer shows whether it has requests in flight.
 PEER_VIEW_LIFE_S = 3.0
 
 
@@ -17,10 +17,10 @@
     capacity: VersionCapacity,
     now_s: float,
 ) -> None:
-    """Judge the evidence and move on where it allows.
+    """Judge the evidence and enter the next phase if it allows that.
 
-    A version is judged until its outcome is recorded, and what is not proven when the
-    operator's time is over goes back: operators asked for a sound version in time.
+    A version is judged until its outcome is recorded. One that is not proven sound
+    within the duration of the order is rolled back.
     """
     if progress.phase is RolloutPhase.STOPPED:
         return
@@ -44,7 +44,7 @@
 
 
 def has_capacity(capacity: VersionCapacity, settings: RolloutSettings) -> bool:
-    """Tell whether the new version could bear what the old one bears."""
+    """Return whether the new version has enough endpoints to replace the old one."""
     return capacity.target >= settings.least_capacity * capacity.old
 
 
@@ -73,11 +73,12 @@
     capacity: VersionCapacity,
     now_s: float,
 ) -> bool:
-    """Tell whether the old version may be stopped.
+    """Return whether the old version may be stopped.
 
-    It cannot be started again, so the new version must have held under all of the
-    load. Stopping it cuts the requests that it still works on, so completion waits
-    until none is left here or at a peer, or until time runs out.
+    It cannot be started again, so the new version must have proven sound under full
+    load. Stopping the old version cuts off its requests in flight. So completion
+    waits until there are none at this gateway and its peers, or until
+    ``complete_by``.
     """
     if progress.phase is not RolloutPhase.ALL:
         return False
@@ -104,10 +105,10 @@
     gateways: int,
     known_session: bool,
 ) -> bool:
-    """Tell whether one more request fits the exposure that is promised.
+    """Return whether one more request stays within the permitted exposure.
 
-    Every gateway keeps to the share of its own requests and to its part of the
-    extra, so the sum keeps to the promise without asking anybody.
+    Each gateway limits itself to the share of its local requests and to its part of
+    ``exposure_extra``, so the total stays within the bound without coordination.
     """
     if progress.phase is RolloutPhase.ALL:
         return True
@@ -126,7 +127,7 @@
     has_session: bool,
     now_s: float,
 ) -> float:
-    """Return the share of requests or sessions that are drawn to the new version."""
+    """Return the share of requests or sessions to send to the new version."""
     if progress.phase is RolloutPhase.ALL:
         return 1.0
     if progress.phase is RolloutPhase.STOPPED:
--- a/acaciacove/gateway/rollout/verdict.py
+++ b/acaciacove/gateway/rollout/verdict.py
@@ -1,10 +1,10 @@
-"""What the evidence says of a new version."""
+"""Verdict on a new version."""
 
 from enum import Enum
 
 
 class Verdict(Enum):
-    """Whether the new version is bad, good, or not yet known."""
+    """GOOD and BAD are proven by the evidence; UNKNOWN is not decided yet."""
 
     UNKNOWN = "unknown"
     GOOD = "good"
--- a/acaciacove/gateway/rollout/version_capacity.py
+++ b/acaciacove/gateway/rollout/version_capacity.py
@@ -1,11 +1,11 @@
-"""How many endpoints of each version could serve now."""
+"""Numbers of endpoints of each version that can serve now."""
 
 from attrs import frozen
 
 
 @frozen
 class VersionCapacity:
-    """Endpoints that are neither leaving nor out with their zone, by version."""
+    """Endpoints of each version that are not draining and whose zone is not out."""
 
     target: int
     old: int
--- a/tests/test_decisions_counts.py
+++ b/tests/test_decisions_counts.py
@@ -1,4 +1,4 @@
-"""Counts and estimates that entries share."""
+"""Counters and quality estimates that entries exchange."""
 
 from random import Random
 
@@ -19,9 +19,8 @@
 @given(events, st.randoms(use_true_random=False))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_lost_doubled_and_overtaking_messages_leave_the_same_sums(counted, rng):
-    # Entries exchange counters over messages that are lost, sent twice or overtake
-    # each other. If a merge added them up, quality would be learned from ratings
-    # that nobody gave.
+    # Messages with counters are lost, duplicated and reordered. A merge that added
+    # them up would count ratings that nobody gave.
     origins = [SharedCounts(f"entry-{n}") for n in range(3)]
     messages = []
     for origin, name in counted:
@@ -46,8 +45,8 @@
 
 
 def test_old_epochs_are_forgotten():
-    # A version that answered well for months starts to answer badly. Were all its
-    # ratings kept with equal weight, the estimate would take months to follow.
+    # If all ratings were retained with equal weight, the estimate of a version that
+    # degrades after months of good answers would take months to follow.
     estimates = QualityEstimates("entry-1")
     for _ in range(200):
         estimates.record_rating(SMALL, "interactive-short", 0.9, 0)
@@ -59,8 +58,8 @@
 
 
 def test_a_sample_that_prefers_one_kind_of_answer_does_not_shift_the_mean():
-    # The rating service rates doubtful answers far more often than clear ones. The
-    # plain mean of its ratings would call a good version bad.
+    # The rating service rates doubtful answers far more often than clear ones, so
+    # the plain mean of its ratings would make a good version look bad.
     estimates = QualityEstimates("entry-1")
     for bin_, score, rated in ((1, 0.2, 100), (6, 0.9, 100)):
         seen = 100 if bin_ == 1 else 900
@@ -85,8 +84,8 @@
 
 
 def test_ratings_by_unhappy_callers_are_weighed_down():
-    # Callers who got a poor answer rate three times as often. The plain mean makes
-    # the cheap version look worse than it is, and callers pay for the dear one.
+    # Callers rate poor answers three times as often. The plain mean would make the
+    # cheap version look worse than it is, and callers would pay for the expensive one.
     rng = Random(3)
     bins = []
     scores = []
--- a/tests/test_decisions_quarantine.py
+++ b/tests/test_decisions_quarantine.py
@@ -1,4 +1,4 @@
-"""Which request is held back after endpoints crashed, played without a network."""
+"""Quarantine of requests after endpoint crashes, simulated without a network."""
 
 import time
 from random import Random
@@ -70,7 +70,10 @@
 
 
 def test_a_request_whose_tries_have_no_clear_end_is_not_tried_for_ever():
-    """Guards against a request that crashes endpoints behind a broken path, unseen."""
+    """Guards against endless trials of a request whose crashes are not observed.
+
+    This happens when the network path to the crashed endpoint is broken.
+    """
     quarantine, now_s = crashed_under(BAD), 0.0
     for number in range(MAX_TRIALS):
         quarantine.claim_trial(BAD, number + 10, 1, now_s)
@@ -79,7 +82,7 @@
 
 
 def test_a_request_beside_the_one_that_crashes_endpoints_is_not_taken_for_it():
-    """Guards against requests being held back that only shared endpoints with it."""
+    """Guards against suspecting requests that only shared endpoints with another."""
     quarantine = RequestQuarantine()
     quarantine.note_crash(1, (BAD,), 0.0)
     for endpoint in (2, 3, 4):
@@ -89,7 +92,7 @@
 
 
 def test_a_served_request_is_cleared_of_old_crashes_that_are_told_again():
-    """Guards against an often repeated request that adds up crashes of others."""
+    """Guards against crashes of other causes adding up for a repeated request."""
     quarantine = crashed_under(BAD)
     assert quarantine.clear(BAD, 1.0)
     assert crashed_under(BAD, quarantine=quarantine).standing(BAD, 1.0) is (
@@ -169,7 +172,7 @@
 
 
 class Talkers:
-    """Gateways that only tell each other of requests, with lost datagrams."""
+    """Gateways that only exchange request gossip; some datagrams are lost."""
 
     def __init__(self, count, loss):
         self.random = Random(count)
@@ -215,9 +218,9 @@
 
 @pytest.mark.parametrize("gateways", [5, 28, 68, 380])
 def test_word_of_a_bad_request_reaches_every_gateway_within_its_bytes(gateways):
-    """Guards against gateways of a large fleet that go on sending such a request."""
+    """Guards against gateways of a large fleet that keep sending the request."""
 
-    async def story():
+    async def scenario():
         fleet = Talkers(gateways, loss=0.05)
         for endpoint in (1, 2, 3):
             talk = fleet.talks[endpoint]
@@ -227,16 +230,16 @@
         for _ in range(int(NEWS_S / BUSY_EVERY_S)):
             fleet.report()
         assert fleet.knowing(RequestStanding.TRIAL) == gateways
-        # Three crashes cost each gateway less than a second's control bytes.
+        # Three crashes cost each gateway less than its control bytes of one second.
         assert max(fleet.sent_bytes) < 3_000
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_a_bad_request_among_hundreds_that_were_lost_with_an_endpoint_is_told():
-    """Guards against the one that matters being cut from a datagram that is full."""
+    """Guards against a full datagram that leaves out the request that matters."""
 
-    async def story():
+    async def scenario():
         told = []
         guard = RequestGuard(EventLog("g", descriptor=None), tell=told.append)
         for number in range(3):
@@ -248,7 +251,7 @@
         assert len(encode(told[-1])) < 1_400
         assert guard.quarantine.standing(BAD + 10**6, 0.0) is RequestStanding.TRIAL
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def an_endpoint(number):
@@ -267,7 +270,10 @@
 
 
 def test_word_of_a_cleared_request_ends():
-    """Guards against gateways that keep telling each other, deaf to new crashes."""
+    """Guards against gateways that renew a clearance between each other for ever.
+
+    They would ignore new crashes of the request all the time.
+    """
     one, other = crashed_under(BAD), crashed_under(BAD)
     one.clear(BAD, 0.0)
     for tenth in range(int(20 * CLEARED_S)):
@@ -279,16 +285,16 @@
 
 
 def test_who_serves_a_request_takes_its_record_off_the_log():
-    """Guards against records of requests that were cleared after a restart."""
+    """Guards against stale records of requests that were cleared after a restart."""
 
-    async def story():
+    async def scenario():
         guard = RequestGuard(EventLog("g", descriptor=None))
         guard.restore(RequestRecord(BAD, False, time.time() + 99.0), 0.0)
         assert guard.quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
         guard.note_served(BAD, 1.0)
         assert guard.records == {BAD: None}
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_the_lower_of_two_claims_has_the_try_in_whatever_order_they_are_told():
--- a/tests/test_decisions_rollout.py
+++ b/tests/test_decisions_rollout.py
@@ -1,4 +1,4 @@
-"""The guard stops bad versions, lets good ones through, and survives restarts."""
+"""Verdicts of the roll-out guard on good, bad and declining versions."""
 
 from random import Random
 
@@ -24,8 +24,8 @@
 
 
 def test_a_version_that_answers_worse_is_stopped():
-    # A new version is released and its answers are rated a third worse. Callers who
-    # draw it notice at once, the others only when its share grows.
+    # The answers of a new version are rated a third worse. It must be quarantined
+    # before its share grows.
     guard, rng = RolloutGuard("entry-1"), Random(1)
     rate(guard, OLD, 0.8, 200, rng)
     rate(guard, NEW, 0.56, 60, rng)
@@ -35,8 +35,8 @@
 
 
 def test_a_version_that_fails_more_is_stopped_without_any_rating():
-    # The rating service is away while a version that fails one call in three rolls
-    # out. Waiting for ratings would leave it in service.
+    # The rating service is unavailable during the roll-out of a version that fails
+    # one call in three. Waiting for ratings would leave the version in service.
     guard = RolloutGuard("entry-1")
     for number in range(300):
         guard.observe(FLEET, OLD, EvidenceKind.SUCCESS, float(number % 50 != 0))
@@ -61,8 +61,8 @@
 
 
 def test_a_version_that_turns_bad_in_full_service_is_stopped():
-    # Days after its roll-out a version turns bad. The replaced one gets no traffic
-    # to compare with, so it is compared with its own early ratings.
+    # A version degrades days after its roll-out. The replaced version gets no more
+    # requests, so the version is compared with its own early ratings.
     guard, rng = RolloutGuard("entry-1"), Random(3)
     fleet = evolve(FLEET, exposures={NEW: 1.0})
     rate(guard, NEW, 0.8, 2500, rng, fleet)
@@ -72,8 +72,8 @@
 
 
 def test_an_entry_that_takes_over_judges_alike():
-    # The entry that judged a roll-out is replaced half way. Another one takes the
-    # pooled counts over; were they lost, the bad version would serve on.
+    # The entry that judged a roll-out is replaced half way. If its counts were lost,
+    # the bad version would stay in service.
     first, second, rng = RolloutGuard("entry-1"), RolloutGuard("entry-2"), Random(4)
     rate(first, OLD, 0.8, 200, rng)
     rate(first, NEW, 0.56, 60, rng)
@@ -83,8 +83,8 @@
 
 
 def test_a_new_declaration_starts_over():
-    # An operator fixes a bad version and declares it anew under its old name. The
-    # old evidence must not stop the fixed one.
+    # An operator fixes a bad version and declares it again under the same name. The
+    # old evidence must not quarantine the fixed version.
     guard, rng = RolloutGuard("entry-1"), Random(5)
     rate(guard, OLD, 0.8, 200, rng)
     rate(guard, NEW, 0.56, 60, rng)
--- a/tests/test_gateway_crashes.py
+++ b/tests/test_gateway_crashes.py
@@ -1,4 +1,4 @@
-"""Endpoints that crash, under any requests or under one that crashes them all."""
+"""Detection of endpoint crashes and fingerprints of lost requests."""
 
 import asyncio
 
@@ -6,9 +6,9 @@
 
 
 def test_a_crash_is_told_from_a_connection_that_broke():
-    """Guards against connections that broke on the way being logged as crashes."""
+    """Guards against logging connections cut by the network as crashes."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.2
         caller = asyncio.create_task(call("/look/1", "r-1", method="GET"))
@@ -28,13 +28,13 @@
         (crashed,) = lines(fleet, "endpoint_crashed")
         assert crashed["endpoint"] == second and crashed["lost"] == 1
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_the_same_request_has_the_same_fingerprint_each_time():
-    """Guards against repeats that cannot be recognised because their ids differ."""
+    """Guards against fingerprints that differ with the id of a repeated request."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.lost_answers = 9
         for number, body in enumerate((b"one", b"one", b"two")):
@@ -46,7 +46,7 @@
         }
         assert found["r-0"] == found["r-1"] != found["r-2"]
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def runs(fleet):
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -1,4 +1,4 @@
-"""One request that crashes each endpoint that begins to run it."""
+"""Quarantine of a request that crashes every endpoint that runs it."""
 
 import asyncio
 
@@ -7,8 +7,8 @@
 from tests.gateway_world import call, draft, lines, run_fleet
 
 CRASHING = b"crashes what runs it"
-# What operators are promised: three crashes, this long until every gateway in touch
-# knows, and three more tries from then on.
+# Guaranteed bounds: three crashes, the time until all connected gateways have received
+# the gossip, and three trials after that.
 CRASHES = 3
 CONTACT_S = 3.0
 TRIES = 3
@@ -21,7 +21,7 @@
 
 
 async def ask_again_and_again(fleet, times, every_s, gateways, path="/look/7"):
-    """Send the crashing request to one gateway after the other, two at a time."""
+    """Send the crashing request to the gateways in turn, two copies at a time."""
     answers = []
     for number in range(times):
         answers += await asyncio.gather(
@@ -54,21 +54,21 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_a_request_that_crashes_endpoints_is_not_sent_on_and_on(gateways):
-    """Guards against one request that takes down all endpoints, again and again."""
+    """Guards against one request that takes down all endpoints repeatedly."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         crash_at(fleet)
         await ask_again_and_again(fleet, 12, 3.5, gateways)
         third_s = crashes(fleet)[CRASHES - 1]
         assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
 
-    run_fleet(story, gateways=gateways, apps=9, models=0)
+    run_fleet(scenario, gateways=gateways, apps=9, models=0)
 
 
 def test_a_streamed_request_that_crashes_endpoints_is_stopped_too():
-    """Guards against streams that are resumed at one endpoint after the other."""
+    """Guards against a stream that is resumed at endpoint after endpoint."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         crash_at(fleet)
         for number in range(12):
             await draft(f"bad-{number}", body=CRASHING, host=HOSTS[number % 4])
@@ -76,13 +76,13 @@
         third_s = crashes(fleet)[CRASHES - 1]
         assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
 
-    run_fleet(story, gateways=4, apps=0, models=9)
+    run_fleet(scenario, gateways=4, apps=0, models=9)
 
 
 def test_other_requests_are_served_beside_one_that_crashes_endpoints():
-    """Guards against requests being held back that shared an endpoint with it."""
+    """Guards against quarantining requests that shared an endpoint with it."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         crash_at(fleet)
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.15
@@ -105,13 +105,13 @@
         settled = answers[100:]
         assert sum(a.status == 200 for a in settled) == len(settled)
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_a_request_that_meets_three_other_crashes_is_still_served():
-    """Guards against crashes of other causes costing a caller its request."""
+    """Guards against quarantining a request for crashes of other causes."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.3
         asked = asyncio.create_task(call("/look/unlucky", "r-1", body=b"unlucky"))
@@ -129,13 +129,13 @@
         third = await call("/look/unlucky", "r-3", body=b"unlucky", host=HOSTS[2])
         assert third.status == 200
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_a_repeated_request_is_not_blamed_for_crashes_of_a_whole_zone():
-    """Guards against a popular request that was at all endpoints that lost power."""
+    """Guards against suspecting a request in flight at all endpoints of a zone."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.2
         asked = [
@@ -153,13 +153,13 @@
             late = await call("/look/popular", f"late-{number}", host=host)
             assert late.status == 200
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_every_refusal_of_a_held_request_is_true_and_says_when_to_return():
-    """Guards against "not run" being said of a request that crashed an endpoint."""
+    """Guards against "not run" in the refusal of a request that crashed endpoints."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         crash_at(fleet)
         answers = await ask_again_and_again(fleet, 12, 1.0, 4)
         ran = {a.request_id for a in fleet.arrivals if a.ran}
@@ -173,11 +173,11 @@
                 assert float(answer.headers["retry-after"]) > 0
         assert refused >= 12
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 async def after_a_storm(fleet, upset, settled_s=CONTACT_S):
-    """Let the request crash endpoints, upset the fleet, and ask all gateways again."""
+    """Let the request crash endpoints, upset the fleet, and send it again."""
     crash_at(fleet)
     await ask_again_and_again(fleet, 3, 0.7, 4)
     third_s = crashes(fleet)[CRASHES - 1]
@@ -201,7 +201,7 @@
 
 @pytest.mark.parametrize("names", [ALL[:1], ALL])
 def test_gateways_that_start_anew_hold_the_request_back(names):
-    """Guards against a restart, of one or of all, forgetting which request it is."""
+    """Guards against losing the quarantine when one or all gateways restart."""
 
     async def upset(fleet):
         await restart(fleet, names)
@@ -210,7 +210,7 @@
 
 
 def test_a_gateway_that_starts_while_the_log_is_away_learns_it_from_the_others():
-    """Guards against a start that cannot read which requests are held back."""
+    """Guards against a start that cannot restore the quarantine from the log."""
 
     async def upset(fleet):
         await restart(fleet, ALL[:1])
@@ -224,9 +224,9 @@
 
 
 def test_a_gateway_that_was_cut_off_learns_it_when_it_is_back():
-    """Guards against a gateway that missed the word while nobody reached it."""
+    """Guards against a gateway that missed the gossip while it was partitioned."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.network.cut.add(HOSTS[0])
         crash_at(fleet)
         for number in range(4):
@@ -239,29 +239,29 @@
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
         assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_the_request_is_recorded_once_the_log_is_back():
-    """Guards against a loss of all after a storm while the log was away."""
+    """Guards against a restart of all gateways after crashes during a log outage."""
 
     async def upset(fleet):
         fleet.store.down = None
         await asyncio.sleep(2.0)
         await restart(fleet, ALL)
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
         await after_a_storm(fleet, upset)
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 @pytest.mark.parametrize("gateways", [5, 28])
 def test_copies_that_reach_all_gateways_at_one_moment_are_not_all_tried(gateways):
-    """Guards against gateways that try it before they hear of each other."""
+    """Guards against trials at several gateways before their claims arrive."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         crash_at(fleet)
         await call("/look/7", "bad-0", body=CRASHING)
         assert len(crashes(fleet)) == CRASHES
@@ -275,4 +275,4 @@
         )
         assert 1 <= len(tries_after(fleet, began_s - 0.1)) <= TRIES
 
-    run_fleet(story, gateways=gateways, apps=9, models=0)
+    run_fleet(scenario, gateways=gateways, apps=9, models=0)
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a new version, without a network."""
+"""Verdicts on new versions, simulated without a network."""
 
 import pytest
 
@@ -18,7 +18,7 @@
 PLAYS = 6
 ENOUGH = VersionCapacity(target=5, old=5)
 NINE_KINDS = [f"{route}|{model}" for route in "abc" for model in ("s", "m", "l")]
-# Faults that strike too few requests to be told from chance in one roll-out.
+# Faults that affect too few requests to be distinguished from chance in one roll-out.
 FAINT = ("none, one request in ten fails everywhere", "fails one in twenty")
 
 
@@ -27,9 +27,9 @@
 
 
 def test_answers_that_nobody_compared_are_no_proof():
-    """A version takes eight times as long as the old one. Twenty answers, spread over
-    nine kinds of request, hold no failure and too few times of one kind to compare
-    one by one. Taken for sound, it went to every caller, and their answers came late.
+    """A version takes eight times as long as the old one. Its few answers are spread
+    over nine kinds of request: none failed, and no kind has enough times to compare.
+    Judged sound, it would go to every caller and answer late.
     """
     old = {
         kind: CellCounts(answers=24, timed=24, judged=24, late=2) for kind in NINE_KINDS
@@ -41,8 +41,8 @@
 
 
 def test_a_route_that_was_not_tried_is_not_proven():
-    """A version fails on one route only, and none of the requests of its trial came on
-    that route. The others' answers prove nothing for it.
+    """A version fails on one route only, and no trial request used that route. Answers
+    on other routes prove nothing about it.
     """
     old = {f"{route}|s": CellCounts(100, 0, 100, 0.0, 100, 5) for route in "ab"}
     tried = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 3)}
@@ -52,8 +52,8 @@
 
 
 def test_one_slow_machine_is_not_a_slow_version():
-    """One of four new endpoints stands on a machine that is slow for its own reasons.
-    Its late answers alone must not take the version back.
+    """One of four new endpoints is on a slow host. Its late answers alone must not
+    cause a rollback.
     """
     old = {"a|s": CellCounts(200, 0, 200, 0.0, 200, 10)}
     target = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 18)}
@@ -65,8 +65,8 @@
 
 
 def test_one_failing_machine_alone_does_not_speak_for_the_version():
-    """The first two answers of a new version come from one machine of five, and both
-    are failures. Taken for the version's, they took it back after two requests.
+    """The first answers of a new version come from one endpoint of five, and all are
+    failures. Failures of a single endpoint must not cause a rollback.
     """
     old = {"a|s": CellCounts(200, 0, 200, 0.0, 200, 10)}
     target = {"a|s": CellCounts(answers=4, failures=4)}
@@ -82,8 +82,8 @@
 
 
 def test_callers_that_leave_a_slow_version_count_against_it():
-    """Callers of a stalled version leave before anything is answered. If only answers
-    counted, nothing would ever be known of it.
+    """Callers of a stalled version abandon their requests before any answer. If only
+    answers counted, there would never be evidence against the version.
     """
     progress = RolloutProgress(order())
     for number in range(20):
@@ -105,7 +105,7 @@
 
 
 def sound_progress(now_s):
-    """A roll-out with all the proof that is asked for."""
+    """Return a roll-out with enough evidence that the new version is sound."""
     progress = RolloutProgress(order())
     for is_target, times in ((False, 60), (True, 40)):
         for number in range(times):
@@ -120,8 +120,8 @@
 
 
 def test_a_version_that_has_lost_its_machines_does_not_take_over():
-    """Two of five new endpoints are left when the roll-out comes to its end. Completed,
-    the old five would be stopped, and two would stand before the whole load.
+    """Only two of five new endpoints remain at the end of the roll-out. Completion
+    would stop the old five, and two endpoints would get the full load.
     """
     settings = RolloutSettings()
     few = VersionCapacity(target=2, old=5)
@@ -148,8 +148,8 @@
 
 @pytest.mark.parametrize("fault", JUDGE_FAULTS, ids=lambda fault: fault.name)
 def test_versions_that_are_bad_in_their_ways_do_not_take_over(fault):
-    """Bad from the start, late, on one route, with one model, under load, or slow: each
-    is stopped or left unproven, and a sound version takes over.
+    """Versions that are bad from the start, later, on one route, with one model, under
+    load, or slow are stopped or left unproven. A sound version takes over.
     """
     ends = [play_rollout(fault, seed) for seed in range(PLAYS)]
     endings = [end.ending for end in ends]
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -1,4 +1,4 @@
-"""Roll-outs: a new version earns its share, or is taken back everywhere."""
+"""Roll-outs: a new version takes over, or is rolled back at all gateways."""
 
 import asyncio
 import json
@@ -13,7 +13,7 @@
 from tests.gateway_world import call, model_fields, report, run_fleet
 
 DURATION_S = 20.0
-# Of some 430 requests of 60 sessions; the users' promise bears three.
+# Guaranteed bound for about 430 requests of 60 sessions.
 MAX_SESSIONS_BACK = 3
 GATEWAYS = ("10.0.1.1", "10.0.1.2")
 
@@ -29,7 +29,7 @@
 
 
 async def press(fleet, seconds_s, per_s=24, sessions=400, seed=3, path="/draft/1"):
-    """Ask for drafts at a steady pace, half of them at each gateway."""
+    """Send draft requests at a steady rate, half of them to each gateway."""
     random = Random(seed)
     asked = []
     for number in range(int(seconds_s * per_s)):
@@ -62,7 +62,7 @@
 
 
 def test_a_good_version_takes_over_in_time():
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         answers = await press(fleet, DURATION_S)
@@ -72,11 +72,11 @@
         await press(fleet, 1.0, seed=4)
         assert len(model_runs(fleet)) == len(new_runs(fleet)) > 0
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_good_version_gets_few_requests_before_it_is_judged():
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         await press(fleet, DURATION_S * 0.5)
@@ -85,15 +85,15 @@
         await press(fleet, DURATION_S * 0.1, seed=4)
         assert 0 < len(new_runs(fleet)) < 0.15 * len(model_runs(fleet))
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_version_that_fails_is_taken_back_everywhere():
-    """A new version fails one request in three. Each gateway alone sees few of its
-    answers; together they see enough within seconds.
+    """A new version fails one request in three. Each gateway sees few of its answers,
+    so the evidence of both is needed for a verdict within seconds.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet, failing_every=3)
         roll_out(fleet)
         await press(fleet, DURATION_S)
@@ -105,11 +105,11 @@
         assert new_runs(fleet) == []
         assert last_s < DURATION_S
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_version_that_turns_bad_late_is_taken_back():
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         await press(fleet, 7.0)
@@ -120,11 +120,11 @@
         assert state(fleet) == "rolled_back"
         assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_version_that_is_slow_is_taken_back():
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.05
         await add_new_version(fleet, work_s=0.4)
@@ -132,26 +132,26 @@
         await press(fleet, DURATION_S)
         assert state(fleet) == "rolled_back"
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_one_bad_machine_is_not_a_bad_version():
     """One endpoint of the new version fails half of its requests, the others none.
-    Taken for the version's fault, a sound version would be rolled back.
+    Its failures must not roll back a sound version.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet, count=4)
         fleet.endpoints["new-0"].behaviour.failing_every = 2
         roll_out(fleet)
         await press(fleet, DURATION_S)
         assert state(fleet) == "completed"
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_bad_version_is_found_also_when_gateways_do_not_hear_each_other():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.network.cut.update(GATEWAYS)
         await add_new_version(fleet, failing_every=2)
         roll_out(fleet)
@@ -159,15 +159,16 @@
         assert state(fleet) == "rolled_back"
         assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_an_outcome_is_recorded_once():
-    """Two gateways come to an end at the same moment, and the reply to the first
-    append is lost. One outcome stands; the second looks before it writes.
+    """Two gateways reach a verdict at the same time, and the reply to the first append
+    is lost. The second gateway reads the log before it writes, so that only one
+    outcome is recorded.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet, failing_every=2)
         roll_out(fleet)
         await asyncio.sleep(1.5)
@@ -177,16 +178,16 @@
         assert sum(b"rolled_back" in v for v in values) == 1
         assert not any(b"completed" in v for v in values)
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_sessions_stay_on_the_old_version_in_the_first_half():
-    """A swimmer's chat is under way when a roll-out begins, and its next request
-    reaches another gateway, which does not know it. Drawn there like a new session,
-    it would change its voice in mid-conversation.
+    """A chat is in progress when a roll-out begins, and its next request reaches
+    another gateway, which has not seen the session. If that gateway treated it as new,
+    the session could change versions in the middle of the conversation.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await press(fleet, 3.0, sessions=20)
         fleet.arrivals.clear()
         await add_new_version(fleet)
@@ -194,16 +195,16 @@
         await press(fleet, DURATION_S * 0.5, sessions=400, seed=3)
         assert new_runs(fleet) == []
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_session_on_the_new_version_stays_there():
-    """Sessions meet both gateways by turns. Where one has sent as many requests to
-    the new version as it may, a session of the other goes back for a request; that
-    is to stay as rare as the users bear.
+    """Requests of a session reach both gateways. If one of them has used up its
+    exposure, it sends a session of the new version to the old one for a request. This
+    must stay rare.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         await press(fleet, DURATION_S * 0.9, sessions=60)
@@ -215,16 +216,16 @@
             on_new[session] = is_new
         assert back <= MAX_SESSIONS_BACK
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_gateway_that_starts_after_the_end_sends_to_the_new_version():
-    """A process restarts after a roll-out is complete: it reads the order, and the
-    old endpoints are gone. Without the recorded outcome it would refuse everything
-    although the new version stands ready.
+    """A gateway starts after a roll-out is complete. It reads the order, and the old
+    endpoints are deregistered. Without the recorded outcome it would refuse all
+    requests although the new version is ready.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         await press(fleet, DURATION_S)
@@ -238,11 +239,11 @@
         )
         assert answer.status == 200
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_a_restart_does_not_forget_a_bad_version():
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet, failing_every=2)
         roll_out(fleet)
         await press(fleet, 12.0)
@@ -259,14 +260,14 @@
             )
         assert new_runs(fleet) == []
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_an_outcome_that_one_gateway_has_read_is_known_to_all_soon(monkeypatch):
-    """Guards against refusals by a gateway that waits for a version that is stopped."""
+    """Guards against refusals by a gateway that still uses the stopped version."""
     monkeypatch.setattr(outcome_duty, "READ_EVERY_S", 1e6)
 
-    async def story(fleet):
+    async def scenario(fleet):
         await add_new_version(fleet)
         roll_out(fleet)
         await asyncio.sleep(2.0)
@@ -278,9 +279,9 @@
         await asyncio.sleep(2.0)
         for gateway in (first, second):
             assert gateway.beliefs.outcomes["model"].state is RolloutState.COMPLETED
-        # News of it ends again, and so do calls to the log.
+        # The gossip about it ends, and so do the additional reads of the log.
         calls = fleet.store.reads
         await asyncio.sleep(3.0)
         assert fleet.store.reads - calls < 20
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
