--- a/acaciacove/decisions/crash_evidence.py
+++ b/acaciacove/decisions/crash_evidence.py
@@ -42,8 +42,8 @@
         for fingerprint in new:
             self._crashes.setdefault(fingerprint, set()).add(endpoint)
         while len(self._suspects) > MAX_CRASHES:
-            oldest, forgotten = self._suspects.popitem(last=False)
-            for fingerprint in forgotten:
+            oldest, evicted = self._suspects.popitem(last=False)
+            for fingerprint in evicted:
                 self._drop(fingerprint, oldest)
         return new
 
@@ -80,8 +80,8 @@
         The other request is then the likelier cause. Without this check, requests
         that share endpoints with the request that crashes them would be suspected.
         """
-        own = self._crashes.get(fingerprint)
-        if not own:
+        crashes = self._crashes.get(fingerprint)
+        if not crashes:
             return False
-        others = self._suspects[next(iter(own))]
-        return any(own < self._crashes[other] for other in others)
+        others = self._suspects[next(iter(crashes))]
+        return any(crashes < self._crashes[other] for other in others)
--- a/acaciacove/decisions/evidence_test.py
+++ b/acaciacove/decisions/evidence_test.py
@@ -22,21 +22,23 @@
     inequality), so the test may be repeated after every score. The result depends
     on the counts alone, so entries with the same counts reach the same result.
     """
-    largest = 1.0 / max(_MIN_MEAN, 1.0 - mean)
-    return _log_stake(counts, [(mean, size * largest) for size in _BET_SIZES])
+    max_bet = 1.0 / max(_MIN_MEAN, 1.0 - mean)
+    return _log_stake(counts, [(mean, fraction * max_bet) for fraction in _BET_SIZES])
 
 
 def evidence_above(counts: list[float], mean: float) -> float:
     """Return the log odds against "the true mean is at most ``mean``"."""
-    largest = 1.0 / max(_MIN_MEAN, mean)
-    return _log_stake(counts, [(mean, -size * largest) for size in _BET_SIZES])
+    max_bet = 1.0 / max(_MIN_MEAN, mean)
+    return _log_stake(counts, [(mean, -fraction * max_bet) for fraction in _BET_SIZES])
 
 
 def _log_stake(counts: list[float], bets: list[tuple[float, float]]) -> float:
     """Return the log of the mean wealth over several bets."""
-    logs = [_log_growth(counts, mean, bet) for mean, bet in bets]
-    top = max(logs)
-    return top + log(sum(exp(value - top) for value in logs) / len(logs))
+    log_wealths = [_log_growth(counts, mean, bet) for mean, bet in bets]
+    largest = max(log_wealths)
+    return largest + log(
+        sum(exp(value - largest) for value in log_wealths) / len(log_wealths)
+    )
 
 
 def _log_growth(counts: list[float], mean: float, bet: float) -> float:
--- a/acaciacove/decisions/request_quarantine.py
+++ b/acaciacove/decisions/request_quarantine.py
@@ -98,8 +98,8 @@
                 self._hold(fingerprint, now_s + QUARANTINE_S)
             return
         crashes = self.evidence.crashes_under(fingerprint)
-        is_many = crashes >= SUSPICIOUS_CRASHES
-        if is_many and not self.evidence.is_explained(fingerprint):
+        has_enough_crashes = crashes >= SUSPICIOUS_CRASHES
+        if has_enough_crashes and not self.evidence.is_explained(fingerprint):
             self.suspect(fingerprint)
 
     def _hold(self, fingerprint: int, until_s: float) -> None:
@@ -138,13 +138,15 @@
 
     def clear(self, fingerprint: int, now_s: float) -> bool:
         """Record that a request was served; returns whether peers need an update."""
-        held = self._trials.pop(fingerprint, None) is not None
-        held = self._quarantined.pop(fingerprint, None) is not None or held
-        matters = held or self.evidence.crashes_under(fingerprint) > 1
+        was_restricted = self._trials.pop(fingerprint, None) is not None
+        was_restricted = (
+            self._quarantined.pop(fingerprint, None) is not None or was_restricted
+        )
+        is_relevant = was_restricted or self.evidence.crashes_under(fingerprint) > 1
         self.evidence.forget(fingerprint)
-        if matters:
+        if is_relevant:
             self._note_cleared(fingerprint, now_s + CLEARED_S)
-        return matters
+        return is_relevant
 
     def take(self, verdict: RequestVerdict, now_s: float) -> bool:
         """Apply a verdict of another gateway; returns whether it was new."""
@@ -175,8 +177,8 @@
             self._cleared.popitem(last=False)
 
     def _take_trial(self, verdict: RequestVerdict, now_s: float) -> bool:
-        known = self._trials.get(verdict.fingerprint)
-        if known is not None and _is_ahead(known, verdict):
+        local = self._trials.get(verdict.fingerprint)
+        if local is not None and _is_ahead(local, verdict):
             return False
         if not verdict.trials:
             self.suspect(verdict.fingerprint)
@@ -202,9 +204,9 @@
         ]
 
     def _forget_old(self, now_s: float) -> None:
-        for ends in (self._cleared, self._quarantined):
-            while ends and next(iter(ends.values())) <= now_s:
-                ends.popitem(last=False)
+        for expiries in (self._cleared, self._quarantined):
+            while expiries and next(iter(expiries.values())) <= now_s:
+                expiries.popitem(last=False)
 
 
 def _verdict_of(fingerprint: int, trial: TrialOfRequest) -> RequestVerdict:
@@ -213,11 +215,11 @@
     )
 
 
-def _is_ahead(known: TrialOfRequest, told: RequestVerdict) -> bool:
+def _is_ahead(local: TrialOfRequest, received: RequestVerdict) -> bool:
     """Return whether a local trial takes precedence over a received one.
 
     The higher trial number wins, and the lower claim if the numbers are equal.
     """
-    return known.number > told.trials or (
-        known.number == told.trials and known.claim <= told.claim
+    return local.number > received.trials or (
+        local.number == received.trials and local.claim <= received.claim
     )
--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -84,10 +84,10 @@
             if self._is_worse(fleet, version.id, reference, kind):
                 reason = f"{kind} below {reference}"
                 return GuardVerdict(GuardAction.QUARANTINE, 0.0, reason)
-        earned = self._earned_share(fleet, version, reference, share)
-        if earned <= share:
+        justified = self._justified_share(fleet, version, reference, share)
+        if justified <= share:
             return GuardVerdict(GuardAction.KEEP, share)
-        return GuardVerdict(GuardAction.WIDEN, earned, f"as good as {reference}")
+        return GuardVerdict(GuardAction.WIDEN, justified, f"as good as {reference}")
 
     def export_delta(self, limit: int = DEFAULT_EXPORT) -> tuple[SharedCell, ...]:
         """Remove and return up to ``limit`` counters to send to a peer."""
@@ -98,9 +98,11 @@
         windows = [int(c.name[0]) for c in cells if c.name[0] != BASELINE]
         self.turn_to(max(windows, default=self.window))
         oldest = self.window - self.settings.kept_windows
-        wanted = [c for c in cells if c.name[0] == BASELINE or int(c.name[0]) > oldest]
-        for name, grown in self._counts.merge(tuple(wanted)):
-            self._add_to_row(name, grown)
+        retained = [
+            c for c in cells if c.name[0] == BASELINE or int(c.name[0]) > oldest
+        ]
+        for name, increase in self._counts.merge(tuple(retained)):
+            self._add_to_row(name, increase)
 
     def _count(self, name: CellName) -> None:
         self._counts.add(name)
@@ -110,8 +112,8 @@
         """Update the histogram of the window, version and kind of a counter."""
         if name[-1] == ALL_BUCKETS:
             return
-        row = self._rows.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
-        row[int(name[-1])] += count
+        histogram = self._rows.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
+        histogram[int(name[-1])] += count
 
     def turn_to(self, window: int) -> None:
         """Advance to a later window, and remove those no longer retained."""
@@ -119,13 +121,13 @@
             return
         self.window = window
         oldest = window - self.settings.kept_windows + 1
-        past = {
+        expired = {
             name
             for name in self._counts.names()
             if name[0] != BASELINE and int(name[0]) < oldest
         }
-        self._counts.forget(past)
-        for name in past:
+        self._counts.forget(expired)
+        for name in expired:
             self._rows.pop(name[:-1], None)
 
     def _is_worse(
@@ -140,17 +142,17 @@
         if mean is None:
             return False
         needed = log(1.0 / self.settings.false_alarm)
-        since = [0.0] * (BUCKETS + 1)
+        cumulative = [0.0] * (BUCKETS + 1)
         for window in self._kept():
             counts = self._histogram(str(window), fleet, version, kind)
             if not any(counts):
                 continue
-            since = [a + b for a, b in zip(since, counts, strict=True)]
-            if evidence_below(since, mean - self.settings.tolerance) >= needed:
+            cumulative = [a + b for a, b in zip(cumulative, counts, strict=True)]
+            if evidence_below(cumulative, mean - self.settings.tolerance) >= needed:
                 return True
         return False
 
-    def _earned_share(
+    def _justified_share(
         self, fleet: FleetState, version: Version, reference: VersionId, share: float
     ) -> float:
         """Return the share that the evidence of being no worse justifies."""
@@ -161,8 +163,8 @@
         floor = mean - self.settings.unacceptable
         by_odds = evidence_above(counts, floor) / log(self.settings.widen_odds)
         by_count = sum(counts) / self.settings.stage_ratings
-        reached = min(len(self.settings.stages), int(min(by_odds, by_count)))
-        return self.settings.stages[reached - 1] if reached > 0 else share
+        stage = min(len(self.settings.stages), int(min(by_odds, by_count)))
+        return self.settings.stages[stage - 1] if stage > 0 else share
 
     def _reference_mean(
         self,
@@ -189,11 +191,11 @@
         self, fleet: FleetState, version: VersionId, kind: EvidenceKind
     ) -> list[float]:
         """Sum the histograms of the retained windows."""
-        since = [0.0] * (BUCKETS + 1)
+        summed = [0.0] * (BUCKETS + 1)
         for window in self._kept():
             counts = self._histogram(str(window), fleet, version, kind)
-            since = [a + b for a, b in zip(since, counts, strict=True)]
-        return since
+            summed = [a + b for a, b in zip(summed, counts, strict=True)]
+        return summed
 
     def _kept(self) -> range:
         """Return the retained windows, newest first."""
--- a/acaciacove/decisions/shared_counts.py
+++ b/acaciacove/decisions/shared_counts.py
@@ -58,14 +58,14 @@
 
         Cells of the local origin are only new after a restart.
         """
-        grown: list[tuple[CellName, float]] = []
+        increases: list[tuple[CellName, float]] = []
         for cell in cells:
             known = self._cells.get((cell.origin, cell.name))
             before = known.count if known else 0.0
             if cell.count > before:
                 self._store(cell)
-                grown.append((cell.name, cell.count - before))
-        return grown
+                increases.append((cell.name, cell.count - before))
+        return increases
 
     def forget(self, names: set[CellName]) -> None:
         """Remove cells, as of withdrawn versions or past epochs."""
--- a/acaciacove/gateway/quarantine/crash_watch.py
+++ b/acaciacove/gateway/quarantine/crash_watch.py
@@ -42,9 +42,9 @@
 
     def note_lost(self, state: EndpointState, fingerprint: int) -> None:
         """Record a request whose connection broke while it may have been running."""
-        gathered = self._lost.get(state)
-        if gathered is not None:
-            gathered.append(fingerprint)
+        fingerprints = self._lost.get(state)
+        if fingerprints is not None:
+            fingerprints.append(fingerprint)
             return
         self._lost[state] = [fingerprint]
         check = asyncio.create_task(self._check(state))
--- a/acaciacove/gateway/quarantine/quarantine_records.py
+++ b/acaciacove/gateway/quarantine/quarantine_records.py
@@ -32,7 +32,7 @@
     while True:
         await guard.to_record.wait()
         guard.to_record.clear()
-        while guard.records:
+        while guard.pending_records:
             await _write_oldest(guard, metadata)
 
 
@@ -53,19 +53,19 @@
     if record.value is None:
         return
     try:
-        found = read_record(record.key, record.value)
+        restored = read_record(record.key, record.value)
     except MalformedMessageError as error:
         log.write(Event.RECORD_UNREADABLE, key=record.key, detail=str(error))
         return
-    if found.until_s > time.time():
-        guard.restore(found, asyncio.get_running_loop().time())
+    if restored.until_s > time.time():
+        guard.restore(restored, asyncio.get_running_loop().time())
     else:
-        guard.records[found.fingerprint] = None
+        guard.pending_records[restored.fingerprint] = None
         guard.to_record.set()
 
 
 async def _write_oldest(guard: RequestGuard, metadata: MetadataLog) -> None:
-    fingerprint, record = next(iter(guard.records.items()))
+    fingerprint, record = next(iter(guard.pending_records.items()))
     value = write_record(record) if record is not None else NOTHING
     try:
         await metadata.append(LogStream.QUARANTINE, key_of(fingerprint), value, None)
@@ -73,5 +73,5 @@
         # An append without a reply may have taken effect; repeating it is harmless.
         await asyncio.sleep(RETRY_S)
         return
-    if guard.records.get(fingerprint, record) is record:
-        guard.records.pop(fingerprint, None)
+    if guard.pending_records.get(fingerprint, record) is record:
+        guard.pending_records.pop(fingerprint, None)
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -61,7 +61,7 @@
     tell: Tell = tell_nobody
     tell_all: Tell = tell_nobody
     random: Random = field(factory=Random)
-    records: OrderedDict[int, RequestRecord | None] = field(factory=OrderedDict)
+    pending_records: OrderedDict[int, RequestRecord | None] = field(factory=OrderedDict)
     to_record: asyncio.Event = field(factory=asyncio.Event)
     _lost_here: OrderedDict[int, None] = field(factory=OrderedDict)
     _told: OrderedDict[int, RequestStanding] = field(factory=OrderedDict)
@@ -72,12 +72,12 @@
             self._lost_here[fingerprint] = None
         while len(self._lost_here) > MAX_LOST:
             self._lost_here.popitem(last=False)
-        life = life_number(endpoint)
-        new = self.quarantine.note_crash(life, suspects, now_s)
+        incarnation = life_number(endpoint)
+        new = self.quarantine.note_crash(incarnation, suspects, now_s)
         if new:
             verdicts = self._verdicts_on(new, now_s)
-            seen = CrashSeen(life, tuple(new[:MAX_TOLD_SUSPECTS]))
-            self.tell(RequestNews((seen,), verdicts))
+            crash = CrashSeen(incarnation, tuple(new[:MAX_TOLD_SUSPECTS]))
+            self.tell(RequestNews((crash,), verdicts))
 
     def held_back(self, fingerprint: int, now_s: float) -> Refusal | None:
         """Return why a request is not sent now, or None if it may be."""
@@ -107,8 +107,8 @@
                 f"request {written_fingerprint(fingerprint)} has no trial available"
             )
         claim = self.random.getrandbits(CLAIM_BITS)
-        life = life_number(endpoint)
-        verdict = self.quarantine.claim_trial(fingerprint, life, claim, now_s)
+        incarnation = life_number(endpoint)
+        verdict = self.quarantine.claim_trial(fingerprint, incarnation, claim, now_s)
         self.tell_all(RequestNews((), (verdict,)))
         await asyncio.sleep(CLAIM_S)
         if not self.quarantine.has_trial(fingerprint, claim):
@@ -136,12 +136,12 @@
     def take(self, news: RequestNews, now_s: float) -> RequestNews:
         """Apply an update of another gateway; returns the part that was new."""
         crashes = []
-        touched: list[int] = []
+        changed: list[int] = []
         for crash in news.crashes:
             new = self.quarantine.note_crash(crash.endpoint, crash.suspects, now_s)
             if new:
                 crashes.append(CrashSeen(crash.endpoint, tuple(new)))
-                touched += new
+                changed += new
         verdicts = []
         for verdict in news.verdicts:
             if not math.isfinite(verdict.left_s):
@@ -152,10 +152,10 @@
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
             elif self.quarantine.take(verdict, now_s):
                 verdicts.append(verdict)
-                touched.append(verdict.fingerprint)
+                changed.append(verdict.fingerprint)
                 if verdict.kind == CLEARED:
                     self._note_cleared(verdict.fingerprint)
-        self._verdicts_on(touched, now_s)
+        self._verdicts_on(changed, now_s)
         return RequestNews(tuple(crashes), tuple(verdicts))
 
     def restore(self, record: RequestRecord, now_s: float) -> None:
@@ -173,27 +173,31 @@
         self, fingerprints: Iterable[int], now_s: float
     ) -> tuple[RequestVerdict, ...]:
         """Log and record status changes; returns verdicts on newly quarantined ones."""
-        held = []
+        quarantined = []
         for fingerprint in fingerprints:
             standing = self.quarantine.standing(fingerprint, now_s)
             if standing is RequestStanding.WAITING:
                 standing = RequestStanding.TRIAL
-            before = self._told.get(fingerprint, RequestStanding.FREE)
-            if standing is before or standing is RequestStanding.FREE:
+            previous = self._told.get(fingerprint, RequestStanding.FREE)
+            if standing is previous or standing is RequestStanding.FREE:
                 continue
             self._note_told(fingerprint, standing)
-            is_held = standing is RequestStanding.QUARANTINED
-            event = Event.REQUEST_QUARANTINED if is_held else Event.REQUEST_SUSPECTED
+            is_quarantined = standing is RequestStanding.QUARANTINED
+            event = (
+                Event.REQUEST_QUARANTINED if is_quarantined else Event.REQUEST_SUSPECTED
+            )
             self.log.write(event, fingerprint=written_fingerprint(fingerprint))
-            if is_held:
-                held.append(
+            if is_quarantined:
+                quarantined.append(
                     RequestVerdict(fingerprint, QUARANTINED, left_s=QUARANTINE_S)
                 )
             if fingerprint in self._lost_here:
                 # Only the gateways that lost the request write its record.
                 until_s = time.time() + QUARANTINE_S
-                self._record(fingerprint, RequestRecord(fingerprint, is_held, until_s))
-        return tuple(held)
+                self._record(
+                    fingerprint, RequestRecord(fingerprint, is_quarantined, until_s)
+                )
+        return tuple(quarantined)
 
     def _note_told(self, fingerprint: int, standing: RequestStanding) -> None:
         self._told[fingerprint] = standing
@@ -209,9 +213,9 @@
         return True
 
     def _record(self, fingerprint: int, record: RequestRecord | None) -> None:
-        self.records[fingerprint] = record
-        if len(self.records) > MAX_RECORDS:
-            dropped, _ = self.records.popitem(last=False)
+        self.pending_records[fingerprint] = record
+        if len(self.pending_records) > MAX_RECORDS:
+            dropped, _ = self.pending_records.popitem(last=False)
             name = written_fingerprint(dropped)
             self.log.write(Event.REQUEST_NOT_RECORDED, fingerprint=name)
         self.to_record.set()
--- a/acaciacove/gateway/rollout/judge.py
+++ b/acaciacove/gateway/rollout/judge.py
@@ -97,23 +97,23 @@
 def _groups(evidence: Evidence) -> list[tuple[CellCounts, CellCounts]]:
     """Return pairs of new and old counts for each route and each model in use."""
     found = []
-    least = GROUP_SHARE * total(evidence.old).answers
-    for part in (0, 1):
-        new = _by_part(evidence.target, part)
-        old = _by_part(evidence.old, part)
+    min_answers = GROUP_SHARE * total(evidence.old).answers
+    for position in (0, 1):
+        new = _by_name_part(evidence.target, position)
+        old = _by_name_part(evidence.old, position)
         found += [
             (new.get(name, CellCounts()), counts)
             for name, counts in old.items()
-            if counts.answers > least
+            if counts.answers > min_answers
         ]
     return found
 
 
-def _by_part(cells: Cells, part: int) -> Mapping[str, CellCounts]:
+def _by_name_part(cells: Cells, position: int) -> Mapping[str, CellCounts]:
     """Sum the cells by the route (part 0) or model (part 1) in their names."""
     summed: dict[str, CellCounts] = {}
     for name, counts in cells.items():
-        key = name.split(CELL_SEPARATOR)[part]
+        key = name.split(CELL_SEPARATOR)[position]
         summed.setdefault(key, CellCounts()).merge(counts)
     return summed
 
--- a/acaciacove/gateway/rollout/rollout_steps.py
+++ b/acaciacove/gateway/rollout/rollout_steps.py
@@ -91,12 +91,12 @@
         return False
     if _elapsed(progress, now_s) >= settings.complete_by:
         return True
-    busy_peers = any(
+    has_busy_peers = any(
         view.old_in_flight
         for view, seen_s in progress.peer_views.values()
         if now_s - seen_s < PEER_VIEW_LIFE_S
     )
-    return progress.old_in_flight == 0 and not busy_peers
+    return progress.old_in_flight == 0 and not has_busy_peers
 
 
 def may_send_to_target(
--- a/tests/test_decisions_counts.py
+++ b/tests/test_decisions_counts.py
@@ -90,13 +90,13 @@
     bins = []
     scores = []
     for level in (0.3, 0.5, 0.7, 0.9):
-        tally, seen = Tally(), 4000
-        for _ in range(seen):
+        tally, answers = Tally(), 4000
+        for _ in range(answers):
             score = min(1.0, max(0.0, rng.gauss(level, 0.15)))
             scores.append(score)
             if rng.random() < 0.05 * (1.0 + 2.0 * (1.0 - score)):
                 tally = tally.plus(1.0, score, score * score)
-        bins.append((float(seen), tally))
+        bins.append((float(answers), tally))
     true_mean = sum(scores) / len(scores)
     bias = fit_response_bias(bins)
     plain = sum(tally.mean for _, tally in bins) / 4
--- a/tests/test_decisions_quarantine.py
+++ b/tests/test_decisions_quarantine.py
@@ -104,11 +104,11 @@
 
 
 def test_gateways_that_were_told_the_same_in_any_order_hold_the_same():
-    told = [CrashSeen(e, (BAD, 100 + e)) for e in range(1, 4)]
-    told.append(CrashSeen(2, (55,)))
+    crashes = [CrashSeen(e, (BAD, 100 + e)) for e in range(1, 4)]
+    crashes.append(CrashSeen(2, (55,)))
     for seed in range(10):
         quarantine = RequestQuarantine()
-        for crash in Random(seed).sample(told, len(told)):
+        for crash in Random(seed).sample(crashes, len(crashes)):
             quarantine.note_crash(crash.endpoint, crash.suspects, 0.0)
         assert quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
         assert quarantine.standing(55, 0.0) is RequestStanding.FREE
@@ -133,9 +133,9 @@
     st.lists(st.tuples(st.integers(0, 9), st.sets(st.integers(0, 9)), st.booleans()))
 )
 @settings(max_examples=100, derandomize=True)
-def test_evidence_counts_each_crash_once(told):
+def test_evidence_counts_each_crash_once(events):
     evidence, expected = CrashEvidence(), {}
-    for endpoint, suspects, forget in told:
+    for endpoint, suspects, forget in events:
         evidence.add(endpoint, suspects)
         for fingerprint in suspects:
             expected.setdefault(fingerprint, set()).add(endpoint)
@@ -240,21 +240,21 @@
     """Guards against a full datagram that leaves out the request that matters."""
 
     async def scenario():
-        told = []
-        guard = RequestGuard(EventLog("g", descriptor=None), tell=told.append)
+        updates = []
+        guard = RequestGuard(EventLog("g", descriptor=None), tell=updates.append)
         for number in range(3):
-            endpoint = an_endpoint(number)
+            endpoint = make_endpoint(number)
             others = range(1000 * number, 1000 * number + 99)
             guard.note_crash(endpoint, [*others, *range(9000, 9200), BAD + 10**6], 0.0)
-        crash = told[-1].crashes[0]
+        crash = updates[-1].crashes[0]
         assert crash.suspects[0] == BAD + 10**6
-        assert len(encode(told[-1])) < 1_400
+        assert len(encode(updates[-1])) < 1_400
         assert guard.quarantine.standing(BAD + 10**6, 0.0) is RequestStanding.TRIAL
 
     run_virtual(scenario)
 
 
-def an_endpoint(number):
+def make_endpoint(number):
     return Endpoint(
         instance=f"i-{number}",
         generation="1",
@@ -276,11 +276,11 @@
     """
     one, other = crashed_under(BAD), crashed_under(BAD)
     one.clear(BAD, 0.0)
-    for tenth in range(int(20 * CLEARED_S)):
-        now_s = tenth / 10.0
-        for teller, told in ((one, other), (other, one)):
-            for verdict in teller.verdicts(now_s):
-                told.take(verdict, now_s + 0.05)
+    for step in range(int(20 * CLEARED_S)):
+        now_s = step / 10.0
+        for sender, receiver in ((one, other), (other, one)):
+            for verdict in sender.verdicts(now_s):
+                receiver.take(verdict, now_s + 0.05)
     assert one.verdicts(now_s) == other.verdicts(now_s) == []
 
 
@@ -292,7 +292,7 @@
         guard.restore(RequestRecord(BAD, False, time.time() + 99.0), 0.0)
         assert guard.quarantine.standing(BAD, 0.0) is RequestStanding.TRIAL
         guard.note_served(BAD, 1.0)
-        assert guard.records == {BAD: None}
+        assert guard.pending_records == {BAD: None}
 
     run_virtual(scenario)
 
--- a/tests/test_decisions_rollout.py
+++ b/tests/test_decisions_rollout.py
@@ -17,7 +17,7 @@
 FLEET = FleetState(versions={OLD: OLD_VERSION, NEW: NEW_VERSION})
 
 
-def rate(guard, version, mean, count, rng, fleet=FLEET, first=0):
+def observe_ratings(guard, version, mean, count, rng, fleet=FLEET, first=0):
     for number in range(count):
         score = min(1.0, max(0.0, rng.gauss(mean, 0.18)))
         guard.observe(fleet, version, EvidenceKind.RATING, score, first + number)
@@ -27,8 +27,8 @@
     # The answers of a new version are rated a third worse. It must be quarantined
     # before its share grows.
     guard, rng = RolloutGuard("entry-1"), Random(1)
-    rate(guard, OLD, 0.8, 200, rng)
-    rate(guard, NEW, 0.56, 60, rng)
+    observe_ratings(guard, OLD, 0.8, 200, rng)
+    observe_ratings(guard, NEW, 0.56, 60, rng)
     verdict = guard.verdict(FLEET, NEW_VERSION)
     assert verdict.action is GuardAction.QUARANTINE
     assert "rating" in verdict.reason
@@ -47,8 +47,8 @@
 
 def test_a_good_version_earns_a_larger_share():
     guard, rng = RolloutGuard("entry-1"), Random(2)
-    rate(guard, OLD, 0.8, 200, rng)
-    rate(guard, NEW, 0.8, 200, rng)
+    observe_ratings(guard, OLD, 0.8, 200, rng)
+    observe_ratings(guard, NEW, 0.8, 200, rng)
     verdict = guard.verdict(FLEET, NEW_VERSION)
     assert verdict.action is GuardAction.WIDEN
     assert verdict.share == 1.0
@@ -65,9 +65,9 @@
     # requests, so the version is compared with its own early ratings.
     guard, rng = RolloutGuard("entry-1"), Random(3)
     fleet = evolve(FLEET, exposures={NEW: 1.0})
-    rate(guard, NEW, 0.8, 2500, rng, fleet)
+    observe_ratings(guard, NEW, 0.8, 2500, rng, fleet)
     assert guard.verdict(fleet, NEW_VERSION).action is GuardAction.KEEP
-    rate(guard, NEW, 0.56, 400, rng, fleet, first=2500)
+    observe_ratings(guard, NEW, 0.56, 400, rng, fleet, first=2500)
     assert guard.verdict(fleet, NEW_VERSION).action is GuardAction.QUARANTINE
 
 
@@ -75,8 +75,8 @@
     # The entry that judged a roll-out is replaced half way. If its counts were lost,
     # the bad version would stay in service.
     first, second, rng = RolloutGuard("entry-1"), RolloutGuard("entry-2"), Random(4)
-    rate(first, OLD, 0.8, 200, rng)
-    rate(first, NEW, 0.56, 60, rng)
+    observe_ratings(first, OLD, 0.8, 200, rng)
+    observe_ratings(first, NEW, 0.56, 60, rng)
     for _ in range(4):
         second.merge(first.export_delta())
     assert second.verdict(FLEET, NEW_VERSION) == first.verdict(FLEET, NEW_VERSION)
@@ -86,7 +86,7 @@
     # An operator fixes a bad version and declares it again under the same name. The
     # old evidence must not quarantine the fixed version.
     guard, rng = RolloutGuard("entry-1"), Random(5)
-    rate(guard, OLD, 0.8, 200, rng)
-    rate(guard, NEW, 0.56, 60, rng)
-    anew = evolve(FLEET, declared_at={NEW: 9})
-    assert guard.verdict(anew, NEW_VERSION).action is GuardAction.KEEP
+    observe_ratings(guard, OLD, 0.8, 200, rng)
+    observe_ratings(guard, NEW, 0.56, 60, rng)
+    redeclared = evolve(FLEET, declared_at={NEW: 9})
+    assert guard.verdict(redeclared, NEW_VERSION).action is GuardAction.KEEP
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -9,9 +9,9 @@
 CRASHING = b"crashes what runs it"
 # Guaranteed bounds: three crashes, the time until all connected gateways have received
 # the gossip, and three trials after that.
-CRASHES = 3
-CONTACT_S = 3.0
-TRIES = 3
+MAX_CRASHES = 3
+GOSSIP_S = 3.0
+MAX_TRIALS = 3
 HOSTS = tuple(f"10.0.1.{number}" for number in range(1, 5))
 
 
@@ -59,8 +59,8 @@
     async def scenario(fleet):
         crash_at(fleet)
         await ask_again_and_again(fleet, 12, 3.5, gateways)
-        third_s = crashes(fleet)[CRASHES - 1]
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
+        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=gateways, apps=9, models=0)
 
@@ -73,8 +73,8 @@
         for number in range(12):
             await draft(f"bad-{number}", body=CRASHING, host=HOSTS[number % 4])
             await asyncio.sleep(1.0)
-        third_s = crashes(fleet)[CRASHES - 1]
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
+        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=4, apps=0, models=9)
 
@@ -88,7 +88,7 @@
             server.behaviour.work_s = 0.15
         others = []
 
-        async def ask_others():
+        async def send_others():
             for number in range(400):
                 host = HOSTS[number % 4]
                 path = f"/look/other-{number}"
@@ -97,9 +97,9 @@
                 )
                 await asyncio.sleep(0.025)
 
-        asking = asyncio.create_task(ask_others())
+        sending = asyncio.create_task(send_others())
         await ask_again_and_again(fleet, 12, 0.5, 4)
-        await asking
+        await sending
         answers = [await other for other in others]
         assert not [a for a in answers if b"request_quarantined" in a.body]
         settled = answers[100:]
@@ -114,16 +114,16 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.3
-        asked = asyncio.create_task(call("/look/unlucky", "r-1", body=b"unlucky"))
-        for crashed in range(1, 4):
+        first = asyncio.create_task(call("/look/unlucky", "r-1", body=b"unlucky"))
+        for crash_count in range(1, 4):
             await asyncio.sleep(0.1)
             (run,) = [a for a in fleet.arrivals if a.ran and not a.ended]
             fleet.crash_for_a_while(run.instance)
             await asyncio.sleep(0.1)
-            assert len(crash_lines(fleet)) == crashed
-        assert (await asked).status == 502
-        again = await call("/look/unlucky", "r-2", body=b"unlucky", host=HOSTS[1])
-        assert again.status == 200
+            assert len(crash_lines(fleet)) == crash_count
+        assert (await first).status == 502
+        second = await call("/look/unlucky", "r-2", body=b"unlucky", host=HOSTS[1])
+        assert second.status == 200
         assert not lines(fleet, "request_quarantined")
         await asyncio.sleep(0.05)
         third = await call("/look/unlucky", "r-3", body=b"unlucky", host=HOSTS[2])
@@ -138,14 +138,14 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.2
-        asked = [
+        calls = [
             asyncio.create_task(call("/look/popular", f"r-{n}", host=HOSTS[n % 4]))
             for n in range(24)
         ]
         await asyncio.sleep(0.1)
         for instance in ("app-0", "app-3", "app-6", "app-1", "app-4"):
             fleet.crash_for_a_while(instance)
-        statuses = [(await each).status for each in asked]
+        statuses = [(await each).status for each in calls]
         assert statuses.count(200) == len(statuses)
         assert not lines(fleet, "request_quarantined")
         for number in range(8):
@@ -176,15 +176,15 @@
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-async def after_a_storm(fleet, upset, settled_s=CONTACT_S):
+async def after_a_storm(fleet, disrupt, settled_s=GOSSIP_S):
     """Let the request crash endpoints, upset the fleet, and send it again."""
     crash_at(fleet)
     await ask_again_and_again(fleet, 3, 0.7, 4)
-    third_s = crashes(fleet)[CRASHES - 1]
-    await upset(fleet)
+    third_s = crashes(fleet)[MAX_CRASHES - 1]
+    await disrupt(fleet)
     await asyncio.sleep(settled_s)
     await ask_again_and_again(fleet, 6, 1.0, 4)
-    assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+    assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
 
 async def restart(fleet, names):
@@ -196,31 +196,31 @@
         await fleet.add_gateway(settings, fleet.network.talk)
 
 
-ALL = tuple(f"gateway-{number}" for number in range(4))
+ALL_GATEWAYS = tuple(f"gateway-{number}" for number in range(4))
 
 
-@pytest.mark.parametrize("names", [ALL[:1], ALL])
+@pytest.mark.parametrize("names", [ALL_GATEWAYS[:1], ALL_GATEWAYS])
 def test_gateways_that_start_anew_hold_the_request_back(names):
     """Guards against losing the quarantine when one or all gateways restart."""
 
-    async def upset(fleet):
+    async def disrupt(fleet):
         await restart(fleet, names)
 
-    run_fleet(lambda fleet: after_a_storm(fleet, upset), gateways=4, apps=9, models=0)
+    run_fleet(lambda fleet: after_a_storm(fleet, disrupt), gateways=4, apps=9, models=0)
 
 
 def test_a_gateway_that_starts_while_the_log_is_away_learns_it_from_the_others():
     """Guards against a start that cannot restore the quarantine from the log."""
 
-    async def upset(fleet):
-        await restart(fleet, ALL[:1])
+    async def disrupt(fleet):
+        await restart(fleet, ALL_GATEWAYS[:1])
         await asyncio.sleep(0.2)
         fleet.store.down = "silent"
         fleet.store.newest["keyed.quarantine"].clear()
         await asyncio.sleep(1.0)
         fleet.store.down = None
 
-    run_fleet(lambda fleet: after_a_storm(fleet, upset), gateways=4, apps=9, models=0)
+    run_fleet(lambda fleet: after_a_storm(fleet, disrupt), gateways=4, apps=9, models=0)
 
 
 def test_a_gateway_that_was_cut_off_learns_it_when_it_is_back():
@@ -232,12 +232,12 @@
         for number in range(4):
             await call("/look/7", f"bad-{number}", body=CRASHING, host=HOSTS[1])
             await asyncio.sleep(0.7)
-        third_s = crashes(fleet)[CRASHES - 1]
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
         fleet.network.cut.clear()
-        await asyncio.sleep(CONTACT_S)
+        await asyncio.sleep(GOSSIP_S)
         for number in range(4):
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
-        assert len(tries_after(fleet, third_s + CONTACT_S)) <= TRIES
+        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
@@ -245,14 +245,14 @@
 def test_the_request_is_recorded_once_the_log_is_back():
     """Guards against a restart of all gateways after crashes during a log outage."""
 
-    async def upset(fleet):
+    async def disrupt(fleet):
         fleet.store.down = None
         await asyncio.sleep(2.0)
-        await restart(fleet, ALL)
+        await restart(fleet, ALL_GATEWAYS)
 
     async def scenario(fleet):
         fleet.store.down = "reset"
-        await after_a_storm(fleet, upset)
+        await after_a_storm(fleet, disrupt)
 
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
@@ -264,8 +264,8 @@
     async def scenario(fleet):
         crash_at(fleet)
         await call("/look/7", "bad-0", body=CRASHING)
-        assert len(crashes(fleet)) == CRASHES
-        await asyncio.sleep(2 * CONTACT_S)
+        assert len(crashes(fleet)) == MAX_CRASHES
+        await asyncio.sleep(2 * GOSSIP_S)
         began_s = asyncio.get_running_loop().time()
         await asyncio.gather(
             *(
@@ -273,6 +273,6 @@
                 for n in range(gateways)
             )
         )
-        assert 1 <= len(tries_after(fleet, began_s - 0.1)) <= TRIES
+        assert 1 <= len(tries_after(fleet, began_s - 0.1)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=gateways, apps=9, models=0)
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -15,7 +15,7 @@
 from acaciacove.gateway.rollout.verdict import Verdict
 from acaciacove.gateway.rollout.version_capacity import VersionCapacity
 
-PLAYS = 6
+RUNS = 6
 ENOUGH = VersionCapacity(target=5, old=5)
 NINE_KINDS = [f"{route}|{model}" for route in "abc" for model in ("s", "m", "l")]
 # Faults that affect too few requests to be distinguished from chance in one roll-out.
@@ -77,7 +77,7 @@
     assert judge(Evidence(target, old, one, 1)) is Verdict.BAD
 
 
-def order(duration_s=20.0):
+def make_order(duration_s=20.0):
     return RolloutOrder("model", "v2", duration_s, 1, 0.0)
 
 
@@ -85,37 +85,39 @@
     """Callers of a stalled version abandon their requests before any answer. If only
     answers counted, there would never be evidence against the version.
     """
-    progress = RolloutProgress(order())
+    progress = RolloutProgress(make_order())
     for number in range(20):
-        asked = progress.await_answer(False, "a|s", f"old-{number % 3}", 0.0)
-        progress.take_answer(asked, False, 0.2)
+        request = progress.await_answer(False, "a|s", f"old-{number % 3}", 0.0)
+        progress.take_answer(request, False, 0.2)
     progress.note_overdue(1.0)
-    asked = [progress.await_answer(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)]
-    for number in asked[:6]:
-        progress.forget(number, 2.0)
+    requests = [
+        progress.await_answer(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)
+    ]
+    for request in requests[:6]:
+        progress.forget(request, 2.0)
     progress.note_overdue(2.0)
     counts = progress.cells(True)["a|s"]
     assert (counts.answers, counts.judged, counts.late) == (0, 12, 12)
     step(progress, RolloutSettings(), ENOUGH, 2.1)
     assert progress.phase is RolloutPhase.STOPPED
     assert progress.judged_bad
-    for number in asked[6:]:
-        progress.take_answer(number, False, 3.0)
+    for request in requests[6:]:
+        progress.take_answer(request, False, 3.0)
     assert progress.cells(True)["a|s"].late == 12
 
 
-def sound_progress(now_s):
+def make_sound_progress(now_s):
     """Return a roll-out with enough evidence that the new version is sound."""
-    progress = RolloutProgress(order())
+    progress = RolloutProgress(make_order())
     for is_target, times in ((False, 60), (True, 40)):
         for number in range(times):
             endpoint = f"{is_target}-{number % 3}"
-            asked = progress.await_answer(is_target, "a|s", endpoint, now_s)
-            progress.take_answer(asked, False, 0.2)
+            request = progress.await_answer(is_target, "a|s", endpoint, now_s)
+            progress.take_answer(request, False, 0.2)
         progress.note_overdue(now_s)
     for number in range(40):
-        asked = progress.await_answer(True, "a|s", f"True-{number % 3}", now_s)
-        progress.take_answer(asked, False, 0.2)
+        request = progress.await_answer(True, "a|s", f"True-{number % 3}", now_s)
+        progress.take_answer(request, False, 0.2)
     return progress
 
 
@@ -125,20 +127,20 @@
     """
     settings = RolloutSettings()
     few = VersionCapacity(target=2, old=5)
-    progress = sound_progress(11.0)
+    progress = make_sound_progress(11.0)
     step(progress, settings, few, 11.0)
     assert progress.phase is RolloutPhase.TRIAL
     step(progress, settings, ENOUGH, 11.1)
     assert progress.phase is RolloutPhase.ALL
     for number in range(40):
-        asked = progress.await_answer(True, "a|s", f"True-{number % 3}", 12.0)
-        progress.take_answer(asked, False, 0.2)
+        request = progress.await_answer(True, "a|s", f"True-{number % 3}", 12.0)
+        progress.take_answer(request, False, 0.2)
     assert may_complete(progress, settings, ENOUGH, 18.5)
     assert not may_complete(progress, settings, few, 18.5)
 
 
 def test_a_version_that_is_not_proven_in_time_goes_back():
-    progress = RolloutProgress(order())
+    progress = RolloutProgress(make_order())
     step(progress, RolloutSettings(), ENOUGH, 19.9)
     assert progress.phase is RolloutPhase.TRIAL
     step(progress, RolloutSettings(), ENOUGH, 20.0)
@@ -151,10 +153,10 @@
     """Versions that are bad from the start, later, on one route, with one model, under
     load, or slow are stopped or left unproven. A sound version takes over.
     """
-    ends = [play_rollout(fault, seed) for seed in range(PLAYS)]
+    ends = [play_rollout(fault, seed) for seed in range(RUNS)]
     endings = [end.ending for end in ends]
     if fault.name == "none":
-        assert endings.count("completed") >= PLAYS - 1
+        assert endings.count("completed") >= RUNS - 1
     elif fault.name not in FAINT:
         assert "completed" not in endings
-        assert endings.count("stopped") >= PLAYS - 1
+        assert endings.count("stopped") >= RUNS - 1
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -14,7 +14,7 @@
 
 DURATION_S = 20.0
 # Guaranteed bound for about 430 requests of 60 sessions.
-MAX_SESSIONS_BACK = 3
+MAX_SESSION_RETURNS = 3
 GATEWAYS = ("10.0.1.1", "10.0.1.2")
 
 
@@ -31,20 +31,20 @@
 async def press(fleet, seconds_s, per_s=24, sessions=400, seed=3, path="/draft/1"):
     """Send draft requests at a steady rate, half of them to each gateway."""
     random = Random(seed)
-    asked = []
+    calls = []
     for number in range(int(seconds_s * per_s)):
         host = GATEWAYS[number % 2]
         fields = model_fields(f"s{random.randrange(sessions)}")
-        asked.append(
+        calls.append(
             asyncio.create_task(
                 call(path, f"q-{seed}-{number}", host=host, fields=fields)
             )
         )
         await asyncio.sleep(1 / per_s)
-    return await asyncio.gather(*asked)
+    return await asyncio.gather(*calls)
 
 
-def roll_out(fleet):
+def start_rollout(fleet):
     fleet.roll_out(RolloutWish("model", "v2", DURATION_S))
 
 
@@ -56,7 +56,7 @@
     return [a for a in fleet.arrivals if "acaciacove-model" in a.fields]
 
 
-def state(fleet):
+def recorded_state(fleet):
     recorded = fleet.outcome("model")
     return json.loads(recorded)["state"] if recorded else ""
 
@@ -64,9 +64,9 @@
 def test_a_good_version_takes_over_in_time():
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         answers = await press(fleet, DURATION_S)
-        assert state(fleet) == "completed"
+        assert recorded_state(fleet) == "completed"
         assert [a.status for a in answers if a.status != 200] == []
         fleet.arrivals.clear()
         await press(fleet, 1.0, seed=4)
@@ -78,9 +78,9 @@
 def test_a_good_version_gets_few_requests_before_it_is_judged():
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S * 0.5)
-        assert state(fleet) == "in_progress"
+        assert recorded_state(fleet) == "in_progress"
         assert new_runs(fleet) == []
         await press(fleet, DURATION_S * 0.1, seed=4)
         assert 0 < len(new_runs(fleet)) < 0.15 * len(model_runs(fleet))
@@ -95,9 +95,9 @@
 
     async def scenario(fleet):
         await add_new_version(fleet, failing_every=3)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S)
-        assert state(fleet) == "rolled_back"
+        assert recorded_state(fleet) == "rolled_back"
         assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
         last_s = max(a.at_s for a in new_runs(fleet))
         fleet.arrivals.clear()
@@ -111,13 +111,13 @@
 def test_a_version_that_turns_bad_late_is_taken_back():
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, 7.0)
         for server in fleet.endpoints.values():
             if server.report.version == "v2":
                 server.behaviour.failing_every = 2
         await press(fleet, DURATION_S - 7.0, seed=4)
-        assert state(fleet) == "rolled_back"
+        assert recorded_state(fleet) == "rolled_back"
         assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
     run_fleet(scenario, gateways=2)
@@ -128,9 +128,9 @@
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.05
         await add_new_version(fleet, work_s=0.4)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S)
-        assert state(fleet) == "rolled_back"
+        assert recorded_state(fleet) == "rolled_back"
 
     run_fleet(scenario, gateways=2)
 
@@ -143,9 +143,9 @@
     async def scenario(fleet):
         await add_new_version(fleet, count=4)
         fleet.endpoints["new-0"].behaviour.failing_every = 2
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S)
-        assert state(fleet) == "completed"
+        assert recorded_state(fleet) == "completed"
 
     run_fleet(scenario, gateways=2)
 
@@ -154,9 +154,9 @@
     async def scenario(fleet):
         fleet.network.cut.update(GATEWAYS)
         await add_new_version(fleet, failing_every=2)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S)
-        assert state(fleet) == "rolled_back"
+        assert recorded_state(fleet) == "rolled_back"
         assert len(new_runs(fleet)) < 0.15 * len(model_runs(fleet)) + 30
 
     run_fleet(scenario, gateways=2)
@@ -170,7 +170,7 @@
 
     async def scenario(fleet):
         await add_new_version(fleet, failing_every=2)
-        roll_out(fleet)
+        start_rollout(fleet)
         await asyncio.sleep(1.5)
         fleet.store.lost_replies = 1
         await press(fleet, 12.0)
@@ -191,7 +191,7 @@
         await press(fleet, 3.0, sessions=20)
         fleet.arrivals.clear()
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S * 0.5, sessions=400, seed=3)
         assert new_runs(fleet) == []
 
@@ -206,15 +206,15 @@
 
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S * 0.9, sessions=60)
-        on_new, back = {}, 0
+        on_new, returns = {}, 0
         for arrival in model_runs(fleet):
             session = arrival.fields["acaciacove-prompt-prefix"].split(",")[1]
             is_new = arrival.instance.startswith("new-")
-            back += on_new.get(session, False) and not is_new
+            returns += on_new.get(session, False) and not is_new
             on_new[session] = is_new
-        assert back <= MAX_SESSIONS_BACK
+        assert returns <= MAX_SESSION_RETURNS
 
     run_fleet(scenario, gateways=2)
 
@@ -227,9 +227,9 @@
 
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, DURATION_S)
-        assert state(fleet) == "completed"
+        assert recorded_state(fleet) == "completed"
         for number in range(2):
             fleet.store.append("keyed.servers", f"model-{number}", b"")
         await fleet.add_gateway(gateway_settings("late", "10.0.1.9", "b"))
@@ -245,9 +245,9 @@
 def test_a_restart_does_not_forget_a_bad_version():
     async def scenario(fleet):
         await add_new_version(fleet, failing_every=2)
-        roll_out(fleet)
+        start_rollout(fleet)
         await press(fleet, 12.0)
-        assert state(fleet) == "rolled_back"
+        assert recorded_state(fleet) == "rolled_back"
         fleet.arrivals.clear()
         await fleet.add_gateway(gateway_settings("late", "10.0.1.9", "b"))
         await asyncio.sleep(0.2)
@@ -269,9 +269,9 @@
 
     async def scenario(fleet):
         await add_new_version(fleet)
-        roll_out(fleet)
+        start_rollout(fleet)
         await asyncio.sleep(2.0)
-        assert state(fleet) == "in_progress"
+        assert recorded_state(fleet) == "in_progress"
         value = fleet.outcome("model").replace("in_progress", "completed")
         fleet.store.append(OUTCOMES, ROLLOUT_KEY + "model", value.encode())
         first, second = (running.gateway for running in fleet.gateways.values())
