--- a/acaciacove/decisions/request_standing.py
+++ b/acaciacove/decisions/request_status.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class RequestStanding(Enum):
+class RequestStatus(Enum):
     """Status of a request, derived from the crashes with it in flight.
 
     FREE: not suspected, may be sent. TRIAL: suspected, may be sent once as a trial.
--- a/acaciacove/decisions/trial_of_request.py
+++ b/acaciacove/decisions/request_trial.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class TrialOfRequest:
+class RequestTrial:
     """The ``number``-th trial; it blocks other trials until ``until_s``.
 
     ``endpoint`` identifies the incarnation of the endpoint that runs it. Number 0
--- a/acaciacove/decisions/trial.py
+++ b/acaciacove/decisions/trial.py
@@ -15,4 +15,4 @@
 
     ladder: tuple[VersionId, ...]
     always_escalates: bool
-    chance: float
+    probability: float
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -10,16 +10,16 @@
 from attrs import define, field
 
 from acaciacove.decisions.request_quarantine import (
-    CLEARED_S,
-    QUARANTINE_S,
+    CLEARED_RETENTION_S,
+    QUARANTINE_DURATION_S,
     RequestQuarantine,
 )
-from acaciacove.decisions.request_standing import RequestStanding
+from acaciacove.decisions.request_status import RequestStatus
 from acaciacove.gateway.catalogue.endpoint import Endpoint
-from acaciacove.gateway.endpoint_states import life_number
+from acaciacove.gateway.endpoint_states import incarnation_id
 from acaciacove.gateway.event_log import EventLog
 from acaciacove.gateway.log_events import Event
-from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
+from acaciacove.gateway.quarantine.request_fingerprint import format_fingerprint
 from acaciacove.gateway.quarantine.request_record import RequestRecord
 from acaciacove.gateway.quarantine.trial_taken_error import TrialTakenError
 from acaciacove.messages.crash_seen import CrashSeen
@@ -29,21 +29,21 @@
 from acaciacove.refusal import Refusal
 
 # Requests lost by this gateway in crashes; the oldest are evicted first.
-MAX_LOST = 1024
+MAX_LOST_REQUESTS = 1024
 # More suspects do not fit into one datagram; those with the most crashes are sent.
-MAX_TOLD_SUSPECTS = 64
+MAX_SUSPECTS_PER_UPDATE = 64
 # Requests whose last logged status is remembered.
-MAX_TOLD = 4096
+MAX_LOGGED_STATUSES = 4096
 # Competing claims of other gateways arrive within this time.
-CLAIM_S = 0.01
+CLAIM_SETTLE_S = 0.01
 CLAIM_BITS = 32
 # Records waiting to be written to the log; beyond this the oldest are dropped.
-MAX_RECORDS = 256
+MAX_PENDING_RECORDS = 256
 
-Tell = Callable[[RequestNews], None]
+SendUpdate = Callable[[RequestNews], None]
 
 
-def tell_nobody(news: RequestNews) -> None:
+def ignore_update(news: RequestNews) -> None:
     """Drop an update; the default until the peer network is connected."""
 
 
@@ -58,87 +58,89 @@
 
     log: EventLog
     quarantine: RequestQuarantine = field(factory=RequestQuarantine)
-    tell: Tell = tell_nobody
-    tell_all: Tell = tell_nobody
+    send_update: SendUpdate = ignore_update
+    broadcast_update: SendUpdate = ignore_update
     random: Random = field(factory=Random)
     pending_records: OrderedDict[int, RequestRecord | None] = field(factory=OrderedDict)
-    to_record: asyncio.Event = field(factory=asyncio.Event)
-    _lost_here: OrderedDict[int, None] = field(factory=OrderedDict)
-    _told: OrderedDict[int, RequestStanding] = field(factory=OrderedDict)
+    has_pending_records: asyncio.Event = field(factory=asyncio.Event)
+    _lost_locally: OrderedDict[int, None] = field(factory=OrderedDict)
+    _logged: OrderedDict[int, RequestStatus] = field(factory=OrderedDict)
 
-    def note_crash(self, endpoint: Endpoint, suspects: list[int], now_s: float) -> None:
+    def record_crash(
+        self, endpoint: Endpoint, suspects: list[int], now_s: float
+    ) -> None:
         """Record the requests that were lost when an endpoint crashed."""
         for fingerprint in suspects:
-            self._lost_here[fingerprint] = None
-        while len(self._lost_here) > MAX_LOST:
-            self._lost_here.popitem(last=False)
-        incarnation = life_number(endpoint)
-        new = self.quarantine.note_crash(incarnation, suspects, now_s)
+            self._lost_locally[fingerprint] = None
+        while len(self._lost_locally) > MAX_LOST_REQUESTS:
+            self._lost_locally.popitem(last=False)
+        incarnation = incarnation_id(endpoint)
+        new = self.quarantine.record_crash(incarnation, suspects, now_s)
         if new:
-            verdicts = self._verdicts_on(new, now_s)
-            crash = CrashSeen(incarnation, tuple(new[:MAX_TOLD_SUSPECTS]))
-            self.tell(RequestNews((crash,), verdicts))
+            verdicts = self._report_changes(new, now_s)
+            crash = CrashSeen(incarnation, tuple(new[:MAX_SUSPECTS_PER_UPDATE]))
+            self.send_update(RequestNews((crash,), verdicts))
 
-    def held_back(self, fingerprint: int, now_s: float) -> Refusal | None:
+    def refusal_for(self, fingerprint: int, now_s: float) -> Refusal | None:
         """Return why a request is not sent now, or None if it may be."""
-        standing = self.quarantine.standing(fingerprint, now_s)
-        if standing in (RequestStanding.FREE, RequestStanding.TRIAL):
+        status = self.quarantine.status(fingerprint, now_s)
+        if status in (RequestStatus.FREE, RequestStatus.TRIAL):
             return None
         detail = "endpoints crash when they run this request"
-        if standing is RequestStanding.WAITING:
+        if status is RequestStatus.WAITING:
             detail = "it is being tried whether this request crashes endpoints"
         after_s = self.quarantine.retry_after_s(fingerprint, now_s)
         return Refusal(Reason.REQUEST_QUARANTINED, True, detail, after_s)
 
-    def is_on_trial(self, fingerprint: int, now_s: float) -> bool:
+    def requires_trial(self, fingerprint: int, now_s: float) -> bool:
         """Return whether the request may be sent only once, as a trial."""
-        standing = self.quarantine.standing(fingerprint, now_s)
-        return standing is RequestStanding.TRIAL
+        status = self.quarantine.status(fingerprint, now_s)
+        return status is RequestStatus.TRIAL
 
-    async def take_trial(self, fingerprint: int, endpoint: Endpoint) -> None:
+    async def acquire_trial(self, fingerprint: int, endpoint: Endpoint) -> None:
         """Acquire the one trial of a suspected request; peers wait for its result.
 
         Raises TrialTakenError if another request or gateway already has the trial or
         wins it with a competing claim.
         """
         now_s = asyncio.get_running_loop().time()
-        if not self.is_on_trial(fingerprint, now_s):
+        if not self.requires_trial(fingerprint, now_s):
             raise TrialTakenError(
-                f"request {written_fingerprint(fingerprint)} has no trial available"
+                f"request {format_fingerprint(fingerprint)} has no trial available"
             )
         claim = self.random.getrandbits(CLAIM_BITS)
-        incarnation = life_number(endpoint)
+        incarnation = incarnation_id(endpoint)
         verdict = self.quarantine.claim_trial(fingerprint, incarnation, claim, now_s)
-        self.tell_all(RequestNews((), (verdict,)))
-        await asyncio.sleep(CLAIM_S)
-        if not self.quarantine.has_trial(fingerprint, claim):
+        self.broadcast_update(RequestNews((), (verdict,)))
+        await asyncio.sleep(CLAIM_SETTLE_S)
+        if not self.quarantine.holds_trial(fingerprint, claim):
             raise TrialTakenError(
-                f"lost the trial of request {written_fingerprint(fingerprint)} at "
+                f"lost the trial of request {format_fingerprint(fingerprint)} at "
                 f"endpoint {endpoint.instance} to another claim"
             )
         self.log.write(
             Event.REQUEST_TRIED,
-            fingerprint=written_fingerprint(fingerprint),
+            fingerprint=format_fingerprint(fingerprint),
             endpoint=endpoint.instance,
             number=verdict.trials,
         )
 
-    def note_served(self, fingerprint: int, now_s: float) -> None:
+    def record_served(self, fingerprint: int, now_s: float) -> None:
         """Clear a request that an endpoint has answered completely."""
         if not self.quarantine.clear(fingerprint, now_s):
             return
-        if self._note_cleared(fingerprint):
+        if self._log_cleared(fingerprint):
             # Only the gateway that served the request removes its record.
-            self._record(fingerprint, None)
-        verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_S)
-        self.tell(RequestNews((), (verdict,)))
+            self._queue_record(fingerprint, None)
+        verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_RETENTION_S)
+        self.send_update(RequestNews((), (verdict,)))
 
-    def take(self, news: RequestNews, now_s: float) -> RequestNews:
+    def apply(self, news: RequestNews, now_s: float) -> RequestNews:
         """Apply an update of another gateway; returns the part that was new."""
         crashes = []
         changed: list[int] = []
         for crash in news.crashes:
-            new = self.quarantine.note_crash(crash.endpoint, crash.suspects, now_s)
+            new = self.quarantine.record_crash(crash.endpoint, crash.suspects, now_s)
             if new:
                 crashes.append(CrashSeen(crash.endpoint, tuple(new)))
                 changed += new
@@ -150,72 +152,74 @@
                     f"finite left_s, got {verdict.left_s}"
                 )
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
-            elif self.quarantine.take(verdict, now_s):
+            elif self.quarantine.apply(verdict, now_s):
                 verdicts.append(verdict)
                 changed.append(verdict.fingerprint)
                 if verdict.kind == CLEARED:
-                    self._note_cleared(verdict.fingerprint)
-        self._verdicts_on(changed, now_s)
+                    self._log_cleared(verdict.fingerprint)
+        self._report_changes(changed, now_s)
         return RequestNews(tuple(crashes), tuple(verdicts))
 
     def restore(self, record: RequestRecord, now_s: float) -> None:
         """Restore a record of the log, without writing it again."""
-        left_s = min(record.until_s - time.time(), QUARANTINE_S)
+        left_s = min(record.until_s - time.time(), QUARANTINE_DURATION_S)
         if record.quarantined:
             verdict = RequestVerdict(record.fingerprint, QUARANTINED, left_s=left_s)
-            self.quarantine.take(verdict, now_s)
-            self._note_told(record.fingerprint, RequestStanding.QUARANTINED)
+            self.quarantine.apply(verdict, now_s)
+            self._set_logged(record.fingerprint, RequestStatus.QUARANTINED)
         else:
             self.quarantine.suspect(record.fingerprint)
-            self._note_told(record.fingerprint, RequestStanding.TRIAL)
+            self._set_logged(record.fingerprint, RequestStatus.TRIAL)
 
-    def _verdicts_on(
+    def _report_changes(
         self, fingerprints: Iterable[int], now_s: float
     ) -> tuple[RequestVerdict, ...]:
         """Log and record status changes; returns verdicts on newly quarantined ones."""
         quarantined = []
         for fingerprint in fingerprints:
-            standing = self.quarantine.standing(fingerprint, now_s)
-            if standing is RequestStanding.WAITING:
-                standing = RequestStanding.TRIAL
-            previous = self._told.get(fingerprint, RequestStanding.FREE)
-            if standing is previous or standing is RequestStanding.FREE:
+            status = self.quarantine.status(fingerprint, now_s)
+            if status is RequestStatus.WAITING:
+                status = RequestStatus.TRIAL
+            previous = self._logged.get(fingerprint, RequestStatus.FREE)
+            if status is previous or status is RequestStatus.FREE:
                 continue
-            self._note_told(fingerprint, standing)
-            is_quarantined = standing is RequestStanding.QUARANTINED
+            self._set_logged(fingerprint, status)
+            is_quarantined = status is RequestStatus.QUARANTINED
             event = (
                 Event.REQUEST_QUARANTINED if is_quarantined else Event.REQUEST_SUSPECTED
             )
-            self.log.write(event, fingerprint=written_fingerprint(fingerprint))
+            self.log.write(event, fingerprint=format_fingerprint(fingerprint))
             if is_quarantined:
                 quarantined.append(
-                    RequestVerdict(fingerprint, QUARANTINED, left_s=QUARANTINE_S)
+                    RequestVerdict(
+                        fingerprint, QUARANTINED, left_s=QUARANTINE_DURATION_S
+                    )
                 )
-            if fingerprint in self._lost_here:
+            if fingerprint in self._lost_locally:
                 # Only the gateways that lost the request write its record.
-                until_s = time.time() + QUARANTINE_S
-                self._record(
+                until_s = time.time() + QUARANTINE_DURATION_S
+                self._queue_record(
                     fingerprint, RequestRecord(fingerprint, is_quarantined, until_s)
                 )
         return tuple(quarantined)
 
-    def _note_told(self, fingerprint: int, standing: RequestStanding) -> None:
-        self._told[fingerprint] = standing
-        if len(self._told) > MAX_TOLD:
-            self._told.popitem(last=False)
+    def _set_logged(self, fingerprint: int, status: RequestStatus) -> None:
+        self._logged[fingerprint] = status
+        if len(self._logged) > MAX_LOGGED_STATUSES:
+            self._logged.popitem(last=False)
 
-    def _note_cleared(self, fingerprint: int) -> bool:
+    def _log_cleared(self, fingerprint: int) -> bool:
         """Log that a request is cleared; returns whether it was suspected before."""
-        if self._told.pop(fingerprint, None) is None:
+        if self._logged.pop(fingerprint, None) is None:
             return False
-        name = written_fingerprint(fingerprint)
+        name = format_fingerprint(fingerprint)
         self.log.write(Event.REQUEST_CLEARED, fingerprint=name)
         return True
 
-    def _record(self, fingerprint: int, record: RequestRecord | None) -> None:
+    def _queue_record(self, fingerprint: int, record: RequestRecord | None) -> None:
         self.pending_records[fingerprint] = record
-        if len(self.pending_records) > MAX_RECORDS:
+        if len(self.pending_records) > MAX_PENDING_RECORDS:
             dropped, _ = self.pending_records.popitem(last=False)
-            name = written_fingerprint(dropped)
+            name = format_fingerprint(dropped)
             self.log.write(Event.REQUEST_NOT_RECORDED, fingerprint=name)
-        self.to_record.set()
+        self.has_pending_records.set()
--- a/acaciacove/gateway/quarantine/request_record.py
+++ b/acaciacove/gateway/quarantine/request_record.py
@@ -6,9 +6,9 @@
 from attrs import frozen
 
 from acaciacove.errors import MalformedMessageError
-from acaciacove.gateway.quarantine.request_fingerprint import written_fingerprint
+from acaciacove.gateway.quarantine.request_fingerprint import format_fingerprint
 
-HEX = 16
+HEX_BASE = 16
 
 
 @frozen
@@ -23,23 +23,23 @@
     until_s: float
 
 
-def key_of(fingerprint: int) -> str:
+def record_key(fingerprint: int) -> str:
     """Return the key of the record of a request."""
-    return written_fingerprint(fingerprint)
+    return format_fingerprint(fingerprint)
 
 
-def write_record(record: RequestRecord) -> bytes:
+def encode_record(record: RequestRecord) -> bytes:
     """Encode the value of a record as JSON."""
     document = {"quarantined": record.quarantined, "until_s": record.until_s}
     return orjson.dumps(document)
 
 
-def read_record(key: str, value: bytes) -> RequestRecord:
+def decode_record(key: str, value: bytes) -> RequestRecord:
     """Decode a record; raises MalformedMessageError."""
     try:
         document = orjson.loads(value)
         record = RequestRecord(
-            fingerprint=int(key, HEX),
+            fingerprint=int(key, HEX_BASE),
             quarantined=bool(document["quarantined"]),
             until_s=float(document["until_s"]),
         )
@@ -47,7 +47,7 @@
         raise MalformedMessageError(
             f"quarantine record {key!r} is not valid: {error!r}"
         ) from error
-    if not math.isfinite(record.until_s) or key != key_of(record.fingerprint):
+    if not math.isfinite(record.until_s) or key != record_key(record.fingerprint):
         raise MalformedMessageError(
             f"quarantine record {key!r}: expected a key of 16 hexadecimal digits "
             f"and a finite until_s, got until_s {record.until_s}"
--- a/acaciacove/gateway/rollout/evidence.py
+++ b/acaciacove/gateway/rollout/evidence.py
@@ -21,7 +21,7 @@
     target: Cells
     old: Cells
     target_endpoints: Cells
-    machines: int
+    target_endpoint_count: int
 
 
 def total(cells: Cells) -> CellCounts:
--- a/acaciacove/gateway/rollout/awaited_answer.py
+++ b/acaciacove/gateway/rollout/in_flight_request.py
@@ -4,7 +4,7 @@
 
 
 @define(eq=False)
-class AwaitedAnswer:
+class InFlightRequest:
     """Version, kind and endpoint of a request whose first chunk has not arrived.
 
     ``is_late`` is set once it has been counted as late.
@@ -13,5 +13,5 @@
     is_target: bool
     kind: str
     endpoint: str
-    since_s: float
+    sent_s: float
     is_late: bool = False
--- a/acaciacove/gateway/rollout/rollout_progress.py
+++ b/acaciacove/gateway/rollout/rollout_progress.py
@@ -5,9 +5,9 @@
 from attrs import define, field
 
 from acaciacove.gateway.catalogue.rollout_order import RolloutOrder
-from acaciacove.gateway.rollout.awaited_answer import AwaitedAnswer
 from acaciacove.gateway.rollout.cell_counts import CellCounts
 from acaciacove.gateway.rollout.evidence import Evidence, since
+from acaciacove.gateway.rollout.in_flight_request import InFlightRequest
 from acaciacove.gateway.rollout.judge import CELL_SEPARATOR
 from acaciacove.gateway.rollout.rollout_phase import RolloutPhase
 from acaciacove.messages.rollout_view import RolloutView
@@ -18,12 +18,12 @@
 # kind. Within a kind, times vary by half with the length of the prompt.
 LATE_RATIO = 2.5
 # Measured answers of the old version that are needed for a baseline.
-MIN_TIMED = 4
+MIN_TIMED_ANSWERS = 4
 # A smaller delay never counts as late, whatever the ratio.
-LEAST_LATE_S = 0.1
+MIN_EXCESS_S = 0.1
 
 
-def kind_cell(route: str, model: str | None) -> str:
+def kind_cell_name(route: str, model: str | None) -> str:
     """Return the name of the cell of a kind of request."""
     return f"{route}{CELL_SEPARATOR}{model or ''}"
 
@@ -48,94 +48,94 @@
     reserved_target: int = 0
     old_in_flight: int = 0
     judged_bad: bool = False
-    own: dict[tuple[bool, str], CellCounts] = field(factory=dict)
-    peers: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
+    local: dict[tuple[bool, str], CellCounts] = field(factory=dict)
+    peer_cells: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
     peer_views: dict[str, tuple[RolloutView, float]] = field(factory=dict)
-    awaited: dict[int, AwaitedAnswer] = field(factory=dict)
-    moved: dict[str, CellCounts] = field(factory=dict)
-    moved_endpoints: dict[str, CellCounts] = field(factory=dict)
+    pending: dict[int, InFlightRequest] = field(factory=dict)
+    cutover_cells: dict[str, CellCounts] = field(factory=dict)
+    cutover_endpoint_cells: dict[str, CellCounts] = field(factory=dict)
     _limits_s: dict[str, float] = field(factory=dict)
-    _next_awaited: int = 0
+    _last_number: int = 0
 
     #
     # Requests of this gateway
     #
 
-    def await_answer(
+    def record_sent(
         self, is_target: bool, kind: str, endpoint: str, now_s: float
     ) -> int:
         """Record a request that was sent; returns its number."""
-        self._next_awaited += 1
-        self.awaited[self._next_awaited] = AwaitedAnswer(
+        self._last_number += 1
+        self.pending[self._last_number] = InFlightRequest(
             is_target, kind, endpoint, now_s
         )
-        return self._next_awaited
+        return self._last_number
 
-    def take_answer(
-        self, number: int, failed: bool, first_piece_s: float | None
+    def record_answer(
+        self, number: int, failed: bool, first_chunk_s: float | None
     ) -> None:
         """Record the first chunk of an answer, or a failure."""
-        awaited = self.awaited.pop(number, None)
-        if awaited is None:
+        pending = self.pending.pop(number, None)
+        if pending is None:
             return
-        self._cell(awaited.is_target, awaited.kind).add(failed, first_piece_s)
-        if awaited.is_target:
-            self._cell(True, ENDPOINT_PREFIX + awaited.endpoint).add(failed, None)
-        if first_piece_s is not None and not awaited.is_late:
-            self._judge_time(awaited, first_piece_s)
+        self._cell(pending.is_target, pending.kind).add(failed, first_chunk_s)
+        if pending.is_target:
+            self._cell(True, ENDPOINT_PREFIX + pending.endpoint).add(failed, None)
+        if first_chunk_s is not None and not pending.is_late:
+            self._record_comparison(pending, first_chunk_s)
 
-    def forget(self, number: int, now_s: float) -> None:
+    def abandon(self, number: int, now_s: float) -> None:
         """Remove a request that ended without an answer to count.
 
         It counts as late if it was abandoned after the limit of its kind, because
         callers abandon the slow answers first.
         """
-        awaited = self.awaited.pop(number, None)
-        if awaited is not None and not awaited.is_late:
-            self._note_if_late(awaited, now_s)
+        pending = self.pending.pop(number, None)
+        if pending is not None and not pending.is_late:
+            self._record_if_late(pending, now_s)
 
-    def note_overdue(self, now_s: float) -> None:
+    def record_late_requests(self, now_s: float) -> None:
         """Count requests in flight as late once they exceed the limit of their kind.
 
         The answers of a slow version arrive late or never. If they were counted only
         on arrival, the evidence of the first seconds would consist of fast answers.
         """
         self._limits_s = self._late_limits_s()
-        for awaited in self.awaited.values():
-            if not awaited.is_late:
-                self._note_if_late(awaited, now_s)
+        for pending in self.pending.values():
+            if not pending.is_late:
+                self._record_if_late(pending, now_s)
 
-    def _note_if_late(self, awaited: AwaitedAnswer, now_s: float) -> None:
-        limit_s = self._limits_s.get(awaited.kind)
-        if limit_s is not None and now_s - awaited.since_s > limit_s:
-            self._judge_time(awaited, now_s - awaited.since_s)
+    def _record_if_late(self, pending: InFlightRequest, now_s: float) -> None:
+        limit_s = self._limits_s.get(pending.kind)
+        if limit_s is not None and now_s - pending.sent_s > limit_s:
+            self._record_comparison(pending, now_s - pending.sent_s)
 
-    def _judge_time(self, awaited: AwaitedAnswer, took_s: float) -> None:
-        limit_s = self._limits_s.get(awaited.kind)
+    def _record_comparison(self, pending: InFlightRequest, took_s: float) -> None:
+        limit_s = self._limits_s.get(pending.kind)
         if limit_s is None:
             return
-        awaited.is_late = took_s > limit_s
-        self._cell(awaited.is_target, awaited.kind).add_judged(awaited.is_late)
-        if awaited.is_target:
-            cell = self._cell(True, ENDPOINT_PREFIX + awaited.endpoint)
-            cell.add_judged(awaited.is_late)
+        pending.is_late = took_s > limit_s
+        self._cell(pending.is_target, pending.kind).add_judged(pending.is_late)
+        if pending.is_target:
+            cell = self._cell(True, ENDPOINT_PREFIX + pending.endpoint)
+            cell.add_judged(pending.is_late)
 
     def _late_limits_s(self) -> dict[str, float]:
         """Return the time after which a request of each kind is late."""
         return {
-            kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + LEAST_LATE_S)
+            kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + MIN_EXCESS_S)
             for kind, counts in self.cells(False).items()
-            if counts.timed >= MIN_TIMED
+            if counts.timed >= MIN_TIMED_ANSWERS
         }
 
     def _cell(self, is_target: bool, name: str) -> CellCounts:
-        return self.own.setdefault((is_target, name), CellCounts())
+        return self.local.setdefault((is_target, name), CellCounts())
 
     #
     # Peers
     #
 
-    def own_cells(self) -> tuple[VersionCell, ...]:
+    def local_cells(self) -> tuple[VersionCell, ...]:
         """Return the counts of this gateway as messages to peers."""
         return tuple(
             VersionCell(
@@ -150,14 +150,14 @@
                 judged=counts.judged,
                 late=counts.late,
             )
-            for (is_target, name), counts in self.own.items()
+            for (is_target, name), counts in self.local.items()
         )
 
-    def take_peer(
+    def apply_peer_counts(
         self, peer: str, view: RolloutView, cells: list[VersionCell], now_s: float
     ) -> None:
         """Replace the view and counts of one incarnation of a peer."""
-        self.peers[peer] = {
+        self.peer_cells[peer] = {
             (c.is_target, c.name): CellCounts(
                 c.answers, c.failures, c.timed, c.log_time_sum, c.judged, c.late
             )
@@ -180,44 +180,47 @@
     # Sums over gateways
     #
 
-    def evidence(self, machines: int) -> Evidence:
+    def evidence(self, target_endpoint_count: int) -> Evidence:
         """Return all evidence since the order."""
         return Evidence(
-            self.cells(True), self.cells(False), self._endpoint_cells(), machines
+            self.cells(True),
+            self.cells(False),
+            self._endpoint_cells(),
+            target_endpoint_count,
         )
 
-    def mark_moved(self) -> None:
+    def mark_cutover(self) -> None:
         """Save the counts at the cutover of all requests to the new version."""
-        self.moved = self.cells(True)
-        self.moved_endpoints = self._endpoint_cells()
+        self.cutover_cells = self.cells(True)
+        self.cutover_endpoint_cells = self._endpoint_cells()
 
-    def evidence_since_moved(self, machines: int) -> Evidence:
+    def evidence_since_cutover(self, target_endpoint_count: int) -> Evidence:
         """Return the evidence on the new version since the cutover.
 
         The good answers before it would otherwise hide a version that turns bad late
         or under full load.
         """
         return Evidence(
-            since(self.cells(True), self.moved),
+            since(self.cells(True), self.cutover_cells),
             self.cells(False),
-            since(self._endpoint_cells(), self.moved_endpoints),
-            machines,
+            since(self._endpoint_cells(), self.cutover_endpoint_cells),
+            target_endpoint_count,
         )
 
     def cells(self, is_target: bool) -> dict[str, CellCounts]:
         """Sum the counts by kind of request over this gateway and its peers."""
-        return self._summed(
+        return self._sum_cells(
             is_target, lambda name: not name.startswith(ENDPOINT_PREFIX)
         )
 
     def _endpoint_cells(self) -> dict[str, CellCounts]:
-        return self._summed(True, lambda name: name.startswith(ENDPOINT_PREFIX))
+        return self._sum_cells(True, lambda name: name.startswith(ENDPOINT_PREFIX))
 
-    def _summed(
+    def _sum_cells(
         self, is_target: bool, wanted: Callable[[str], bool]
     ) -> dict[str, CellCounts]:
         summed: dict[str, CellCounts] = {}
-        for cells in (self.own, *self.peers.values()):
+        for cells in (self.local, *self.peer_cells.values()):
             for (cell_is_target, name), counts in cells.items():
                 if cell_is_target is is_target and wanted(name):
                     summed.setdefault(name, CellCounts()).merge(counts)
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -15,12 +15,12 @@
 HOSTS = tuple(f"10.0.1.{number}" for number in range(1, 5))
 
 
-def crash_at(fleet, body=CRASHING):
+def set_crashing_body(fleet, body=CRASHING):
     for server in fleet.endpoints.values():
         server.behaviour.crashing_bodies = (body,)
 
 
-async def ask_again_and_again(fleet, times, every_s, gateways, path="/look/7"):
+async def send_crashing_requests(fleet, times, every_s, gateways, path="/look/7"):
     """Send the crashing request to the gateways in turn, two copies at a time."""
     answers = []
     for number in range(times):
@@ -48,42 +48,42 @@
     return sum(found, [])
 
 
-def tries_after(fleet, moment_s):
+def crashing_requests_after(fleet, moment_s):
     return [a for a in fleet.arrivals if a.body == CRASHING and a.at_s > moment_s]
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
-def test_a_request_that_crashes_endpoints_is_not_sent_on_and_on(gateways):
+def test_request_that_crashes_endpoints_is_sent_a_limited_number_of_times(gateways):
     """Guards against one request that takes down all endpoints repeatedly."""
 
     async def scenario(fleet):
-        crash_at(fleet)
-        await ask_again_and_again(fleet, 12, 3.5, gateways)
+        set_crashing_body(fleet)
+        await send_crashing_requests(fleet, 12, 3.5, gateways)
         third_s = crashes(fleet)[MAX_CRASHES - 1]
-        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=gateways, apps=9, models=0)
 
 
-def test_a_streamed_request_that_crashes_endpoints_is_stopped_too():
+def test_streamed_request_that_crashes_endpoints_is_quarantined():
     """Guards against a stream that is resumed at endpoint after endpoint."""
 
     async def scenario(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for number in range(12):
             await draft(f"bad-{number}", body=CRASHING, host=HOSTS[number % 4])
             await asyncio.sleep(1.0)
         third_s = crashes(fleet)[MAX_CRASHES - 1]
-        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=4, apps=0, models=9)
 
 
-def test_other_requests_are_served_beside_one_that_crashes_endpoints():
+def test_other_requests_are_served_while_one_crashes_endpoints():
     """Guards against quarantining requests that shared an endpoint with it."""
 
     async def scenario(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.15
         others = []
@@ -98,7 +98,7 @@
                 await asyncio.sleep(0.025)
 
         sending = asyncio.create_task(send_others())
-        await ask_again_and_again(fleet, 12, 0.5, 4)
+        await send_crashing_requests(fleet, 12, 0.5, 4)
         await sending
         answers = [await other for other in others]
         assert not [a for a in answers if b"request_quarantined" in a.body]
@@ -108,7 +108,7 @@
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-def test_a_request_that_meets_three_other_crashes_is_still_served():
+def test_request_at_three_unrelated_crashes_is_still_served():
     """Guards against quarantining a request for crashes of other causes."""
 
     async def scenario(fleet):
@@ -132,7 +132,7 @@
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-def test_a_repeated_request_is_not_blamed_for_crashes_of_a_whole_zone():
+def test_repeated_request_is_not_quarantined_for_a_zone_failure():
     """Guards against suspecting a request in flight at all endpoints of a zone."""
 
     async def scenario(fleet):
@@ -156,12 +156,12 @@
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-def test_every_refusal_of_a_held_request_is_true_and_says_when_to_return():
+def test_refusals_of_a_quarantined_request_are_accurate_and_have_retry_after():
     """Guards against "not run" in the refusal of a request that crashed endpoints."""
 
     async def scenario(fleet):
-        crash_at(fleet)
-        answers = await ask_again_and_again(fleet, 12, 1.0, 4)
+        set_crashing_body(fleet)
+        answers = await send_crashing_requests(fleet, 12, 1.0, 4)
         ran = {a.request_id for a in fleet.arrivals if a.ran}
         refused = 0
         for number, answer in enumerate(answers):
@@ -176,15 +176,15 @@
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-async def after_a_storm(fleet, disrupt, settled_s=GOSSIP_S):
+async def check_quarantine_after(fleet, disrupt, settled_s=GOSSIP_S):
     """Let the request crash endpoints, upset the fleet, and send it again."""
-    crash_at(fleet)
-    await ask_again_and_again(fleet, 3, 0.7, 4)
+    set_crashing_body(fleet)
+    await send_crashing_requests(fleet, 3, 0.7, 4)
     third_s = crashes(fleet)[MAX_CRASHES - 1]
     await disrupt(fleet)
     await asyncio.sleep(settled_s)
-    await ask_again_and_again(fleet, 6, 1.0, 4)
-    assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
+    await send_crashing_requests(fleet, 6, 1.0, 4)
+    assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
 
 async def restart(fleet, names):
@@ -200,16 +200,21 @@
 
 
 @pytest.mark.parametrize("names", [ALL_GATEWAYS[:1], ALL_GATEWAYS])
-def test_gateways_that_start_anew_hold_the_request_back(names):
+def test_restarted_gateways_keep_the_request_quarantined(names):
     """Guards against losing the quarantine when one or all gateways restart."""
 
     async def disrupt(fleet):
         await restart(fleet, names)
 
-    run_fleet(lambda fleet: after_a_storm(fleet, disrupt), gateways=4, apps=9, models=0)
+    run_fleet(
+        lambda fleet: check_quarantine_after(fleet, disrupt),
+        gateways=4,
+        apps=9,
+        models=0,
+    )
 
 
-def test_a_gateway_that_starts_while_the_log_is_away_learns_it_from_the_others():
+def test_gateway_that_starts_while_the_log_is_unavailable_learns_from_peers():
     """Guards against a start that cannot restore the quarantine from the log."""
 
     async def disrupt(fleet):
@@ -220,15 +225,20 @@
         await asyncio.sleep(1.0)
         fleet.store.down = None
 
-    run_fleet(lambda fleet: after_a_storm(fleet, disrupt), gateways=4, apps=9, models=0)
+    run_fleet(
+        lambda fleet: check_quarantine_after(fleet, disrupt),
+        gateways=4,
+        apps=9,
+        models=0,
+    )
 
 
-def test_a_gateway_that_was_cut_off_learns_it_when_it_is_back():
+def test_partitioned_gateway_learns_of_the_quarantine_once_reconnected():
     """Guards against a gateway that missed the gossip while it was partitioned."""
 
     async def scenario(fleet):
         fleet.network.cut.add(HOSTS[0])
-        crash_at(fleet)
+        set_crashing_body(fleet)
         for number in range(4):
             await call("/look/7", f"bad-{number}", body=CRASHING, host=HOSTS[1])
             await asyncio.sleep(0.7)
@@ -237,12 +247,12 @@
         await asyncio.sleep(GOSSIP_S)
         for number in range(4):
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
-        assert len(tries_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-def test_the_request_is_recorded_once_the_log_is_back():
+def test_quarantine_is_recorded_once_the_log_is_available_again():
     """Guards against a restart of all gateways after crashes during a log outage."""
 
     async def disrupt(fleet):
@@ -252,17 +262,17 @@
 
     async def scenario(fleet):
         fleet.store.down = "reset"
-        await after_a_storm(fleet, disrupt)
+        await check_quarantine_after(fleet, disrupt)
 
     run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 @pytest.mark.parametrize("gateways", [5, 28])
-def test_copies_that_reach_all_gateways_at_one_moment_are_not_all_tried(gateways):
+def test_simultaneous_copies_at_all_gateways_do_not_all_run(gateways):
     """Guards against trials at several gateways before their claims arrive."""
 
     async def scenario(fleet):
-        crash_at(fleet)
+        set_crashing_body(fleet)
         await call("/look/7", "bad-0", body=CRASHING)
         assert len(crashes(fleet)) == MAX_CRASHES
         await asyncio.sleep(2 * GOSSIP_S)
@@ -273,6 +283,6 @@
                 for n in range(gateways)
             )
         )
-        assert 1 <= len(tries_after(fleet, began_s - 0.1)) <= MAX_TRIALS
+        assert 1 <= len(crashing_requests_after(fleet, began_s - 0.1)) <= MAX_TRIALS
 
     run_fleet(scenario, gateways=gateways, apps=9, models=0)
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -26,7 +26,7 @@
     return Evidence(target, old, {}, 1)
 
 
-def test_answers_that_nobody_compared_are_no_proof():
+def test_answers_without_time_comparison_prove_nothing():
     """A version takes eight times as long as the old one. Its few answers are spread
     over nine kinds of request: none failed, and no kind has enough times to compare.
     Judged sound, it would go to every caller and answer late.
@@ -40,7 +40,7 @@
     assert judge(evidence(slow, old)) is Verdict.BAD
 
 
-def test_a_route_that_was_not_tried_is_not_proven():
+def test_route_without_trial_requests_is_not_proven():
     """A version fails on one route only, and no trial request used that route. Answers
     on other routes prove nothing about it.
     """
@@ -51,7 +51,7 @@
     assert judge(evidence(both, old)) is Verdict.GOOD
 
 
-def test_one_slow_machine_is_not_a_slow_version():
+def test_one_slow_endpoint_does_not_fail_the_version():
     """One of four new endpoints is on a slow host. Its late answers alone must not
     cause a rollback.
     """
@@ -64,7 +64,7 @@
     assert judge(Evidence(target, old, machines, 4)) is not Verdict.BAD
 
 
-def test_one_failing_machine_alone_does_not_speak_for_the_version():
+def test_one_failing_endpoint_does_not_fail_the_version():
     """The first answers of a new version come from one endpoint of five, and all are
     failures. Failures of a single endpoint must not cause a rollback.
     """
@@ -81,28 +81,28 @@
     return RolloutOrder("model", "v2", duration_s, 1, 0.0)
 
 
-def test_callers_that_leave_a_slow_version_count_against_it():
+def test_abandoned_requests_of_a_slow_version_count_as_late():
     """Callers of a stalled version abandon their requests before any answer. If only
     answers counted, there would never be evidence against the version.
     """
     progress = RolloutProgress(make_order())
     for number in range(20):
-        request = progress.await_answer(False, "a|s", f"old-{number % 3}", 0.0)
-        progress.take_answer(request, False, 0.2)
-    progress.note_overdue(1.0)
+        request = progress.record_sent(False, "a|s", f"old-{number % 3}", 0.0)
+        progress.record_answer(request, False, 0.2)
+    progress.record_late_requests(1.0)
     requests = [
-        progress.await_answer(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)
+        progress.record_sent(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)
     ]
     for request in requests[:6]:
-        progress.forget(request, 2.0)
-    progress.note_overdue(2.0)
+        progress.abandon(request, 2.0)
+    progress.record_late_requests(2.0)
     counts = progress.cells(True)["a|s"]
     assert (counts.answers, counts.judged, counts.late) == (0, 12, 12)
     step(progress, RolloutSettings(), ENOUGH, 2.1)
     assert progress.phase is RolloutPhase.STOPPED
     assert progress.judged_bad
     for request in requests[6:]:
-        progress.take_answer(request, False, 3.0)
+        progress.record_answer(request, False, 3.0)
     assert progress.cells(True)["a|s"].late == 12
 
 
@@ -112,16 +112,16 @@
     for is_target, times in ((False, 60), (True, 40)):
         for number in range(times):
             endpoint = f"{is_target}-{number % 3}"
-            request = progress.await_answer(is_target, "a|s", endpoint, now_s)
-            progress.take_answer(request, False, 0.2)
-        progress.note_overdue(now_s)
+            request = progress.record_sent(is_target, "a|s", endpoint, now_s)
+            progress.record_answer(request, False, 0.2)
+        progress.record_late_requests(now_s)
     for number in range(40):
-        request = progress.await_answer(True, "a|s", f"True-{number % 3}", now_s)
-        progress.take_answer(request, False, 0.2)
+        request = progress.record_sent(True, "a|s", f"True-{number % 3}", now_s)
+        progress.record_answer(request, False, 0.2)
     return progress
 
 
-def test_a_version_that_has_lost_its_machines_does_not_take_over():
+def test_version_without_enough_endpoints_does_not_take_over():
     """Only two of five new endpoints remain at the end of the roll-out. Completion
     would stop the old five, and two endpoints would get the full load.
     """
@@ -133,13 +133,13 @@
     step(progress, settings, ENOUGH, 11.1)
     assert progress.phase is RolloutPhase.ALL
     for number in range(40):
-        request = progress.await_answer(True, "a|s", f"True-{number % 3}", 12.0)
-        progress.take_answer(request, False, 0.2)
+        request = progress.record_sent(True, "a|s", f"True-{number % 3}", 12.0)
+        progress.record_answer(request, False, 0.2)
     assert may_complete(progress, settings, ENOUGH, 18.5)
     assert not may_complete(progress, settings, few, 18.5)
 
 
-def test_a_version_that_is_not_proven_in_time_goes_back():
+def test_version_not_proven_in_time_is_rolled_back():
     progress = RolloutProgress(make_order())
     step(progress, RolloutSettings(), ENOUGH, 19.9)
     assert progress.phase is RolloutPhase.TRIAL
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize("fault", JUDGE_FAULTS, ids=lambda fault: fault.name)
-def test_versions_that_are_bad_in_their_ways_do_not_take_over(fault):
+def test_faulty_versions_do_not_take_over(fault):
     """Versions that are bad from the start, later, on one route, with one model, under
     load, or slow are stopped or left unproven. A sound version takes over.
     """
