--- a/acaciacove/decisions/crash_evidence.py
+++ b/acaciacove/decisions/crash_evidence.py
@@ -35,10 +35,10 @@
         Suspects are sorted by their number of crashes, highest first. Beyond
         ``MAX_SUSPECTS_PER_CRASH`` the ones with the fewest crashes are dropped.
         """
-        known = self._suspects.setdefault(endpoint, set())
-        new = sorted(set(suspects) - known, key=self.crash_count, reverse=True)
-        new = new[: MAX_SUSPECTS_PER_CRASH - len(known)]
-        known.update(new)
+        recorded = self._suspects.setdefault(endpoint, set())
+        new = sorted(set(suspects) - recorded, key=self.crash_count, reverse=True)
+        new = new[: MAX_SUSPECTS_PER_CRASH - len(recorded)]
+        recorded.update(new)
         for fingerprint in new:
             self._crashes.setdefault(fingerprint, set()).add(endpoint)
         while len(self._suspects) > MAX_CRASHES:
--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -90,7 +90,7 @@
         return GuardVerdict(GuardAction.WIDEN, justified, f"as good as {reference}")
 
     def export_delta(self, limit: int = DEFAULT_EXPORT_LIMIT) -> tuple[SharedCell, ...]:
-        """Remove and return up to ``limit`` counters to send to a peer."""
+        """Return up to ``limit`` counters to send to a peer, and mark them as sent."""
         return self._counts.export_delta(limit)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> None:
--- a/acaciacove/decisions/shared_counts.py
+++ b/acaciacove/decisions/shared_counts.py
@@ -43,7 +43,7 @@
         return self._totals.get(name, Tally())
 
     def export_delta(self, limit: int = DEFAULT_EXPORT_LIMIT) -> tuple[SharedCell, ...]:
-        """Remove and return up to ``limit`` cells to send to a peer."""
+        """Return up to ``limit`` cells to send to a peer, and mark them as sent."""
         keys = list(self._changed)[:limit]
         for key in keys:
             del self._changed[key]
@@ -60,15 +60,15 @@
         """
         increases: list[tuple[CellName, float]] = []
         for cell in cells:
-            known = self._cells.get((cell.origin, cell.name))
-            before = known.count if known else 0.0
+            stored = self._cells.get((cell.origin, cell.name))
+            before = stored.count if stored else 0.0
             if cell.count > before:
                 self._store(cell)
                 increases.append((cell.name, cell.count - before))
         return increases
 
     def remove(self, names: set[CellName]) -> None:
-        """Remove cells, as of withdrawn versions or past epochs."""
+        """Remove cells of withdrawn versions or past epochs."""
         for key in [key for key in self._cells if key[1] in names]:
             del self._cells[key]
             self._changed.pop(key, None)
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -43,7 +43,7 @@
 SendUpdate = Callable[[RequestNews], None]
 
 
-def ignore_update(news: RequestNews) -> None:
+def ignore_update(update: RequestNews) -> None:
     """Drop an update; the default until the peer network is connected."""
 
 
@@ -135,17 +135,17 @@
         verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_RETENTION_S)
         self.send_update(RequestNews((), (verdict,)))
 
-    def apply(self, news: RequestNews, now_s: float) -> RequestNews:
+    def apply(self, update: RequestNews, now_s: float) -> RequestNews:
         """Apply an update of another gateway; returns the part that was new."""
         crashes = []
         changed: list[int] = []
-        for crash in news.crashes:
+        for crash in update.crashes:
             new = self.quarantine.record_crash(crash.endpoint, crash.suspects, now_s)
             if new:
                 crashes.append(CrashSeen(crash.endpoint, tuple(new)))
                 changed += new
         verdicts = []
-        for verdict in news.verdicts:
+        for verdict in update.verdicts:
             if not math.isfinite(verdict.left_s):
                 detail = (
                     f"verdict on request {verdict.fingerprint:016x}: expected a "
--- a/acaciacove/gateway/rollout/evidence.py
+++ b/acaciacove/gateway/rollout/evidence.py
@@ -34,7 +34,7 @@
 
 def since(cells: Cells, earlier: Cells) -> dict[str, CellCounts]:
     """Return the counts added to each cell after ``earlier``."""
-    nothing = CellCounts()
+    zero = CellCounts()
     return {
-        name: counts.since(earlier.get(name, nothing)) for name, counts in cells.items()
+        name: counts.since(earlier.get(name, zero)) for name, counts in cells.items()
     }
--- a/acaciacove/gateway/rollout/judge.py
+++ b/acaciacove/gateway/rollout/judge.py
@@ -120,7 +120,7 @@
 
 
 def _by_name_part(cells: Cells, position: int) -> Mapping[str, CellCounts]:
-    """Sum the cells by the route (part 0) or model (part 1) in their names."""
+    """Sum the cells by the route (position 0) or model (1) in their names."""
     summed: dict[str, CellCounts] = {}
     for name, counts in cells.items():
         key = name.split(CELL_SEPARATOR)[position]
--- a/acaciacove/gateway/rollout/rollout_progress.py
+++ b/acaciacove/gateway/rollout/rollout_progress.py
@@ -48,8 +48,8 @@
     reserved_target: int = 0
     old_in_flight: int = 0
     judged_bad: bool = False
-    local: dict[tuple[bool, str], CellCounts] = field(factory=dict)
-    peer_cells: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
+    local_counts: dict[tuple[bool, str], CellCounts] = field(factory=dict)
+    peer_counts: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
     peer_views: dict[str, tuple[RolloutView, float]] = field(factory=dict)
     pending: dict[int, InFlightRequest] = field(factory=dict)
     cutover_cells: dict[str, CellCounts] = field(factory=dict)
@@ -75,14 +75,14 @@
         self, number: int, failed: bool, first_chunk_s: float | None
     ) -> None:
         """Record the first chunk of an answer, or a failure."""
-        pending = self.pending.pop(number, None)
-        if pending is None:
+        request = self.pending.pop(number, None)
+        if request is None:
             return
-        self._cell(pending.is_target, pending.kind).add(failed, first_chunk_s)
-        if pending.is_target:
-            self._cell(True, ENDPOINT_PREFIX + pending.endpoint).add(failed, None)
-        if first_chunk_s is not None and not pending.is_late:
-            self._record_comparison(pending, first_chunk_s)
+        self._cell(request.is_target, request.kind).add(failed, first_chunk_s)
+        if request.is_target:
+            self._cell(True, ENDPOINT_PREFIX + request.endpoint).add(failed, None)
+        if first_chunk_s is not None and not request.is_late:
+            self._compare_with_limit(request, first_chunk_s)
 
     def abandon(self, number: int, now_s: float) -> None:
         """Remove a request that ended without an answer to count.
@@ -90,9 +90,9 @@
         It counts as late if it was abandoned after the limit of its kind, because
         callers abandon the slow answers first.
         """
-        pending = self.pending.pop(number, None)
-        if pending is not None and not pending.is_late:
-            self._record_if_late(pending, now_s)
+        request = self.pending.pop(number, None)
+        if request is not None and not request.is_late:
+            self._record_if_late(request, now_s)
 
     def record_late_requests(self, now_s: float) -> None:
         """Count requests in flight as late once they exceed the limit of their kind.
@@ -101,24 +101,24 @@
         on arrival, the evidence of the first seconds would consist of fast answers.
         """
         self._limits_s = self._late_limits_s()
-        for pending in self.pending.values():
-            if not pending.is_late:
-                self._record_if_late(pending, now_s)
+        for request in self.pending.values():
+            if not request.is_late:
+                self._record_if_late(request, now_s)
 
-    def _record_if_late(self, pending: InFlightRequest, now_s: float) -> None:
-        limit_s = self._limits_s.get(pending.kind)
-        if limit_s is not None and now_s - pending.sent_s > limit_s:
-            self._record_comparison(pending, now_s - pending.sent_s)
+    def _record_if_late(self, request: InFlightRequest, now_s: float) -> None:
+        limit_s = self._limits_s.get(request.kind)
+        if limit_s is not None and now_s - request.sent_s > limit_s:
+            self._compare_with_limit(request, now_s - request.sent_s)
 
-    def _record_comparison(self, pending: InFlightRequest, took_s: float) -> None:
-        limit_s = self._limits_s.get(pending.kind)
+    def _compare_with_limit(self, request: InFlightRequest, took_s: float) -> None:
+        limit_s = self._limits_s.get(request.kind)
         if limit_s is None:
             return
-        pending.is_late = took_s > limit_s
-        self._cell(pending.is_target, pending.kind).add_judged(pending.is_late)
-        if pending.is_target:
-            cell = self._cell(True, ENDPOINT_PREFIX + pending.endpoint)
-            cell.add_judged(pending.is_late)
+        request.is_late = took_s > limit_s
+        self._cell(request.is_target, request.kind).add_judged(request.is_late)
+        if request.is_target:
+            cell = self._cell(True, ENDPOINT_PREFIX + request.endpoint)
+            cell.add_judged(request.is_late)
 
     def _late_limits_s(self) -> dict[str, float]:
         """Return the time after which a request of each kind is late."""
@@ -129,7 +129,7 @@
         }
 
     def _cell(self, is_target: bool, name: str) -> CellCounts:
-        return self.local.setdefault((is_target, name), CellCounts())
+        return self.local_counts.setdefault((is_target, name), CellCounts())
 
     #
     # Peers
@@ -150,14 +150,14 @@
                 judged=counts.judged,
                 late=counts.late,
             )
-            for (is_target, name), counts in self.local.items()
+            for (is_target, name), counts in self.local_counts.items()
         )
 
     def apply_peer_counts(
         self, peer: str, view: RolloutView, cells: list[VersionCell], now_s: float
     ) -> None:
         """Replace the view and counts of one incarnation of a peer."""
-        self.peer_cells[peer] = {
+        self.peer_counts[peer] = {
             (c.is_target, c.name): CellCounts(
                 c.answers, c.failures, c.timed, c.log_time_sum, c.judged, c.late
             )
@@ -217,11 +217,11 @@
         return self._sum_cells(True, lambda name: name.startswith(ENDPOINT_PREFIX))
 
     def _sum_cells(
-        self, is_target: bool, wanted: Callable[[str], bool]
+        self, is_target: bool, is_included: Callable[[str], bool]
     ) -> dict[str, CellCounts]:
         summed: dict[str, CellCounts] = {}
-        for cells in (self.local, *self.peer_cells.values()):
+        for cells in (self.local_counts, *self.peer_counts.values()):
             for (cell_is_target, name), counts in cells.items():
-                if cell_is_target is is_target and wanted(name):
+                if cell_is_target is is_target and is_included(name):
                     summed.setdefault(name, CellCounts()).merge(counts)
         return summed
--- a/acaciacove/gateway/rollout/rollout_steps.py
+++ b/acaciacove/gateway/rollout/rollout_steps.py
@@ -20,7 +20,8 @@
     """Judge the evidence and enter the next phase if it allows that.
 
     A version is judged until its outcome is recorded. One that is not proven sound
-    within the duration of the order is rolled back.
+    within the duration of the order is rolled back, because operators require a sound
+    version within that time.
     """
     if progress.phase is RolloutPhase.STOPPED:
         return
--- a/tests/test_decisions_quarantine.py
+++ b/tests/test_decisions_quarantine.py
@@ -137,11 +137,11 @@
 @settings(max_examples=100, derandomize=True)
 def test_evidence_counts_each_crash_once(events):
     evidence, expected = CrashEvidence(), {}
-    for endpoint, suspects, forget in events:
+    for endpoint, suspects, is_served in events:
         evidence.add(endpoint, suspects)
         for fingerprint in suspects:
             expected.setdefault(fingerprint, set()).add(endpoint)
-        if forget:
+        if is_served:
             evidence.discard(endpoint)
             expected.pop(endpoint, None)
     for fingerprint in range(10):
@@ -182,20 +182,20 @@
         self.sent_bytes = [0] * count
         self.waiting = []
         self.peers = [Peer(str(n), "10.0.0.1", n, "a", 0.0) for n in range(count)]
-        self.talks = [self._talk(number) for number in range(count)]
+        self.gossips = [self._make_gossip(number) for number in range(count)]
 
-    def _talk(self, number):
+    def _make_gossip(self, number):
         guard = RequestGuard(EventLog(str(number), descriptor=None))
-        others = [peer for peer in self.peers if peer.port != number]
-        few = GossipSender(
-            members=lambda: others,
+        peers = [peer for peer in self.peers if peer.port != number]
+        sender = GossipSender(
+            members=lambda: peers,
             send=lambda data, peer: self._send(number, data, peer),
             random=Random(f"{number}"),
             clock_s=lambda: 0.0,
         )
-        talk = RequestGossip(few, guard, few.random, few.clock_s)
-        guard.send_update = talk.send_update
-        return talk
+        gossip = RequestGossip(sender, guard, sender.random, sender.clock_s)
+        guard.send_update = gossip.send_update
+        return gossip
 
     def _send(self, sender, data, peer):
         self.sent_bytes[sender] += len(data)
@@ -205,16 +205,16 @@
     def deliver(self):
         while self.waiting:
             number, data = self.waiting.pop(0)
-            self.talks[number].apply(decode(data))
+            self.gossips[number].apply(decode(data))
 
     def report(self):
-        for talk in self.talks:
-            for peer in talk.random.sample(list(talk.sender.members()), 4):
-                talk.send_state(peer)
+        for gossip in self.gossips:
+            for peer in gossip.random.sample(list(gossip.sender.members()), 4):
+                gossip.send_state(peer)
         self.deliver()
 
     def count_with_status(self, status):
-        guards = [talk.guard for talk in self.talks]
+        guards = [gossip.guard for gossip in self.gossips]
         return sum(g.quarantine.status(BAD, 0.0) is status for g in guards)
 
 
@@ -225,9 +225,11 @@
     async def scenario():
         fleet = GossipFleet(gateways, loss=0.05)
         for endpoint in (1, 2, 3):
-            talk = fleet.talks[endpoint]
-            talk.guard.quarantine.record_crash(endpoint, (BAD,), 0.0)
-            talk.send_update(RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),)))
+            gossip = fleet.gossips[endpoint]
+            gossip.guard.quarantine.record_crash(endpoint, (BAD,), 0.0)
+            gossip.send_update(
+                RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),))
+            )
             fleet.deliver()
         for _ in range(int(BUSY_AFTER_UPDATE_S / BUSY_REPORT_INTERVAL_S)):
             fleet.report()
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -177,7 +177,7 @@
 
 
 async def check_quarantine_after(fleet, disrupt, settled_s=GOSSIP_S):
-    """Let the request crash endpoints, upset the fleet, and send it again."""
+    """Let the request crash endpoints, disrupt the fleet, and send it again."""
     set_crashing_body(fleet)
     await send_crashing_requests(fleet, 3, 0.7, 4)
     third_s = crashes(fleet)[MAX_CRASHES - 1]
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -34,9 +34,9 @@
     old = {
         kind: CellCounts(answers=24, timed=24, judged=24, late=2) for kind in NINE_KINDS
     }
-    unseen = {kind: CellCounts(answers=3, timed=3) for kind in NINE_KINDS}
+    uncompared = {kind: CellCounts(answers=3, timed=3) for kind in NINE_KINDS}
     slow = {kind: CellCounts(answers=2, judged=3, late=2) for kind in NINE_KINDS}
-    assert judge(evidence(unseen, old)) is Verdict.UNKNOWN
+    assert judge(evidence(uncompared, old)) is Verdict.UNKNOWN
     assert judge(evidence(slow, old)) is Verdict.BAD
 
 
@@ -45,10 +45,10 @@
     on other routes prove nothing about it.
     """
     old = {f"{route}|s": CellCounts(100, 0, 100, 0.0, 100, 5) for route in "ab"}
-    tried = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 3)}
-    assert judge(evidence(tried, old)) is Verdict.UNKNOWN
-    both = tried | {"b|s": CellCounts(15, 0, 15, 0.0, 15, 1)}
-    assert judge(evidence(both, old)) is Verdict.GOOD
+    one_route = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 3)}
+    assert judge(evidence(one_route, old)) is Verdict.UNKNOWN
+    both_routes = one_route | {"b|s": CellCounts(15, 0, 15, 0.0, 15, 1)}
+    assert judge(evidence(both_routes, old)) is Verdict.GOOD
 
 
 def test_one_slow_endpoint_does_not_fail_the_version():
@@ -57,11 +57,11 @@
     """
     old = {"a|s": CellCounts(200, 0, 200, 0.0, 200, 10)}
     target = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 18)}
-    machines = {
+    endpoints = {
         f"new-{n}": CellCounts(15, 0, 0, 0.0, 15, 15 if n == 0 else 1) for n in range(4)
     }
     assert judge(Evidence(target, old, {}, 1)) is Verdict.BAD
-    assert judge(Evidence(target, old, machines, 4)) is not Verdict.BAD
+    assert judge(Evidence(target, old, endpoints, 4)) is not Verdict.BAD
 
 
 def test_one_failing_endpoint_does_not_fail_the_version():
