--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -130,7 +130,7 @@
         if not self.quarantine.clear(fingerprint, now_s):
             return
         if self._log_cleared(fingerprint):
-            # Only the gateway that served the request removes its record.
+            # Only the gateway that served the request removes it, not every one.
             self._queue_record(fingerprint, None)
         verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_RETENTION_S)
         self.send_update(RequestNews((), (verdict,)))
@@ -196,7 +196,7 @@
                     )
                 )
             if fingerprint in self._lost_locally:
-                # Only the gateways that lost the request write its record.
+                # Only the gateways that lost the request write it, not every one.
                 until_s = time.time() + QUARANTINE_DURATION_S
                 self._queue_record(
                     fingerprint, RequestRecord(fingerprint, is_quarantined, until_s)
