--- a/acaciacove/decisions/request_quarantine.py
+++ b/acaciacove/decisions/request_quarantine.py
@@ -1,9 +1,9 @@
-"""Finds the request that crashes the endpoints that run it, and holds it back.
+"""Finds requests that crash the endpoints that run them, and quarantines them.
 
-A request under which three endpoints have crashed is suspected, unless another one
-explains the same crashes. It gets one more try at a time in the whole fleet: many
-requests are under way at an endpoint that crashes, and most of them did nothing. One
-that is served is cleared; one that crashes the endpoint of its try is quarantined.
+A request is suspected once three endpoints have crashed with it in flight, unless
+another request explains the same crashes. Most requests in flight at a crash did not
+cause it, so a suspected request gets trials, one at a time in the whole fleet. It is
+cleared if it is served, and quarantined if it crashes the endpoint of its trial.
 """
 
 from collections import OrderedDict
@@ -22,24 +22,25 @@
 )
 
 MIN_CRASHES_TO_SUSPECT = 3
-# Tries of a suspected request, in case that one has no clear end.
+# Trials of a suspected request, as one may end without a clear result.
 MAX_TRIALS = 2
-# How long others wait for the end of a try.
+# How long a trial without a result blocks other trials.
 TRIAL_TIMEOUT_S = 10.0
-# When the end of another's try is likely known.
+# Retry-After during a trial; its result is usually known by then.
 TRIAL_RETRY_AFTER_S = 1.0
 QUARANTINE_DURATION_S = 86_400.0
-# Gateways that have not heard of it may still tell old crashes of a cleared request.
+# Gateways that have not yet received the clearance may still report old crashes of a
+# cleared request.
 CLEARED_RETENTION_S = 60.0
 MAX_ENTRIES = 1024
 
 
 @define(eq=False)
 class RequestQuarantine:
-    """What one gateway knows of requests that may crash endpoints.
+    """One gateway's view of the requests that may crash endpoints.
 
-    All gateways that have been told the same hold the same; times are of the
-    caller's clock.
+    Gateways that have received the same updates have the same view. Times are on the
+    clock of the caller.
     """
 
     evidence: CrashEvidence = field(factory=CrashEvidence)
@@ -49,16 +50,16 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether there is no request to hold back or to clear."""
+        """Return whether there is no request to quarantine or to clear."""
         return not (self.evidence or self._trials or self._quarantined)
 
     @property
     def quarantined_count(self) -> int:
-        """How many requests are in quarantine."""
+        """Number of quarantined requests."""
         return len(self._quarantined)
 
     def status(self, fingerprint: int, now_s: float) -> RequestStatus:
-        """Return what the request may do now."""
+        """Return whether the request may be sent now."""
         self._remove_expired(now_s)
         if fingerprint in self._quarantined:
             return RequestStatus.QUARANTINED
@@ -73,14 +74,14 @@
         return RequestStatus.QUARANTINED
 
     def retry_after_s(self, fingerprint: int, now_s: float) -> float:
-        """Return when a request that is held back may do better."""
+        """Return the seconds until a refused request should be retried."""
         until_s = self._quarantined.get(fingerprint)
         return TRIAL_RETRY_AFTER_S if until_s is None else until_s - now_s
 
     def record_crash(
         self, endpoint: int, suspects: Iterable[int], now_s: float
     ) -> list[int]:
-        """Note a crash; returns the suspects that were not known of it."""
+        """Record a crash; returns the suspects that are new for it."""
         self._remove_expired(now_s)
         new = self.evidence.add(
             endpoint, [each for each in suspects if each not in self._cleared]
@@ -90,15 +91,15 @@
         return new
 
     def _update_suspicion(self, fingerprint: int, now_s: float) -> None:
-        """Suspect a request, or quarantine one that crashed the endpoint of its try."""
+        """Suspect a request, or quarantine it if it crashed its trial endpoint."""
         trial = self._trials.get(fingerprint)
         if trial is not None:
             if self.evidence.was_in_flight_at(trial.endpoint, fingerprint):
                 self._quarantine(fingerprint, now_s + QUARANTINE_DURATION_S)
             return
         crashes = self.evidence.crash_count(fingerprint)
-        is_many = crashes >= MIN_CRASHES_TO_SUSPECT
-        if is_many and not self.evidence.has_likelier_suspect(fingerprint):
+        has_enough_crashes = crashes >= MIN_CRASHES_TO_SUSPECT
+        if has_enough_crashes and not self.evidence.has_likelier_suspect(fingerprint):
             self.suspect(fingerprint)
 
     def _quarantine(self, fingerprint: int, until_s: float) -> None:
@@ -110,10 +111,10 @@
     def claim_trial(
         self, fingerprint: int, endpoint: int, claim: int, now_s: float
     ) -> RequestVerdict:
-        """Claim the one try that a suspected request has; returns what to tell.
+        """Claim the one trial of a suspected request; returns the verdict to gossip.
 
-        Others may claim it at the same moment: it is had by who still has it once
-        word of theirs would have come.
+        Other gateways may claim it at the same time. The claimant must check
+        ``holds_trial`` after the time in which competing claims arrive.
         """
         number = self._trials.get(fingerprint, RequestTrial()).number + 1
         trial = RequestTrial(number, endpoint, claim, now_s + TRIAL_TIMEOUT_S)
@@ -121,12 +122,12 @@
         return _trial_verdict(fingerprint, trial)
 
     def holds_trial(self, fingerprint: int, claim: int) -> bool:
-        """Tell whether the try is still that of a claim."""
+        """Return whether the trial still belongs to a claim."""
         trial = self._trials.get(fingerprint)
         return trial is not None and trial.claim == claim
 
     def suspect(self, fingerprint: int) -> None:
-        """Hold a request back but for tries of one at a time."""
+        """Refuse a request from now on, except for one trial at a time."""
         if fingerprint not in self._trials and fingerprint not in self._quarantined:
             self._set_trial(fingerprint, RequestTrial())
 
@@ -136,17 +137,19 @@
             self._trials.popitem(last=False)
 
     def clear(self, fingerprint: int, now_s: float) -> bool:
-        """Note that the request was served; tells whether others should know."""
-        held = self._trials.pop(fingerprint, None) is not None
-        held = self._quarantined.pop(fingerprint, None) is not None or held
-        matters = held or self.evidence.crash_count(fingerprint) > 1
+        """Record that a request was served; returns whether peers need an update."""
+        was_restricted = self._trials.pop(fingerprint, None) is not None
+        was_restricted = (
+            self._quarantined.pop(fingerprint, None) is not None or was_restricted
+        )
+        is_relevant = was_restricted or self.evidence.crash_count(fingerprint) > 1
         self.evidence.discard(fingerprint)
-        if matters:
+        if is_relevant:
             self._record_cleared(fingerprint, now_s + CLEARED_RETENTION_S)
-        return matters
+        return is_relevant
 
     def apply(self, verdict: RequestVerdict, now_s: float) -> bool:
-        """Take another gateway's word; tells whether it was news."""
+        """Apply a verdict of another gateway; returns whether it was new."""
         self._remove_expired(now_s)
         fingerprint = verdict.fingerprint
         if fingerprint in self._cleared:
@@ -176,8 +179,8 @@
             self._cleared.popitem(last=False)
 
     def _apply_trial(self, verdict: RequestVerdict, now_s: float) -> bool:
-        known = self._trials.get(verdict.fingerprint)
-        if known is not None and _supersedes(known, verdict):
+        local = self._trials.get(verdict.fingerprint)
+        if local is not None and _supersedes(local, verdict):
             return False
         if not verdict.trials:
             self.suspect(verdict.fingerprint)
@@ -190,7 +193,7 @@
         return True
 
     def verdicts(self, now_s: float) -> list[RequestVerdict]:
-        """Return all that others should hold, too."""
+        """Return all verdicts that peers should have as well."""
         self._remove_expired(now_s)
         found = [
             RequestVerdict(each, QUARANTINED, left_s=until_s - now_s)
@@ -203,9 +206,9 @@
         ]
 
     def _remove_expired(self, now_s: float) -> None:
-        for ends in (self._cleared, self._quarantined):
-            while ends and next(iter(ends.values())) <= now_s:
-                ends.popitem(last=False)
+        for expiries in (self._cleared, self._quarantined):
+            while expiries and next(iter(expiries.values())) <= now_s:
+                expiries.popitem(last=False)
 
 
 def _trial_verdict(fingerprint: int, trial: RequestTrial) -> RequestVerdict:
@@ -214,8 +217,11 @@
     )
 
 
-def _supersedes(known: RequestTrial, told: RequestVerdict) -> bool:
-    """Tell whether a trial is as good as another gateway's word, or better."""
-    return known.number > told.trials or (
-        known.number == told.trials and known.claim <= told.claim
+def _supersedes(local: RequestTrial, received: RequestVerdict) -> bool:
+    """Return whether a local trial takes precedence over a received one.
+
+    The higher trial number wins, and the lower claim if the numbers are equal.
+    """
+    return local.number > received.trials or (
+        local.number == received.trials and local.claim <= received.claim
     )
--- a/acaciacove/decisions/rollout_guard.py
+++ b/acaciacove/decisions/rollout_guard.py
@@ -1,4 +1,4 @@
-"""Exposure of versions under roll-out, and quarantine of bad ones."""
+"""Sets the exposure of versions under roll-out and quarantines bad ones."""
 
 from math import log
 
@@ -29,12 +29,13 @@
 
 @define
 class RolloutGuard:
-    """Evidence on each version, pooled over entries, and what follows from it.
+    """Pools the evidence on each version over all entries and derives verdicts.
 
-    The verdict is a function of counts alone, which only grow and merge in any
-    order, and of the shares in force: an entry that restarts, or a roll-out whose
-    judge vanished, goes on where evidence and release stream stand. Counts are of
-    one declaration of a version; a release note that declares it anew starts over.
+    A verdict depends only on the counts, which only grow and merge in any order, and
+    on the shares in force. So a roll-out continues from the shared counts and the
+    release stream when an entry restarts or fails. Counts belong to one declaration
+    of a version: a release note that declares the version again starts with empty
+    counts.
     """
 
     origin: str
@@ -44,7 +45,7 @@
     _histograms: dict[CellName, list[float]] = field(factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Count under the own name."""
+        """Create the counters under the local origin."""
         self._counts = SharedCounts(self.origin)
 
     def observe(
@@ -57,8 +58,8 @@
     ) -> None:
         """Count one score (0 to 1) of a version.
 
-        ``sequence`` is a rating's sequence number. It sets the window, so that
-        entries agree on windows without agreeing on a clock.
+        ``sequence`` is the sequence number of a rating. It sets the window, so that
+        entries agree on windows without synchronised clocks.
         """
         self.turn_to(sequence // self.settings.window_ratings)
         bucket = str(score_bucket(score))
@@ -69,10 +70,11 @@
             self._count(_cell_name(BASELINE, fleet, version, kind, bucket))
 
     def verdict(self, fleet: FleetState, version: Version) -> GuardVerdict:
-        """Weigh all evidence on a version; the caller records what is not KEEP.
+        """Evaluate all evidence on a version; the caller records all but KEEP.
 
-        Until it has the full share, a version is compared with the one it replaces,
-        then with its own early scores, so that a slow decline is seen as well.
+        Until it has the full share, a version is compared with the one it replaces.
+        After that it is compared with its own early scores, which also detects a
+        slow decline.
         """
         share = exposure(fleet, version)
         reference = version.id
@@ -82,48 +84,50 @@
             if self._is_worse(fleet, version.id, reference, kind):
                 reason = f"{kind} below {reference}"
                 return GuardVerdict(GuardAction.QUARANTINE, 0.0, reason)
-        earned = self._earned_share(fleet, version, reference, share)
-        if earned <= share:
+        justified = self._justified_share(fleet, version, reference, share)
+        if justified <= share:
             return GuardVerdict(GuardAction.KEEP, share)
-        return GuardVerdict(GuardAction.WIDEN, earned, f"as good as {reference}")
+        return GuardVerdict(GuardAction.WIDEN, justified, f"as good as {reference}")
 
     def export_delta(self, limit: int = DEFAULT_EXPORT_LIMIT) -> tuple[SharedCell, ...]:
-        """Take up to ``limit`` counters to send to a peer."""
+        """Return up to ``limit`` counters to send to a peer, and mark them as sent."""
         return self._counts.export_delta(limit)
 
     def merge(self, cells: tuple[SharedCell, ...]) -> None:
-        """Take in a peer's counters."""
+        """Merge the counters of a peer."""
         windows = [int(c.name[0]) for c in cells if c.name[0] != BASELINE]
         self.turn_to(max(windows, default=self.window))
         oldest = self.window - self.settings.kept_windows
-        wanted = [c for c in cells if c.name[0] == BASELINE or int(c.name[0]) > oldest]
-        for name, grown in self._counts.merge(tuple(wanted)):
-            self._add_to_histogram(name, grown)
+        retained = [
+            c for c in cells if c.name[0] == BASELINE or int(c.name[0]) > oldest
+        ]
+        for name, increase in self._counts.merge(tuple(retained)):
+            self._add_to_histogram(name, increase)
 
     def _count(self, name: CellName) -> None:
         self._counts.add(name)
         self._add_to_histogram(name, 1.0)
 
     def _add_to_histogram(self, name: CellName, count: float) -> None:
-        """Keep a histogram per window, version and kind beside the counters."""
+        """Update the histogram of the window, version and kind of a counter."""
         if name[-1] == ALL_BUCKETS:
             return
-        row = self._histograms.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
-        row[int(name[-1])] += count
+        histogram = self._histograms.setdefault(name[:-1], [0.0] * (BUCKETS + 1))
+        histogram[int(name[-1])] += count
 
     def turn_to(self, window: int) -> None:
-        """Go on to a later window, and forget those that are no longer kept."""
+        """Advance to a later window, and remove those no longer retained."""
         if window <= self.window:
             return
         self.window = window
         oldest = window - self.settings.kept_windows + 1
-        past = {
+        expired = {
             name
             for name in self._counts.names()
             if name[0] != BASELINE and int(name[0]) < oldest
         }
-        self._counts.remove(past)
-        for name in past:
+        self._counts.remove(expired)
+        for name in expired:
             self._histograms.pop(name[:-1], None)
 
     def _is_worse(
@@ -133,25 +137,25 @@
         reference: VersionId,
         kind: EvidenceKind,
     ) -> bool:
-        """Test the scores since the start of each kept window."""
+        """Test the scores since the start of each retained window."""
         mean = self._reference_mean(fleet, reference, kind, version != reference)
         if mean is None:
             return False
         needed = log(1.0 / self.settings.false_alarm)
-        since = [0.0] * (BUCKETS + 1)
+        cumulative = [0.0] * (BUCKETS + 1)
         for window in self._retained_windows():
             counts = self._histogram(str(window), fleet, version, kind)
             if not any(counts):
                 continue
-            since = [a + b for a, b in zip(since, counts, strict=True)]
-            if evidence_below(since, mean - self.settings.tolerance) >= needed:
+            cumulative = [a + b for a, b in zip(cumulative, counts, strict=True)]
+            if evidence_below(cumulative, mean - self.settings.tolerance) >= needed:
                 return True
         return False
 
-    def _earned_share(
+    def _justified_share(
         self, fleet: FleetState, version: Version, reference: VersionId, share: float
     ) -> float:
-        """Return the share that the evidence of being no worse has earned."""
+        """Return the share that the evidence of being no worse justifies."""
         mean = self._reference_mean(fleet, reference, EvidenceKind.RATING, True)
         if mean is None or share >= FULL_SHARE:
             return share
@@ -159,8 +163,8 @@
         floor = mean - self.settings.unacceptable
         by_odds = evidence_above(counts, floor) / log(self.settings.widen_odds)
         by_count = sum(counts) / self.settings.stage_ratings
-        reached = min(len(self.settings.stages), int(min(by_odds, by_count)))
-        return self.settings.stages[reached - 1] if reached > 0 else share
+        stage = min(len(self.settings.stages), int(min(by_odds, by_count)))
+        return self.settings.stages[stage - 1] if stage > 0 else share
 
     def _reference_mean(
         self,
@@ -169,10 +173,11 @@
         kind: EvidenceKind,
         is_recent: bool,
     ) -> float | None:
-        """Return the mean to compare with; None while too little is known.
+        """Return the mean to compare with, or None while there are too few scores.
 
-        A version that still serves is taken as it is ``is_recent``, under the same
-        requests as the new one; compared with itself, as it was at first.
+        With ``is_recent`` it is the mean of the retained windows, in which the
+        reference and the new version serve the same mix of requests. Otherwise, or
+        with too few recent scores, it is the mean of the first scores.
         """
         counts = self._recent_histogram(fleet, version, kind) if is_recent else []
         if sum(counts) < self.settings.min_reference_scores:
@@ -185,15 +190,15 @@
     def _recent_histogram(
         self, fleet: FleetState, version: VersionId, kind: EvidenceKind
     ) -> list[float]:
-        """Sum the kept windows."""
-        since = [0.0] * (BUCKETS + 1)
+        """Sum the histograms of the retained windows."""
+        summed = [0.0] * (BUCKETS + 1)
         for window in self._retained_windows():
             counts = self._histogram(str(window), fleet, version, kind)
-            since = [a + b for a, b in zip(since, counts, strict=True)]
-        return since
+            summed = [a + b for a, b in zip(summed, counts, strict=True)]
+        return summed
 
     def _retained_windows(self) -> range:
-        """Return the kept windows, newest first."""
+        """Return the retained windows, newest first."""
         oldest = max(-1, self.window - self.settings.kept_windows)
         return range(self.window, oldest, -1)
 
--- a/acaciacove/gateway/quarantine/quarantine_records.py
+++ b/acaciacove/gateway/quarantine/quarantine_records.py
@@ -1,7 +1,7 @@
-"""Reads requests that are held back from the platform's log, and writes them there.
+"""Restores quarantined and suspected requests from the platform's log and writes them.
 
-Without it a loss of all gateways would forget which requests crash endpoints, and they
-would crash as many again.
+Without these records a restart of all gateways would lose track of the requests that
+crash endpoints, and as many endpoints would crash again.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 async def sync_records(
     guard: RequestGuard, metadata: MetadataLog, log: EventLog
 ) -> None:
-    """Take up what the log holds, then write what is new, until cancelled."""
+    """Restore the records of the log, then write changes, until cancelled."""
     await _restore(guard, metadata, log)
     while True:
         await guard.has_pending_records.wait()
         guard.has_pending_records.clear()
-        while guard.records:
+        while guard.pending_records:
             await _write_oldest(guard, metadata)
 
 
@@ -42,8 +42,8 @@
             page = await metadata.newest(LogStream.QUARANTINE)
             break
         except PlatformUnavailableError:
-            # Said already by the followers of the decisions; other gateways tell
-            # what they know in the meantime.
+            # Not logged here, as the readers of decisions log the outage. Peers
+            # gossip their verdicts in the meantime.
             await asyncio.sleep(RETRY_INTERVAL_S)
     for record in page.records:
         _restore_record(guard, record, log)
@@ -53,27 +53,27 @@
     if record.value is None:
         return
     try:
-        found = decode_record(record.key, record.value)
+        restored = decode_record(record.key, record.value)
     except MalformedMessageError as error:
         log.write(Event.RECORD_UNREADABLE, key=record.key, detail=str(error))
         return
-    if found.until_s > time.time():
-        guard.restore(found, asyncio.get_running_loop().time())
+    if restored.until_s > time.time():
+        guard.restore(restored, asyncio.get_running_loop().time())
     else:
-        guard.records[found.fingerprint] = None
+        guard.pending_records[restored.fingerprint] = None
         guard.has_pending_records.set()
 
 
 async def _write_oldest(guard: RequestGuard, metadata: MetadataLog) -> None:
-    fingerprint, record = next(iter(guard.records.items()))
+    fingerprint, record = next(iter(guard.pending_records.items()))
     value = encode_record(record) if record is not None else TOMBSTONE
     try:
         await metadata.append(
             LogStream.QUARANTINE, record_key(fingerprint), value, None
         )
     except PlatformUnavailableError:
-        # An append without an answer may have been taken; the same again does no harm.
+        # An append without a reply may have taken effect; repeating it is harmless.
         await asyncio.sleep(RETRY_INTERVAL_S)
         return
-    if guard.records.get(fingerprint, record) is record:
-        guard.records.pop(fingerprint, None)
+    if guard.pending_records.get(fingerprint, record) is record:
+        guard.pending_records.pop(fingerprint, None)
--- a/acaciacove/gateway/quarantine/request_guard.py
+++ b/acaciacove/gateway/quarantine/request_guard.py
@@ -1,4 +1,4 @@
-"""Holds requests back by what is known of crashes, and spreads what is new."""
+"""Refuses requests that crash endpoints and shares new evidence with peers."""
 
 import asyncio
 import math
@@ -28,33 +28,32 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# Requests lost with an endpoint of this gateway's, the oldest forgotten first.
+# Requests lost by this gateway in crashes; the oldest are evicted first.
 MAX_LOST_REQUESTS = 1024
-# Of the requests of one crash, those under which most endpoints crashed are told to
-# others: more do not fit into one datagram.
+# More suspects do not fit into one datagram; those with the most crashes are sent.
 MAX_SUSPECTS_PER_UPDATE = 64
-# Requests whose standing has been logged.
+# Requests whose last logged status is remembered.
 MAX_LOGGED_STATUSES = 4096
-# In which word of another gateway's claim arrives.
+# Competing claims of other gateways arrive within this time.
 CLAIM_SETTLE_S = 0.01
 CLAIM_BITS = 32
-# Records that wait for the log; one that is full drops the oldest.
+# Records waiting to be written to the log; beyond this the oldest are dropped.
 MAX_PENDING_RECORDS = 256
 
 SendUpdate = Callable[[RequestNews], None]
 
 
-def ignore_update(news: RequestNews) -> None:
-    """Stand in until the other gateways can be told."""
+def ignore_update(update: RequestNews) -> None:
+    """Drop an update; the default until the peer network is connected."""
 
 
 @define(eq=False)
 class RequestGuard:
-    """One gateway's quarantine, with what others and the log are to be told.
+    """One gateway's quarantine, with its updates to peers and records for the log.
 
-    ``send_update`` sends news to a few other gateways, ``broadcast_update`` to all.
-    ``records`` are to be written to the log: the newest for each request, None where
-    it is to be removed.
+    ``send_update`` sends an update to a subset of peers, ``broadcast_update`` to all.
+    ``pending_records`` holds the newest record of each request that has to be written
+    to the log, or None if its record has to be removed.
     """
 
     log: EventLog
@@ -62,7 +61,7 @@
     send_update: SendUpdate = ignore_update
     broadcast_update: SendUpdate = ignore_update
     random: Random = field(factory=Random)
-    records: OrderedDict[int, RequestRecord | None] = field(factory=OrderedDict)
+    pending_records: OrderedDict[int, RequestRecord | None] = field(factory=OrderedDict)
     has_pending_records: asyncio.Event = field(factory=asyncio.Event)
     _lost_locally: OrderedDict[int, None] = field(factory=OrderedDict)
     _logged: OrderedDict[int, RequestStatus] = field(factory=OrderedDict)
@@ -70,20 +69,20 @@
     def record_crash(
         self, endpoint: Endpoint, suspects: list[int], now_s: float
     ) -> None:
-        """Take note of requests that were lost with an endpoint that crashed."""
+        """Record the requests that were lost when an endpoint crashed."""
         for fingerprint in suspects:
             self._lost_locally[fingerprint] = None
         while len(self._lost_locally) > MAX_LOST_REQUESTS:
             self._lost_locally.popitem(last=False)
-        life = incarnation_id(endpoint)
-        new = self.quarantine.record_crash(life, suspects, now_s)
+        incarnation = incarnation_id(endpoint)
+        new = self.quarantine.record_crash(incarnation, suspects, now_s)
         if new:
             verdicts = self._report_changes(new, now_s)
-            seen = CrashSeen(life, tuple(new[:MAX_SUSPECTS_PER_UPDATE]))
-            self.send_update(RequestNews((seen,), verdicts))
+            crash = CrashSeen(incarnation, tuple(new[:MAX_SUSPECTS_PER_UPDATE]))
+            self.send_update(RequestNews((crash,), verdicts))
 
     def refusal_for(self, fingerprint: int, now_s: float) -> Refusal | None:
-        """Return why a request is not sent now; None where it may be."""
+        """Return why a request is not sent now, or None if it may be."""
         status = self.quarantine.status(fingerprint, now_s)
         if status in (RequestStatus.FREE, RequestStatus.TRIAL):
             return None
@@ -94,25 +93,31 @@
         return Refusal(Reason.REQUEST_QUARANTINED, True, detail, after_s)
 
     def requires_trial(self, fingerprint: int, now_s: float) -> bool:
-        """Tell whether the request may be sent only once, as a try."""
+        """Return whether the request may be sent only once, as a trial."""
         status = self.quarantine.status(fingerprint, now_s)
         return status is RequestStatus.TRIAL
 
     async def acquire_trial(self, fingerprint: int, endpoint: Endpoint) -> None:
-        """Take a suspected request's one try, and let the others wait for its end.
+        """Acquire the one trial of a suspected request; peers wait for its result.
 
-        Raises TrialTakenError if somebody else has taken it, or does so meanwhile.
+        Raises TrialTakenError if another request or gateway already has the trial or
+        wins it with a competing claim.
         """
         now_s = asyncio.get_running_loop().time()
         if not self.requires_trial(fingerprint, now_s):
-            raise TrialTakenError(format_fingerprint(fingerprint))
+            raise TrialTakenError(
+                f"request {format_fingerprint(fingerprint)} has no trial available"
+            )
         claim = self.random.getrandbits(CLAIM_BITS)
-        life = incarnation_id(endpoint)
-        verdict = self.quarantine.claim_trial(fingerprint, life, claim, now_s)
+        incarnation = incarnation_id(endpoint)
+        verdict = self.quarantine.claim_trial(fingerprint, incarnation, claim, now_s)
         self.broadcast_update(RequestNews((), (verdict,)))
         await asyncio.sleep(CLAIM_SETTLE_S)
         if not self.quarantine.holds_trial(fingerprint, claim):
-            raise TrialTakenError(format_fingerprint(fingerprint))
+            raise TrialTakenError(
+                f"lost the trial of request {format_fingerprint(fingerprint)} at "
+                f"endpoint {endpoint.instance} to another claim"
+            )
         self.log.write(
             Event.REQUEST_TRIED,
             fingerprint=format_fingerprint(fingerprint),
@@ -121,39 +126,42 @@
         )
 
     def record_served(self, fingerprint: int, now_s: float) -> None:
-        """Clear a request whose whole answer an endpoint has given."""
+        """Clear a request that an endpoint has answered completely."""
         if not self.quarantine.clear(fingerprint, now_s):
             return
         if self._log_cleared(fingerprint):
-            # Who served it does, so that not every gateway does.
+            # Only the gateway that served the request removes it, not every one.
             self._queue_record(fingerprint, None)
         verdict = RequestVerdict(fingerprint, CLEARED, left_s=CLEARED_RETENTION_S)
         self.send_update(RequestNews((), (verdict,)))
 
-    def apply(self, news: RequestNews, now_s: float) -> RequestNews:
-        """Take another gateway's word; returns what of it was new."""
+    def apply(self, update: RequestNews, now_s: float) -> RequestNews:
+        """Apply an update of another gateway; returns the part that was new."""
         crashes = []
-        touched: list[int] = []
-        for crash in news.crashes:
+        changed: list[int] = []
+        for crash in update.crashes:
             new = self.quarantine.record_crash(crash.endpoint, crash.suspects, now_s)
             if new:
                 crashes.append(CrashSeen(crash.endpoint, tuple(new)))
-                touched += new
+                changed += new
         verdicts = []
-        for verdict in news.verdicts:
+        for verdict in update.verdicts:
             if not math.isfinite(verdict.left_s):
-                detail = f"a quarantine of {verdict.left_s} s"
+                detail = (
+                    f"verdict on request {verdict.fingerprint:016x}: expected a "
+                    f"finite left_s, got {verdict.left_s}"
+                )
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
             elif self.quarantine.apply(verdict, now_s):
                 verdicts.append(verdict)
-                touched.append(verdict.fingerprint)
+                changed.append(verdict.fingerprint)
                 if verdict.kind == CLEARED:
                     self._log_cleared(verdict.fingerprint)
-        self._report_changes(touched, now_s)
+        self._report_changes(changed, now_s)
         return RequestNews(tuple(crashes), tuple(verdicts))
 
     def restore(self, record: RequestRecord, now_s: float) -> None:
-        """Take up what a record of the log says; it need not be written again."""
+        """Restore a record of the log, without writing it again."""
         left_s = min(record.until_s - time.time(), QUARANTINE_DURATION_S)
         if record.quarantined:
             verdict = RequestVerdict(record.fingerprint, QUARANTINED, left_s=left_s)
@@ -166,32 +174,34 @@
     def _report_changes(
         self, fingerprints: Iterable[int], now_s: float
     ) -> tuple[RequestVerdict, ...]:
-        """Log and record what has changed for these; returns new quarantines."""
-        held = []
+        """Log and record status changes; returns verdicts on newly quarantined ones."""
+        quarantined = []
         for fingerprint in fingerprints:
             status = self.quarantine.status(fingerprint, now_s)
             if status is RequestStatus.WAITING:
                 status = RequestStatus.TRIAL
-            before = self._logged.get(fingerprint, RequestStatus.FREE)
-            if status is before or status is RequestStatus.FREE:
+            previous = self._logged.get(fingerprint, RequestStatus.FREE)
+            if status is previous or status is RequestStatus.FREE:
                 continue
             self._set_logged(fingerprint, status)
-            is_held = status is RequestStatus.QUARANTINED
-            event = Event.REQUEST_QUARANTINED if is_held else Event.REQUEST_SUSPECTED
+            is_quarantined = status is RequestStatus.QUARANTINED
+            event = (
+                Event.REQUEST_QUARANTINED if is_quarantined else Event.REQUEST_SUSPECTED
+            )
             self.log.write(event, fingerprint=format_fingerprint(fingerprint))
-            if is_held:
-                held.append(
+            if is_quarantined:
+                quarantined.append(
                     RequestVerdict(
                         fingerprint, QUARANTINED, left_s=QUARANTINE_DURATION_S
                     )
                 )
             if fingerprint in self._lost_locally:
-                # Those that lost it write it, so that not every gateway does.
+                # Only the gateways that lost the request write it, not every one.
                 until_s = time.time() + QUARANTINE_DURATION_S
                 self._queue_record(
-                    fingerprint, RequestRecord(fingerprint, is_held, until_s)
+                    fingerprint, RequestRecord(fingerprint, is_quarantined, until_s)
                 )
-        return tuple(held)
+        return tuple(quarantined)
 
     def _set_logged(self, fingerprint: int, status: RequestStatus) -> None:
         self._logged[fingerprint] = status
@@ -199,7 +209,7 @@
             self._logged.popitem(last=False)
 
     def _log_cleared(self, fingerprint: int) -> bool:
-        """Log the end of a suspicion; tells whether there was one."""
+        """Log that a request is cleared; returns whether it was suspected before."""
         if self._logged.pop(fingerprint, None) is None:
             return False
         name = format_fingerprint(fingerprint)
@@ -207,9 +217,9 @@
         return True
 
     def _queue_record(self, fingerprint: int, record: RequestRecord | None) -> None:
-        self.records[fingerprint] = record
-        if len(self.records) > MAX_PENDING_RECORDS:
-            dropped, _ = self.records.popitem(last=False)
+        self.pending_records[fingerprint] = record
+        if len(self.pending_records) > MAX_PENDING_RECORDS:
+            dropped, _ = self.pending_records.popitem(last=False)
             name = format_fingerprint(dropped)
             self.log.write(Event.REQUEST_NOT_RECORDED, fingerprint=name)
         self.has_pending_records.set()
--- a/acaciacove/gateway/rollout/rollout_progress.py
+++ b/acaciacove/gateway/rollout/rollout_progress.py
@@ -1,4 +1,4 @@
-"""One roll-out under way, with its evidence."""
+"""State and evidence of one roll-out in progress."""
 
 from collections.abc import Callable
 
@@ -14,28 +14,29 @@
 from acaciacove.messages.version_cell import VersionCell
 
 ENDPOINT_PREFIX = "endpoint/"
-# A request is late when its first piece takes this many times what is usual for its
-# kind. Times of one kind differ by half, with prompts of unlike length.
+# A request is late when its first chunk takes this multiple of the baseline of its
+# kind. Within a kind, times vary by half with the length of the prompt.
 LATE_RATIO = 2.5
-# Times of the old version from which on its usual time is known.
+# Measured answers of the old version that are needed for a baseline.
 MIN_TIMED_ANSWERS = 4
-# What is late by less than this is not worth a roll-out, whatever its ratio.
+# A smaller delay never counts as late, whatever the ratio.
 MIN_EXCESS_S = 0.1
 
 
 def kind_cell_name(route: str, model: str | None) -> str:
-    """Name the cell of a kind of request."""
+    """Return the name of the cell of a kind of request."""
     return f"{route}{CELL_SEPARATOR}{model or ''}"
 
 
 @define(eq=False)
 class RolloutProgress:
-    """Counts of this gateway and of its peers for one order.
+    """Counts of this gateway and its peers for one roll-out order.
 
-    ``sent_target`` and ``sent_all`` are requests that this gateway has sent to
-    the new version and to the whole service since the order; ``reserved_target``
-    are on their way to a connection to the new version. ``cutover_cells`` holds what
-    was counted of the new version when all requests moved to it.
+    ``sent_target`` and ``sent_all`` are the requests that this gateway has sent to
+    the new version and to the whole service since the order. ``reserved_target``
+    are those that are waiting for a connection to the new version.
+    ``cutover_cells`` holds the counts of the new version at the cutover of all
+    requests to it.
     """
 
     order: RolloutOrder
@@ -47,8 +48,8 @@
     reserved_target: int = 0
     old_in_flight: int = 0
     judged_bad: bool = False
-    local: dict[tuple[bool, str], CellCounts] = field(factory=dict)
-    peer_cells: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
+    local_counts: dict[tuple[bool, str], CellCounts] = field(factory=dict)
+    peer_counts: dict[str, dict[tuple[bool, str], CellCounts]] = field(factory=dict)
     peer_views: dict[str, tuple[RolloutView, float]] = field(factory=dict)
     pending: dict[int, InFlightRequest] = field(factory=dict)
     cutover_cells: dict[str, CellCounts] = field(factory=dict)
@@ -57,13 +58,13 @@
     _last_number: int = 0
 
     #
-    # Own answers
+    # Requests of this gateway
     #
 
     def record_sent(
         self, is_target: bool, kind: str, endpoint: str, now_s: float
     ) -> int:
-        """Note a request that was sent; returns its number."""
+        """Record a request that was sent; returns its number."""
         self._last_number += 1
         self.pending[self._last_number] = InFlightRequest(
             is_target, kind, endpoint, now_s
@@ -73,54 +74,54 @@
     def record_answer(
         self, number: int, failed: bool, first_chunk_s: float | None
     ) -> None:
-        """Count the first piece of an answer, or a failure."""
-        pending = self.pending.pop(number, None)
-        if pending is None:
+        """Record the first chunk of an answer, or a failure."""
+        request = self.pending.pop(number, None)
+        if request is None:
             return
-        self._cell(pending.is_target, pending.kind).add(failed, first_chunk_s)
-        if pending.is_target:
-            self._cell(True, ENDPOINT_PREFIX + pending.endpoint).add(failed, None)
-        if first_chunk_s is not None and not pending.is_late:
-            self._record_comparison(pending, first_chunk_s)
+        self._cell(request.is_target, request.kind).add(failed, first_chunk_s)
+        if request.is_target:
+            self._cell(True, ENDPOINT_PREFIX + request.endpoint).add(failed, None)
+        if first_chunk_s is not None and not request.is_late:
+            self._compare_with_limit(request, first_chunk_s)
 
     def abandon(self, number: int, now_s: float) -> None:
-        """Stop waiting: the request has ended without an answer to count.
+        """Remove a request that ended without an answer to count.
 
-        One that was given up after more than the usual time was late, also if nobody
-        waited for it to the end: callers leave the slow answers first.
+        It counts as late if it was abandoned after the limit of its kind, because
+        callers abandon the slow answers first.
         """
-        pending = self.pending.pop(number, None)
-        if pending is not None and not pending.is_late:
-            self._record_if_late(pending, now_s)
+        request = self.pending.pop(number, None)
+        if request is not None and not request.is_late:
+            self._record_if_late(request, now_s)
 
     def record_late_requests(self, now_s: float) -> None:
-        """Count requests as late that already wait for longer than is usual.
+        """Count requests in flight as late once they exceed the limit of their kind.
 
-        The answers of a slow version come late or not at all. Counted only when they
-        come, the sound ones among them would be all that is known for seconds.
+        The answers of a slow version arrive late or never. If they were counted only
+        on arrival, the evidence of the first seconds would consist of fast answers.
         """
         self._limits_s = self._late_limits_s()
-        for pending in self.pending.values():
-            if not pending.is_late:
-                self._record_if_late(pending, now_s)
+        for request in self.pending.values():
+            if not request.is_late:
+                self._record_if_late(request, now_s)
 
-    def _record_if_late(self, pending: InFlightRequest, now_s: float) -> None:
-        limit_s = self._limits_s.get(pending.kind)
-        if limit_s is not None and now_s - pending.sent_s > limit_s:
-            self._record_comparison(pending, now_s - pending.sent_s)
+    def _record_if_late(self, request: InFlightRequest, now_s: float) -> None:
+        limit_s = self._limits_s.get(request.kind)
+        if limit_s is not None and now_s - request.sent_s > limit_s:
+            self._compare_with_limit(request, now_s - request.sent_s)
 
-    def _record_comparison(self, pending: InFlightRequest, took_s: float) -> None:
-        limit_s = self._limits_s.get(pending.kind)
+    def _compare_with_limit(self, request: InFlightRequest, took_s: float) -> None:
+        limit_s = self._limits_s.get(request.kind)
         if limit_s is None:
             return
-        pending.is_late = took_s > limit_s
-        self._cell(pending.is_target, pending.kind).add_judged(pending.is_late)
-        if pending.is_target:
-            cell = self._cell(True, ENDPOINT_PREFIX + pending.endpoint)
-            cell.add_judged(pending.is_late)
+        request.is_late = took_s > limit_s
+        self._cell(request.is_target, request.kind).add_judged(request.is_late)
+        if request.is_target:
+            cell = self._cell(True, ENDPOINT_PREFIX + request.endpoint)
+            cell.add_judged(request.is_late)
 
     def _late_limits_s(self) -> dict[str, float]:
-        """Return from when on a request of each kind is late."""
+        """Return the time after which a request of each kind is late."""
         return {
             kind: max(LATE_RATIO * counts.typical_s, counts.typical_s + MIN_EXCESS_S)
             for kind, counts in self.cells(False).items()
@@ -128,14 +129,14 @@
         }
 
     def _cell(self, is_target: bool, name: str) -> CellCounts:
-        return self.local.setdefault((is_target, name), CellCounts())
+        return self.local_counts.setdefault((is_target, name), CellCounts())
 
     #
     # Peers
     #
 
     def local_cells(self) -> tuple[VersionCell, ...]:
-        """Return the own counts as they are told to peers."""
+        """Return the counts of this gateway as messages to peers."""
         return tuple(
             VersionCell(
                 service=self.order.service,
@@ -149,14 +150,14 @@
                 judged=counts.judged,
                 late=counts.late,
             )
-            for (is_target, name), counts in self.local.items()
+            for (is_target, name), counts in self.local_counts.items()
         )
 
     def apply_peer_counts(
         self, peer: str, view: RolloutView, cells: list[VersionCell], now_s: float
     ) -> None:
-        """Replace what one life of a peer has told before."""
-        self.peer_cells[peer] = {
+        """Replace the view and counts of one incarnation of a peer."""
+        self.peer_counts[peer] = {
             (c.is_target, c.name): CellCounts(
                 c.answers, c.failures, c.timed, c.log_time_sum, c.judged, c.late
             )
@@ -166,7 +167,7 @@
         self.began_s = min(self.began_s, now_s - view.age_s)
 
     def view(self, now_s: float) -> RolloutView:
-        """Return what peers are told."""
+        """Return the view of this gateway for its peers."""
         return RolloutView(
             service=self.order.service,
             revision=self.order.revision,
@@ -176,11 +177,11 @@
         )
 
     #
-    # Sums
+    # Sums over gateways
     #
 
     def evidence(self, target_endpoint_count: int) -> Evidence:
-        """Return all that is known; ``target_endpoint_count`` serve the new version."""
+        """Return all evidence since the order."""
         return Evidence(
             self.cells(True),
             self.cells(False),
@@ -189,15 +190,15 @@
         )
 
     def mark_cutover(self) -> None:
-        """Remember what was known when all requests moved to the new version."""
+        """Save the counts at the cutover of all requests to the new version."""
         self.cutover_cells = self.cells(True)
         self.cutover_endpoint_cells = self._endpoint_cells()
 
     def evidence_since_cutover(self, target_endpoint_count: int) -> Evidence:
-        """Return what answers since then say of the new version.
+        """Return the evidence on the new version since the cutover.
 
-        A version that turns bad late, or under all of the load, would hide behind the
-        sound answers that it gave before.
+        The good answers before it would otherwise hide a version that turns bad late
+        or under full load.
         """
         return Evidence(
             since(self.cells(True), self.cutover_cells),
@@ -207,7 +208,7 @@
         )
 
     def cells(self, is_target: bool) -> dict[str, CellCounts]:
-        """Sum the kinds of request over this gateway and its peers."""
+        """Sum the counts by kind of request over this gateway and its peers."""
         return self._sum_cells(
             is_target, lambda name: not name.startswith(ENDPOINT_PREFIX)
         )
@@ -216,11 +217,11 @@
         return self._sum_cells(True, lambda name: name.startswith(ENDPOINT_PREFIX))
 
     def _sum_cells(
-        self, is_target: bool, wanted: Callable[[str], bool]
+        self, is_target: bool, is_included: Callable[[str], bool]
     ) -> dict[str, CellCounts]:
         summed: dict[str, CellCounts] = {}
-        for cells in (self.local, *self.peer_cells.values()):
+        for cells in (self.local_counts, *self.peer_counts.values()):
             for (cell_is_target, name), counts in cells.items():
-                if cell_is_target is is_target and wanted(name):
+                if cell_is_target is is_target and is_included(name):
                     summed.setdefault(name, CellCounts()).merge(counts)
         return summed
--- a/tests/test_decisions_counts.py
+++ b/tests/test_decisions_counts.py
@@ -1,4 +1,4 @@
-"""Counts and estimates that entries share."""
+"""Counters and quality estimates that entries exchange."""
 
 from random import Random
 
@@ -19,9 +19,8 @@
 @given(events, st.randoms(use_true_random=False))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_lost_duplicated_and_reordered_messages_give_the_same_sums(counted, rng):
-    # Entries exchange counters over messages that are lost, sent twice or overtake
-    # each other. If a merge added them up, quality would be learned from ratings
-    # that nobody gave.
+    # Messages with counters are lost, duplicated and reordered. A merge that added
+    # them up would count ratings that nobody gave.
     origins = [SharedCounts(f"entry-{n}") for n in range(3)]
     messages = []
     for origin, name in counted:
@@ -46,8 +45,8 @@
 
 
 def test_old_epochs_expire():
-    # A version that answered well for months starts to answer badly. Were all its
-    # ratings kept with equal weight, the estimate would take months to follow.
+    # If all ratings were retained with equal weight, the estimate of a version that
+    # degrades after months of good answers would take months to follow.
     estimates = QualityEstimates("entry-1")
     for _ in range(200):
         estimates.record_rating(SMALL, "interactive-short", 0.9, 0)
@@ -59,8 +58,8 @@
 
 
 def test_biased_sampling_does_not_shift_the_mean():
-    # The rating service rates doubtful answers far more often than clear ones. The
-    # plain mean of its ratings would call a good version bad.
+    # The rating service rates doubtful answers far more often than clear ones, so
+    # the plain mean of its ratings would make a good version look bad.
     estimates = QualityEstimates("entry-1")
     for bin_, score, rated in ((1, 0.2, 100), (6, 0.9, 100)):
         seen = 100 if bin_ == 1 else 900
@@ -85,19 +84,19 @@
 
 
 def test_overrepresented_ratings_of_unhappy_callers_are_corrected():
-    # Callers who got a poor answer rate three times as often. The plain mean makes
-    # the cheap version look worse than it is, and callers pay for the dear one.
+    # Callers rate poor answers three times as often. The plain mean would make the
+    # cheap version look worse than it is, and callers would pay for the expensive one.
     rng = Random(3)
     bins = []
     scores = []
     for level in (0.3, 0.5, 0.7, 0.9):
-        tally, seen = Tally(), 4000
-        for _ in range(seen):
+        tally, answers = Tally(), 4000
+        for _ in range(answers):
             score = min(1.0, max(0.0, rng.gauss(level, 0.15)))
             scores.append(score)
             if rng.random() < 0.05 * (1.0 + 2.0 * (1.0 - score)):
                 tally = tally.plus(1.0, score, score * score)
-        bins.append((float(seen), tally))
+        bins.append((float(answers), tally))
     true_mean = sum(scores) / len(scores)
     bias = fit_response_bias(bins)
     plain = sum(tally.mean for _, tally in bins) / 4
--- a/tests/test_decisions_quarantine.py
+++ b/tests/test_decisions_quarantine.py
@@ -1,4 +1,4 @@
-"""Which request is held back after endpoints crashed, played without a network."""
+"""Quarantine of requests after endpoint crashes, simulated without a network."""
 
 import time
 from random import Random
@@ -72,7 +72,10 @@
 
 
 def test_trials_without_a_result_are_limited():
-    """Guards against a request that crashes endpoints behind a broken path, unseen."""
+    """Guards against endless trials of a request whose crashes are not observed.
+
+    This happens when the network path to the crashed endpoint is broken.
+    """
     quarantine, now_s = quarantine_after_crashes(BAD), 0.0
     for number in range(MAX_TRIALS):
         quarantine.claim_trial(BAD, number + 10, 1, now_s)
@@ -81,7 +84,7 @@
 
 
 def test_request_that_shared_endpoints_with_the_culprit_is_not_suspected():
-    """Guards against requests being held back that only shared endpoints with it."""
+    """Guards against suspecting requests that only shared endpoints with another."""
     quarantine = RequestQuarantine()
     quarantine.record_crash(1, (BAD,), 0.0)
     for endpoint in (2, 3, 4):
@@ -91,7 +94,7 @@
 
 
 def test_served_request_stays_cleared_when_old_crashes_are_reported_again():
-    """Guards against an often repeated request that adds up crashes of others."""
+    """Guards against crashes of other causes adding up for a repeated request."""
     quarantine = quarantine_after_crashes(BAD)
     assert quarantine.clear(BAD, 1.0)
     assert quarantine_after_crashes(BAD, quarantine=quarantine).status(BAD, 1.0) is (
@@ -103,11 +106,11 @@
 
 
 def test_order_of_crash_reports_does_not_matter():
-    told = [CrashSeen(e, (BAD, 100 + e)) for e in range(1, 4)]
-    told.append(CrashSeen(2, (55,)))
+    crashes = [CrashSeen(e, (BAD, 100 + e)) for e in range(1, 4)]
+    crashes.append(CrashSeen(2, (55,)))
     for seed in range(10):
         quarantine = RequestQuarantine()
-        for crash in Random(seed).sample(told, len(told)):
+        for crash in Random(seed).sample(crashes, len(crashes)):
             quarantine.record_crash(crash.endpoint, crash.suspects, 0.0)
         assert quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
         assert quarantine.status(55, 0.0) is RequestStatus.FREE
@@ -132,13 +135,13 @@
     st.lists(st.tuples(st.integers(0, 9), st.sets(st.integers(0, 9)), st.booleans()))
 )
 @settings(max_examples=100, derandomize=True)
-def test_evidence_counts_each_crash_once(told):
+def test_evidence_counts_each_crash_once(events):
     evidence, expected = CrashEvidence(), {}
-    for endpoint, suspects, forget in told:
+    for endpoint, suspects, is_served in events:
         evidence.add(endpoint, suspects)
         for fingerprint in suspects:
             expected.setdefault(fingerprint, set()).add(endpoint)
-        if forget:
+        if is_served:
             evidence.discard(endpoint)
             expected.pop(endpoint, None)
     for fingerprint in range(10):
@@ -171,7 +174,7 @@
 
 
 class GossipFleet:
-    """Gateways that only tell each other of requests, with lost datagrams."""
+    """Gateways that only exchange request gossip; some datagrams are lost."""
 
     def __init__(self, count, loss):
         self.random = Random(count)
@@ -179,20 +182,20 @@
         self.sent_bytes = [0] * count
         self.waiting = []
         self.peers = [Peer(str(n), "10.0.0.1", n, "a", 0.0) for n in range(count)]
-        self.talks = [self._talk(number) for number in range(count)]
+        self.gossips = [self._make_gossip(number) for number in range(count)]
 
-    def _talk(self, number):
+    def _make_gossip(self, number):
         guard = RequestGuard(EventLog(str(number), descriptor=None))
-        others = [peer for peer in self.peers if peer.port != number]
-        few = GossipSender(
-            members=lambda: others,
+        peers = [peer for peer in self.peers if peer.port != number]
+        sender = GossipSender(
+            members=lambda: peers,
             send=lambda data, peer: self._send(number, data, peer),
             random=Random(f"{number}"),
             clock_s=lambda: 0.0,
         )
-        talk = RequestGossip(few, guard, few.random, few.clock_s)
-        guard.send_update = talk.send_update
-        return talk
+        gossip = RequestGossip(sender, guard, sender.random, sender.clock_s)
+        guard.send_update = gossip.send_update
+        return gossip
 
     def _send(self, sender, data, peer):
         self.sent_bytes[sender] += len(data)
@@ -202,60 +205,62 @@
     def deliver(self):
         while self.waiting:
             number, data = self.waiting.pop(0)
-            self.talks[number].apply(decode(data))
+            self.gossips[number].apply(decode(data))
 
     def report(self):
-        for talk in self.talks:
-            for peer in talk.random.sample(list(talk.sender.members()), 4):
-                talk.send_state(peer)
+        for gossip in self.gossips:
+            for peer in gossip.random.sample(list(gossip.sender.members()), 4):
+                gossip.send_state(peer)
         self.deliver()
 
     def count_with_status(self, status):
-        guards = [talk.guard for talk in self.talks]
+        guards = [gossip.guard for gossip in self.gossips]
         return sum(g.quarantine.status(BAD, 0.0) is status for g in guards)
 
 
 @pytest.mark.parametrize("gateways", [5, 28, 68, 380])
 def test_gossip_of_a_bad_request_reaches_every_gateway_within_its_byte_limit(gateways):
-    """Guards against gateways of a large fleet that go on sending such a request."""
+    """Guards against gateways of a large fleet that keep sending the request."""
 
-    async def story():
+    async def scenario():
         fleet = GossipFleet(gateways, loss=0.05)
         for endpoint in (1, 2, 3):
-            talk = fleet.talks[endpoint]
-            talk.guard.quarantine.record_crash(endpoint, (BAD,), 0.0)
-            talk.send_update(RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),)))
+            gossip = fleet.gossips[endpoint]
+            gossip.guard.quarantine.record_crash(endpoint, (BAD,), 0.0)
+            gossip.send_update(
+                RequestNews((CrashSeen(endpoint, (BAD, 50 + endpoint)),))
+            )
             fleet.deliver()
         for _ in range(int(BUSY_AFTER_UPDATE_S / BUSY_REPORT_INTERVAL_S)):
             fleet.report()
         assert fleet.count_with_status(RequestStatus.TRIAL) == gateways
-        # Three crashes cost each gateway less than a second's control bytes.
+        # Three crashes cost each gateway less than its control bytes of one second.
         assert max(fleet.sent_bytes) < 3_000
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_bad_request_among_hundreds_of_lost_requests_is_in_the_update():
-    """Guards against the one that matters being cut from a datagram that is full."""
+    """Guards against a full datagram that leaves out the request that matters."""
 
-    async def story():
-        told = []
-        guard = RequestGuard(EventLog("g", descriptor=None), send_update=told.append)
+    async def scenario():
+        updates = []
+        guard = RequestGuard(EventLog("g", descriptor=None), send_update=updates.append)
         for number in range(3):
-            endpoint = an_endpoint(number)
+            endpoint = make_endpoint(number)
             others = range(1000 * number, 1000 * number + 99)
             guard.record_crash(
                 endpoint, [*others, *range(9000, 9200), BAD + 10**6], 0.0
             )
-        crash = told[-1].crashes[0]
+        crash = updates[-1].crashes[0]
         assert crash.suspects[0] == BAD + 10**6
-        assert len(encode(told[-1])) < 1_400
+        assert len(encode(updates[-1])) < 1_400
         assert guard.quarantine.status(BAD + 10**6, 0.0) is RequestStatus.TRIAL
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
-def an_endpoint(number):
+def make_endpoint(number):
     return Endpoint(
         instance=f"i-{number}",
         incarnation="1",
@@ -271,28 +276,31 @@
 
 
 def test_gossip_of_a_cleared_request_ends():
-    """Guards against gateways that keep telling each other, deaf to new crashes."""
+    """Guards against gateways that renew a clearance between each other for ever.
+
+    They would ignore new crashes of the request all the time.
+    """
     one, other = quarantine_after_crashes(BAD), quarantine_after_crashes(BAD)
     one.clear(BAD, 0.0)
-    for tenth in range(int(20 * CLEARED_RETENTION_S)):
-        now_s = tenth / 10.0
-        for teller, told in ((one, other), (other, one)):
-            for verdict in teller.verdicts(now_s):
-                told.apply(verdict, now_s + 0.05)
+    for step in range(int(20 * CLEARED_RETENTION_S)):
+        now_s = step / 10.0
+        for sender, receiver in ((one, other), (other, one)):
+            for verdict in sender.verdicts(now_s):
+                receiver.apply(verdict, now_s + 0.05)
     assert one.verdicts(now_s) == other.verdicts(now_s) == []
 
 
 def test_gateway_that_serves_a_request_removes_its_record_from_the_log():
-    """Guards against records of requests that were cleared after a restart."""
+    """Guards against stale records of requests that were cleared after a restart."""
 
-    async def story():
+    async def scenario():
         guard = RequestGuard(EventLog("g", descriptor=None))
         guard.restore(RequestRecord(BAD, False, time.time() + 99.0), 0.0)
         assert guard.quarantine.status(BAD, 0.0) is RequestStatus.TRIAL
         guard.record_served(BAD, 1.0)
-        assert guard.records == {BAD: None}
+        assert guard.pending_records == {BAD: None}
 
-    run_virtual(story)
+    run_virtual(scenario)
 
 
 def test_lower_of_two_claims_wins_the_trial_in_either_order():
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -1,4 +1,4 @@
-"""One request that crashes each endpoint that begins to run it."""
+"""Quarantine of a request that crashes every endpoint that runs it."""
 
 import asyncio
 
@@ -7,11 +7,11 @@
 from tests.gateway_world import call, draft, lines, run_fleet
 
 CRASHING = b"crashes what runs it"
-# What operators are promised: three crashes, this long until every gateway in touch
-# knows, and three more tries from then on.
-CRASHES = 3
-CONTACT_S = 3.0
-TRIES = 3
+# Guaranteed bounds: three crashes, the time until all connected gateways have received
+# the gossip, and three trials after that.
+MAX_CRASHES = 3
+GOSSIP_S = 3.0
+MAX_TRIALS = 3
 HOSTS = tuple(f"10.0.1.{number}" for number in range(1, 5))
 
 
@@ -21,7 +21,7 @@
 
 
 async def send_crashing_requests(fleet, times, every_s, gateways, path="/look/7"):
-    """Send the crashing request to one gateway after the other, two at a time."""
+    """Send the crashing request to the gateways in turn, two copies at a time."""
     answers = []
     for number in range(times):
         answers += await asyncio.gather(
@@ -54,41 +54,41 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_request_that_crashes_endpoints_is_sent_a_limited_number_of_times(gateways):
-    """Guards against one request that takes down all endpoints, again and again."""
+    """Guards against one request that takes down all endpoints repeatedly."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         set_crashing_body(fleet)
         await send_crashing_requests(fleet, 12, 3.5, gateways)
-        third_s = crashes(fleet)[CRASHES - 1]
-        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
-    run_fleet(story, gateways=gateways, apps=9, models=0)
+    run_fleet(scenario, gateways=gateways, apps=9, models=0)
 
 
 def test_streamed_request_that_crashes_endpoints_is_quarantined():
-    """Guards against streams that are resumed at one endpoint after the other."""
+    """Guards against a stream that is resumed at endpoint after endpoint."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         set_crashing_body(fleet)
         for number in range(12):
             await draft(f"bad-{number}", body=CRASHING, host=HOSTS[number % 4])
             await asyncio.sleep(1.0)
-        third_s = crashes(fleet)[CRASHES - 1]
-        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
-    run_fleet(story, gateways=4, apps=0, models=9)
+    run_fleet(scenario, gateways=4, apps=0, models=9)
 
 
 def test_other_requests_are_served_while_one_crashes_endpoints():
-    """Guards against requests being held back that shared an endpoint with it."""
+    """Guards against quarantining requests that shared an endpoint with it."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         set_crashing_body(fleet)
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.15
         others = []
 
-        async def ask_others():
+        async def send_others():
             for number in range(400):
                 host = HOSTS[number % 4]
                 path = f"/look/other-{number}"
@@ -97,55 +97,55 @@
                 )
                 await asyncio.sleep(0.025)
 
-        asking = asyncio.create_task(ask_others())
+        sending = asyncio.create_task(send_others())
         await send_crashing_requests(fleet, 12, 0.5, 4)
-        await asking
+        await sending
         answers = [await other for other in others]
         assert not [a for a in answers if b"request_quarantined" in a.body]
         settled = answers[100:]
         assert sum(a.status == 200 for a in settled) == len(settled)
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_request_at_three_unrelated_crashes_is_still_served():
-    """Guards against crashes of other causes costing a caller its request."""
+    """Guards against quarantining a request for crashes of other causes."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.3
-        asked = asyncio.create_task(call("/look/unlucky", "r-1", body=b"unlucky"))
-        for crashed in range(1, 4):
+        first = asyncio.create_task(call("/look/unlucky", "r-1", body=b"unlucky"))
+        for crash_count in range(1, 4):
             await asyncio.sleep(0.1)
             (run,) = [a for a in fleet.arrivals if a.ran and not a.ended]
             fleet.crash_for_a_while(run.instance)
             await asyncio.sleep(0.1)
-            assert len(crash_lines(fleet)) == crashed
-        assert (await asked).status == 502
-        again = await call("/look/unlucky", "r-2", body=b"unlucky", host=HOSTS[1])
-        assert again.status == 200
+            assert len(crash_lines(fleet)) == crash_count
+        assert (await first).status == 502
+        second = await call("/look/unlucky", "r-2", body=b"unlucky", host=HOSTS[1])
+        assert second.status == 200
         assert not lines(fleet, "request_quarantined")
         await asyncio.sleep(0.05)
         third = await call("/look/unlucky", "r-3", body=b"unlucky", host=HOSTS[2])
         assert third.status == 200
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_repeated_request_is_not_quarantined_for_a_zone_failure():
-    """Guards against a popular request that was at all endpoints that lost power."""
+    """Guards against suspecting a request in flight at all endpoints of a zone."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.work_s = 0.2
-        asked = [
+        calls = [
             asyncio.create_task(call("/look/popular", f"r-{n}", host=HOSTS[n % 4]))
             for n in range(24)
         ]
         await asyncio.sleep(0.1)
         for instance in ("app-0", "app-3", "app-6", "app-1", "app-4"):
             fleet.crash_for_a_while(instance)
-        statuses = [(await each).status for each in asked]
+        statuses = [(await each).status for each in calls]
         assert statuses.count(200) == len(statuses)
         assert not lines(fleet, "request_quarantined")
         for number in range(8):
@@ -153,13 +153,13 @@
             late = await call("/look/popular", f"late-{number}", host=host)
             assert late.status == 200
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_refusals_of_a_quarantined_request_are_accurate_and_have_retry_after():
-    """Guards against "not run" being said of a request that crashed an endpoint."""
+    """Guards against "not run" in the refusal of a request that crashed endpoints."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         set_crashing_body(fleet)
         answers = await send_crashing_requests(fleet, 12, 1.0, 4)
         ran = {a.request_id for a in fleet.arrivals if a.ran}
@@ -173,18 +173,18 @@
                 assert float(answer.headers["retry-after"]) > 0
         assert refused >= 12
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
-async def check_quarantine_after(fleet, upset, settled_s=CONTACT_S):
-    """Let the request crash endpoints, upset the fleet, and ask all gateways again."""
+async def check_quarantine_after(fleet, disrupt, settled_s=GOSSIP_S):
+    """Let the request crash endpoints, disrupt the fleet, and send it again."""
     set_crashing_body(fleet)
     await send_crashing_requests(fleet, 3, 0.7, 4)
-    third_s = crashes(fleet)[CRASHES - 1]
-    await upset(fleet)
+    third_s = crashes(fleet)[MAX_CRASHES - 1]
+    await disrupt(fleet)
     await asyncio.sleep(settled_s)
     await send_crashing_requests(fleet, 6, 1.0, 4)
-    assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
+    assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
 
 async def restart(fleet, names):
@@ -196,26 +196,29 @@
         await fleet.add_gateway(settings, fleet.network.talk)
 
 
-ALL = tuple(f"gateway-{number}" for number in range(4))
+ALL_GATEWAYS = tuple(f"gateway-{number}" for number in range(4))
 
 
-@pytest.mark.parametrize("names", [ALL[:1], ALL])
+@pytest.mark.parametrize("names", [ALL_GATEWAYS[:1], ALL_GATEWAYS])
 def test_restarted_gateways_keep_the_request_quarantined(names):
-    """Guards against a restart, of one or of all, forgetting which request it is."""
+    """Guards against losing the quarantine when one or all gateways restart."""
 
-    async def upset(fleet):
+    async def disrupt(fleet):
         await restart(fleet, names)
 
     run_fleet(
-        lambda fleet: check_quarantine_after(fleet, upset), gateways=4, apps=9, models=0
+        lambda fleet: check_quarantine_after(fleet, disrupt),
+        gateways=4,
+        apps=9,
+        models=0,
     )
 
 
 def test_gateway_that_starts_while_the_log_is_unavailable_learns_from_peers():
-    """Guards against a start that cannot read which requests are held back."""
+    """Guards against a start that cannot restore the quarantine from the log."""
 
-    async def upset(fleet):
-        await restart(fleet, ALL[:1])
+    async def disrupt(fleet):
+        await restart(fleet, ALL_GATEWAYS[:1])
         await asyncio.sleep(0.2)
         fleet.store.down = "silent"
         fleet.store.newest["keyed.quarantine"].clear()
@@ -223,53 +226,56 @@
         fleet.store.down = None
 
     run_fleet(
-        lambda fleet: check_quarantine_after(fleet, upset), gateways=4, apps=9, models=0
+        lambda fleet: check_quarantine_after(fleet, disrupt),
+        gateways=4,
+        apps=9,
+        models=0,
     )
 
 
 def test_partitioned_gateway_learns_of_the_quarantine_once_reconnected():
-    """Guards against a gateway that missed the word while nobody reached it."""
+    """Guards against a gateway that missed the gossip while it was partitioned."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.network.cut.add(HOSTS[0])
         set_crashing_body(fleet)
         for number in range(4):
             await call("/look/7", f"bad-{number}", body=CRASHING, host=HOSTS[1])
             await asyncio.sleep(0.7)
-        third_s = crashes(fleet)[CRASHES - 1]
+        third_s = crashes(fleet)[MAX_CRASHES - 1]
         fleet.network.cut.clear()
-        await asyncio.sleep(CONTACT_S)
+        await asyncio.sleep(GOSSIP_S)
         for number in range(4):
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
-        assert len(crashing_requests_after(fleet, third_s + CONTACT_S)) <= TRIES
+        assert len(crashing_requests_after(fleet, third_s + GOSSIP_S)) <= MAX_TRIALS
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 def test_quarantine_is_recorded_once_the_log_is_available_again():
-    """Guards against a loss of all after a storm while the log was away."""
+    """Guards against a restart of all gateways after crashes during a log outage."""
 
-    async def upset(fleet):
+    async def disrupt(fleet):
         fleet.store.down = None
         await asyncio.sleep(2.0)
-        await restart(fleet, ALL)
+        await restart(fleet, ALL_GATEWAYS)
 
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.store.down = "reset"
-        await check_quarantine_after(fleet, upset)
+        await check_quarantine_after(fleet, disrupt)
 
-    run_fleet(story, gateways=4, apps=9, models=0)
+    run_fleet(scenario, gateways=4, apps=9, models=0)
 
 
 @pytest.mark.parametrize("gateways", [5, 28])
 def test_simultaneous_copies_at_all_gateways_do_not_all_run(gateways):
-    """Guards against gateways that try it before they hear of each other."""
+    """Guards against trials at several gateways before their claims arrive."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         set_crashing_body(fleet)
         await call("/look/7", "bad-0", body=CRASHING)
-        assert len(crashes(fleet)) == CRASHES
-        await asyncio.sleep(2 * CONTACT_S)
+        assert len(crashes(fleet)) == MAX_CRASHES
+        await asyncio.sleep(2 * GOSSIP_S)
         began_s = asyncio.get_running_loop().time()
         await asyncio.gather(
             *(
@@ -277,6 +283,6 @@
                 for n in range(gateways)
             )
         )
-        assert 1 <= len(crashing_requests_after(fleet, began_s - 0.1)) <= TRIES
+        assert 1 <= len(crashing_requests_after(fleet, began_s - 0.1)) <= MAX_TRIALS
 
-    run_fleet(story, gateways=gateways, apps=9, models=0)
+    run_fleet(scenario, gateways=gateways, apps=9, models=0)
--- a/tests/test_gateway_judge.py
+++ b/tests/test_gateway_judge.py
@@ -1,4 +1,4 @@
-"""The judge of a new version, without a network."""
+"""Verdicts on new versions, simulated without a network."""
 
 import pytest
 
@@ -15,10 +15,10 @@
 from acaciacove.gateway.rollout.verdict import Verdict
 from acaciacove.gateway.rollout.version_capacity import VersionCapacity
 
-PLAYS = 6
+RUNS = 6
 ENOUGH = VersionCapacity(target=5, old=5)
 NINE_KINDS = [f"{route}|{model}" for route in "abc" for model in ("s", "m", "l")]
-# Faults that strike too few requests to be told from chance in one roll-out.
+# Faults that affect too few requests to be distinguished from chance in one roll-out.
 FAINT = ("none, one request in ten fails everywhere", "fails one in twenty")
 
 
@@ -27,46 +27,46 @@
 
 
 def test_answers_without_time_comparison_prove_nothing():
-    """A version takes eight times as long as the old one. Twenty answers, spread over
-    nine kinds of request, hold no failure and too few times of one kind to compare
-    one by one. Taken for sound, it went to every caller, and their answers came late.
+    """A version takes eight times as long as the old one. Its few answers are spread
+    over nine kinds of request: none failed, and no kind has enough times to compare.
+    Judged sound, it would go to every caller and answer late.
     """
     old = {
         kind: CellCounts(answers=24, timed=24, judged=24, late=2) for kind in NINE_KINDS
     }
-    unseen = {kind: CellCounts(answers=3, timed=3) for kind in NINE_KINDS}
+    uncompared = {kind: CellCounts(answers=3, timed=3) for kind in NINE_KINDS}
     slow = {kind: CellCounts(answers=2, judged=3, late=2) for kind in NINE_KINDS}
-    assert judge(evidence(unseen, old)) is Verdict.UNKNOWN
+    assert judge(evidence(uncompared, old)) is Verdict.UNKNOWN
     assert judge(evidence(slow, old)) is Verdict.BAD
 
 
 def test_route_without_trial_requests_is_not_proven():
-    """A version fails on one route only, and none of the requests of its trial came on
-    that route. The others' answers prove nothing for it.
+    """A version fails on one route only, and no trial request used that route. Answers
+    on other routes prove nothing about it.
     """
     old = {f"{route}|s": CellCounts(100, 0, 100, 0.0, 100, 5) for route in "ab"}
-    tried = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 3)}
-    assert judge(evidence(tried, old)) is Verdict.UNKNOWN
-    both = tried | {"b|s": CellCounts(15, 0, 15, 0.0, 15, 1)}
-    assert judge(evidence(both, old)) is Verdict.GOOD
+    one_route = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 3)}
+    assert judge(evidence(one_route, old)) is Verdict.UNKNOWN
+    both_routes = one_route | {"b|s": CellCounts(15, 0, 15, 0.0, 15, 1)}
+    assert judge(evidence(both_routes, old)) is Verdict.GOOD
 
 
 def test_one_slow_endpoint_does_not_fail_the_version():
-    """One of four new endpoints stands on a machine that is slow for its own reasons.
-    Its late answers alone must not take the version back.
+    """One of four new endpoints is on a slow host. Its late answers alone must not
+    cause a rollback.
     """
     old = {"a|s": CellCounts(200, 0, 200, 0.0, 200, 10)}
     target = {"a|s": CellCounts(60, 0, 60, 0.0, 60, 18)}
-    machines = {
+    endpoints = {
         f"new-{n}": CellCounts(15, 0, 0, 0.0, 15, 15 if n == 0 else 1) for n in range(4)
     }
     assert judge(Evidence(target, old, {}, 1)) is Verdict.BAD
-    assert judge(Evidence(target, old, machines, 4)) is not Verdict.BAD
+    assert judge(Evidence(target, old, endpoints, 4)) is not Verdict.BAD
 
 
 def test_one_failing_endpoint_does_not_fail_the_version():
-    """The first two answers of a new version come from one machine of five, and both
-    are failures. Taken for the version's, they took it back after two requests.
+    """The first answers of a new version come from one endpoint of five, and all are
+    failures. Failures of a single endpoint must not cause a rollback.
     """
     old = {"a|s": CellCounts(200, 0, 200, 0.0, 200, 10)}
     target = {"a|s": CellCounts(answers=4, failures=4)}
@@ -77,68 +77,70 @@
     assert judge(Evidence(target, old, one, 1)) is Verdict.BAD
 
 
-def order(duration_s=20.0):
+def make_order(duration_s=20.0):
     return RolloutOrder("model", "v2", duration_s, 1, 0.0)
 
 
 def test_abandoned_requests_of_a_slow_version_count_as_late():
-    """Callers of a stalled version leave before anything is answered. If only answers
-    counted, nothing would ever be known of it.
+    """Callers of a stalled version abandon their requests before any answer. If only
+    answers counted, there would never be evidence against the version.
     """
-    progress = RolloutProgress(order())
+    progress = RolloutProgress(make_order())
     for number in range(20):
-        asked = progress.record_sent(False, "a|s", f"old-{number % 3}", 0.0)
-        progress.record_answer(asked, False, 0.2)
+        request = progress.record_sent(False, "a|s", f"old-{number % 3}", 0.0)
+        progress.record_answer(request, False, 0.2)
     progress.record_late_requests(1.0)
-    asked = [progress.record_sent(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)]
-    for number in asked[:6]:
-        progress.abandon(number, 2.0)
+    requests = [
+        progress.record_sent(True, "a|s", f"new-{n % 3}", 1.0) for n in range(12)
+    ]
+    for request in requests[:6]:
+        progress.abandon(request, 2.0)
     progress.record_late_requests(2.0)
     counts = progress.cells(True)["a|s"]
     assert (counts.answers, counts.judged, counts.late) == (0, 12, 12)
     step(progress, RolloutSettings(), ENOUGH, 2.1)
     assert progress.phase is RolloutPhase.STOPPED
     assert progress.judged_bad
-    for number in asked[6:]:
-        progress.record_answer(number, False, 3.0)
+    for request in requests[6:]:
+        progress.record_answer(request, False, 3.0)
     assert progress.cells(True)["a|s"].late == 12
 
 
-def sound_progress(now_s):
-    """A roll-out with all the proof that is asked for."""
-    progress = RolloutProgress(order())
+def make_sound_progress(now_s):
+    """Return a roll-out with enough evidence that the new version is sound."""
+    progress = RolloutProgress(make_order())
     for is_target, times in ((False, 60), (True, 40)):
         for number in range(times):
             endpoint = f"{is_target}-{number % 3}"
-            asked = progress.record_sent(is_target, "a|s", endpoint, now_s)
-            progress.record_answer(asked, False, 0.2)
+            request = progress.record_sent(is_target, "a|s", endpoint, now_s)
+            progress.record_answer(request, False, 0.2)
         progress.record_late_requests(now_s)
     for number in range(40):
-        asked = progress.record_sent(True, "a|s", f"True-{number % 3}", now_s)
-        progress.record_answer(asked, False, 0.2)
+        request = progress.record_sent(True, "a|s", f"True-{number % 3}", now_s)
+        progress.record_answer(request, False, 0.2)
     return progress
 
 
 def test_version_without_enough_endpoints_does_not_take_over():
-    """Two of five new endpoints are left when the roll-out comes to its end. Completed,
-    the old five would be stopped, and two would stand before the whole load.
+    """Only two of five new endpoints remain at the end of the roll-out. Completion
+    would stop the old five, and two endpoints would get the full load.
     """
     settings = RolloutSettings()
     few = VersionCapacity(target=2, old=5)
-    progress = sound_progress(11.0)
+    progress = make_sound_progress(11.0)
     step(progress, settings, few, 11.0)
     assert progress.phase is RolloutPhase.TRIAL
     step(progress, settings, ENOUGH, 11.1)
     assert progress.phase is RolloutPhase.ALL
     for number in range(40):
-        asked = progress.record_sent(True, "a|s", f"True-{number % 3}", 12.0)
-        progress.record_answer(asked, False, 0.2)
+        request = progress.record_sent(True, "a|s", f"True-{number % 3}", 12.0)
+        progress.record_answer(request, False, 0.2)
     assert may_complete(progress, settings, ENOUGH, 18.5)
     assert not may_complete(progress, settings, few, 18.5)
 
 
 def test_version_not_proven_in_time_is_rolled_back():
-    progress = RolloutProgress(order())
+    progress = RolloutProgress(make_order())
     step(progress, RolloutSettings(), ENOUGH, 19.9)
     assert progress.phase is RolloutPhase.TRIAL
     step(progress, RolloutSettings(), ENOUGH, 20.0)
@@ -148,13 +150,13 @@
 
 @pytest.mark.parametrize("fault", JUDGE_FAULTS, ids=lambda fault: fault.name)
 def test_faulty_versions_do_not_take_over(fault):
-    """Bad from the start, late, on one route, with one model, under load, or slow: each
-    is stopped or left unproven, and a sound version takes over.
+    """Versions that are bad from the start, later, on one route, with one model, under
+    load, or slow are stopped or left unproven. A sound version takes over.
     """
-    ends = [play_rollout(fault, seed) for seed in range(PLAYS)]
+    ends = [play_rollout(fault, seed) for seed in range(RUNS)]
     endings = [end.ending for end in ends]
     if fault.name == "none":
-        assert endings.count("completed") >= PLAYS - 1
+        assert endings.count("completed") >= RUNS - 1
     elif fault.name not in FAINT:
         assert "completed" not in endings
-        assert endings.count("stopped") >= PLAYS - 1
+        assert endings.count("stopped") >= RUNS - 1
