--- a/acaciacove/decisions/telling_threshold.py
+++ b/acaciacove/decisions/telling_threshold.py
@@ -1,23 +1,24 @@
-"""Which of a process's decisions are worth telling the others, within a budget."""
+"""Adaptive threshold that keeps gossip on sent work within a byte budget."""
 
 from attrs import define
 
-# Shorter work ends before word of it changes anything.
+# Shorter work is finished before a peer could act on an update about it.
 LEAST_WORK_S = 0.1
-# How much the threshold rises when the budget refuses something above it, and how
-# fast it comes down again.
+# The threshold is multiplied by this factor when the budget is exhausted, and decays
+# with the half-life below.
 RISE = 1.25
 HALF_LIFE_S = 5.0
-# What is saved up for a burst.
+# Unused budget accumulates up to this many seconds of the byte rate.
 BURST_S = 2.0
 
 
 @define
 class TellingThreshold:
-    """Lets the longest work through that a budget of bytes allows.
+    """Token bucket of bytes that admits the longest work items first.
 
-    In a larger fleet each word goes to more receivers and costs more: then only
-    longer work is told, and the bytes stay as they were.
+    In a larger fleet each update goes to more receivers and costs more bytes. The
+    threshold then rises, so that only longer work is sent and the byte rate stays
+    the same.
     """
 
     bytes_per_s: float
@@ -26,7 +27,10 @@
     seen_s: float = 0.0
 
     def admits(self, work_s: float, cost_bytes: int, now_s: float) -> bool:
-        """Tell whether to say it now; what is said may overdraw the budget."""
+        """Return whether to send the update now, and charge its cost if so.
+
+        A single update may overdraw the budget.
+        """
         passed_s = now_s - self.seen_s
         self.seen_s = now_s
         earned_bytes = self.left_bytes + passed_s * self.bytes_per_s
--- a/acaciacove/gateway/http/answer_head.py
+++ b/acaciacove/gateway/http/answer_head.py
@@ -1,18 +1,21 @@
-"""The head of an endpoint's answer, decoded."""
+"""Decoded head of an endpoint's HTTP response."""
 
 from attrs import frozen
 
 
 @frozen
 class AnswerHead:
-    """Status and what the header fields of an answer say.
+    """Status line and decoded header fields of a response.
 
-    ``signed`` tells that the answer bears the endpoint's receipt. ``not_run``
-    is the endpoint's word that it has not run the request. ``confidence`` is
-    the model's own opinion, 0 to 100. ``load`` is (running, waiting, slots).
-    ``idle_timeout_s`` is how long the endpoint keeps an idle connection.
-    ``misdirected`` tells that another endpoint than the one meant has answered.
-    ``rate_limit_per_s`` are the requests that it takes from all gateways together.
+    ``headers`` are the fields to pass on to the caller, without hop-by-hop fields.
+    ``has_receipt`` is set if the endpoint's receipt is present, which shows that the
+    endpoint produced the response. ``not_run`` is set if the endpoint states that it
+    has not executed the request. ``confidence`` is the model's self-reported
+    confidence, 0 to 100. ``load`` is (running, waiting, slots). ``idle_timeout_s``
+    is how long the endpoint keeps an idle connection open. ``encoded`` is set if the
+    body has a content coding. ``misdirected`` is set if the request reached another
+    endpoint than the intended one. ``rate_limit_per_s`` is the rate that the
+    endpoint accepts from all gateways together.
     """
 
     status: int
@@ -30,5 +33,5 @@
 
     @property
     def is_success(self) -> bool:
-        """Tell a 2xx status."""
+        """Return whether the status is 2xx."""
         return 200 <= self.status < 300
--- a/acaciacove/gateway/http/caller_hints.py
+++ b/acaciacove/gateway/http/caller_hints.py
@@ -1,4 +1,4 @@
-"""What a caller's header fields say, decoded."""
+"""Decoded header fields of a caller's request."""
 
 from attrs import frozen
 
@@ -9,9 +9,9 @@
 class CallerHints:
     """Header fields of a request that the gateway acts upon.
 
-    ``deadline_s`` counts from the request's arrival; None when not given.
-    ``model`` is the caller's, or None when the gateway is to choose.
-    ``last_event_id`` is where the caller wants a stream to go on.
+    ``deadline_s`` is relative to the request's arrival; None if not given.
+    ``model`` is the model requested by the caller, or None if the gateway chooses.
+    ``last_event_id`` is the event after which the caller wants to resume a stream.
     """
 
     request_id: str | None
--- a/acaciacove/gateway/http/caller_request.py
+++ b/acaciacove/gateway/http/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, read whole."""
+"""A complete HTTP request of a caller."""
 
 from attrs import frozen
 
@@ -9,7 +9,8 @@
 class CallerRequest:
     """Method, target, header fields and body as the caller sent them.
 
-    ``arrived_s`` is when its first byte was read, on the runtime's clock.
+    ``host`` is the Host field without its port. ``arrived_s`` is when the first byte
+    was read, on the event loop's clock.
     """
 
     method: bytes
@@ -22,5 +23,5 @@
 
     @property
     def path(self) -> str:
-        """The path without its query."""
+        """The path of the target, without the query."""
         return self.target.split(b"?", 1)[0].decode("latin-1")
--- a/acaciacove/gateway/http/connection.py
+++ b/acaciacove/gateway/http/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection whose bytes are framed by an h11 state machine."""
+"""A TCP connection whose bytes are framed by an h11 state machine."""
 
 import asyncio
 import contextlib
@@ -9,19 +9,19 @@
 
 from acaciacove.gateway.http.errors import ConnectionLostError
 
-# Bytes read ahead of the reader before the socket is no longer read, so that a
-# fast sender meets a slow reader's pace instead of filling memory.
+# Reading from the socket pauses when more bytes than this are unread, so that a fast
+# sender is slowed down by flow control instead of filling memory.
 READ_AHEAD_BYTES = 65_536
 
 
 class HttpConnection(asyncio.Protocol):
-    """Socket callbacks on one side, awaitable events on the other.
+    """Adapts asyncio's protocol callbacks to awaitable h11 events.
 
-    Subclasses say what the end of the connection means to them.
+    Subclasses define how the end of the connection is treated.
     """
 
     def __init__(self, role: Any, max_header_bytes: int) -> None:
-        """Begin unconnected; ``role`` is h11.CLIENT or h11.SERVER."""
+        """Start unconnected; ``role`` is h11.CLIENT or h11.SERVER."""
         self.h11 = h11.Connection(role, max_incomplete_event_size=max_header_bytes)
         self.transport: asyncio.Transport | None = None
         self.lost = False
@@ -34,7 +34,7 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether bytes can still go both ways, as far as is known."""
+        """Return whether neither side is known to have closed the connection."""
         return not (
             self.lost
             or self._end_seen
@@ -43,16 +43,16 @@
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport and disable Nagle's algorithm."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         sock = transport.get_extra_info("socket")
-        # Sockets of a virtual loop know no options.
+        # Sockets of a virtual event loop have no options.
         with contextlib.suppress(AttributeError):
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def data_received(self, data: bytes) -> None:
-        """Hand bytes to the state machine and wake the reader."""
+        """Feed bytes to the state machine and wake the reader."""
         self.h11.receive_data(data)
         self._unread_bytes += len(data)
         if self._unread_bytes > READ_AHEAD_BYTES and not self._reading_paused:
@@ -62,34 +62,39 @@
         self._arrived.set()
 
     def eof_received(self) -> bool:
-        """Tell the state machine that no byte follows."""
+        """Signal the end of input to the state machine."""
         self._end_seen = True
         self.h11.receive_data(b"")
         self._arrived.set()
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits; both waits end with ConnectionLostError."""
+        """Wake the reader and the writer; both then raise ConnectionLostError."""
         self.lost = True
         self._arrived.set()
         self._writable.set()
 
     def pause_writing(self) -> None:
-        """Hold the writer: the other side reads slowly."""
+        """Block ``drain``: the other side reads slowly and the buffer is full."""
         self._writable.clear()
 
     def resume_writing(self) -> None:
-        """Let the writer go on."""
+        """Unblock ``drain``."""
         self._writable.set()
 
     async def next_event(self) -> Any:
-        """Return the next h11 event; raises ConnectionLostError, or h11's error."""
+        """Return the next h11 event.
+
+        Raises ConnectionLostError, or h11.RemoteProtocolError for invalid input.
+        """
         while True:
             event = self.h11.next_event()
             if event is not h11.NEED_DATA:
                 return event
             if self.lost:
-                raise ConnectionLostError("the connection was lost")
+                raise ConnectionLostError(
+                    "the connection was lost while waiting for the next HTTP event"
+                )
             self._arrived.clear()
             self._resume_reading()
             await self._arrived.wait()
@@ -101,25 +106,29 @@
             self.transport.resume_reading()
 
     def send(self, event: Any) -> None:
-        """Frame an event and write it; raises ConnectionLostError when closed."""
+        """Write an h11 event; raises ConnectionLostError on a closed connection."""
         data = self.h11.send(event)
         if self.lost or self.transport is None or self.transport.is_closing():
-            raise ConnectionLostError("the connection is closed")
+            raise ConnectionLostError(
+                f"cannot send {type(event).__name__}: the connection is closed"
+            )
         if data:
             self.transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the other side has taken most of what was written."""
+        """Wait until the write buffer is below its high-water mark."""
         await self._writable.wait()
         if self.lost:
-            raise ConnectionLostError("the connection was lost")
+            raise ConnectionLostError(
+                "the connection was lost while written bytes were still unsent"
+            )
 
     def abort(self) -> None:
-        """Close at once; bytes not yet sent are dropped."""
+        """Close immediately and drop unsent bytes."""
         if self.transport is not None:
             self.transport.abort()
 
     def close(self) -> None:
-        """Close after what was written has gone out."""
+        """Close after the write buffer has been flushed."""
         if self.transport is not None:
             self.transport.close()
--- a/acaciacove/gateway/http/connection_pool.py
+++ b/acaciacove/gateway/http/connection_pool.py
@@ -1,24 +1,25 @@
-"""Kept connections to one endpoint."""
+"""Pool of keep-alive connections to one endpoint."""
 
 import asyncio
 from collections import deque
 
 from acaciacove.gateway.http.endpoint_connection import EndpointConnection, connect
 
-# An endpoint that says no idle timeout is taken to keep connections this long.
+# Assumed idle timeout of an endpoint that announces none.
 DEFAULT_IDLE_TIMEOUT_S = 2.0
-# Shares of the idle timeout up to which a connection is used again. The
-# endpoint's close may cross a request: one that may be repeated is then sent
-# again, one that may run once only ends as unknown, so it needs more margin.
+# A connection is reused until it has been idle for this share of the idle timeout.
+# The endpoint may close it just as a request is sent. An idempotent request is then
+# retried. The outcome of a non-idempotent one would be unknown, so it needs a larger
+# margin.
 REUSE_SHARE = 0.8
 REUSE_SHARE_ONCE = 0.4
 
 
 class ConnectionPool:
-    """Idle connections to one life of an endpoint, the latest used first."""
+    """Idle connections to one incarnation of an endpoint, most recently used first."""
 
     def __init__(self, host: str, port: int) -> None:
-        """Begin without connections."""
+        """Start without connections."""
         self._host = host
         self._port = port
         self._idle: deque[EndpointConnection] = deque()
@@ -26,7 +27,7 @@
         self.handshakes = 0
 
     async def take(self, once: bool, timeout_s: float) -> EndpointConnection:
-        """Return a connection; raises ConnectFailedError when none can be made."""
+        """Return an idle or a new connection; raises ConnectFailedError."""
         kept = self._take_idle(REUSE_SHARE_ONCE if once else REUSE_SHARE)
         if kept is not None:
             return kept
@@ -39,7 +40,7 @@
             raise
 
     async def check(self, timeout_s: float) -> None:
-        """Make a connection and end it; raises ConnectFailedError when none is made."""
+        """Open a connection and abort it; raises ConnectFailedError."""
         self.handshakes += 1
         connection = await connect(self._host, self._port, timeout_s)
         connection.abort()
@@ -55,7 +56,7 @@
         return None
 
     def give_back(self, connection: EndpointConnection, reusable: bool) -> None:
-        """Keep a connection whose exchange is complete, or end it."""
+        """Return a connection to the pool if it is reusable, else close it."""
         if reusable and connection.finish():
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -68,7 +69,7 @@
         self.open_count -= 1
 
     def trim(self) -> None:
-        """End connections that are closed or have been idle for too long."""
+        """Discard idle connections that are closed or past their idle timeout."""
         now_s = asyncio.get_running_loop().time()
         kept: deque[EndpointConnection] = deque()
         for connection in self._idle:
@@ -80,6 +81,6 @@
         self._idle = kept
 
     def close(self) -> None:
-        """End every idle connection."""
+        """Close all idle connections."""
         while self._idle:
             self._discard(self._idle.pop())
--- a/acaciacove/gateway/http/dialect.py
+++ b/acaciacove/gateway/http/dialect.py
@@ -1,4 +1,4 @@
-"""How header fields are spelled on one platform."""
+"""Encoding of header fields on one platform."""
 
 from collections.abc import Callable, Sequence
 
@@ -13,11 +13,12 @@
 
 @frozen
 class Dialect:
-    """Functions that read and write a platform's header fields.
+    """Functions that decode and encode a platform's header fields.
 
-    ``read_hints`` decodes a request; ``forward_headers`` builds those of a
-    forwarded request from a caller's; ``read_answer`` decodes an answer's
-    status, reason and header fields. ``readiness_path`` is where a balancer asks.
+    ``read_hints`` decodes a caller's header fields. ``forward_headers`` builds the
+    fields of a forwarded request from the caller's. ``read_response`` decodes a
+    response's status, reason and header fields. ``readiness_path`` is the path of
+    the load balancer's readiness probe.
     """
 
     read_hints: Callable[[RawHeaders], CallerHints]
--- a/acaciacove/gateway/http/endpoint_connection.py
+++ b/acaciacove/gateway/http/endpoint_connection.py
@@ -1,4 +1,4 @@
-"""One connection to an endpoint: a request at a time, kept between requests."""
+"""Keep-alive connection to an endpoint, with one request at a time."""
 
 import asyncio
 import contextlib
@@ -16,17 +16,17 @@
 )
 
 MAX_ANSWER_HEADER_BYTES = 65_536
-# How long written bytes may stay without acknowledgement. A machine without
-# power answers nothing, not even a reset: without this bound a send hangs for
-# minutes. Three round trips of a lossy link fit in, a caller's patience does not.
+# How long sent bytes may stay unacknowledged. A host that has lost power sends
+# nothing, not even a reset, and a send would hang for minutes without this bound.
+# It is long enough for three round trips on a lossy link and shorter than callers wait.
 UNACKNOWLEDGED_LIMIT_MS = 1_500
 
 
 class EndpointConnection(HttpConnection):
-    """The client side of a kept connection."""
+    """The client side of a keep-alive connection."""
 
     def __init__(self) -> None:
-        """Begin unconnected and unused."""
+        """Start unconnected and unused."""
         super().__init__(h11.CLIENT, MAX_ANSWER_HEADER_BYTES)
         self.idle_since_s = 0.0
         self.idle_timeout_s: float | None = None
@@ -34,10 +34,10 @@
         self._request: h11.Request | None = None
 
     def data_received(self, data: bytes) -> None:
-        """Drop the connection when bytes come that nobody asked for.
+        """Abort the connection if bytes arrive while no request is outstanding.
 
-        An endpoint may send a second answer after a complete one. Kept, it would
-        be read as the answer to the next caller's request.
+        An endpoint may send a second response after a complete one. It would be
+        read as the response to the next caller's request.
         """
         if not self.busy:
             self.abort()
@@ -45,7 +45,7 @@
         super().data_received(data)
 
     def send_request(self, request: h11.Request, body: bytes) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         self.busy = True
         self._request = request
         try:
@@ -54,29 +54,40 @@
                 self.send(h11.Data(data=body))
             self.send(h11.EndOfMessage())
         except h11.LocalProtocolError as error:
-            raise ConnectionLostError(str(error)) from error
+            raise ConnectionLostError(f"cannot send the request: {error}") from error
 
     async def next_answer_event(self) -> Any:
-        """Return the next event of the answer; protocol faults are BadAnswerError."""
+        """Return the next event of the response.
+
+        Raises InvalidResponseError for a protocol error.
+        """
         try:
             event = await self.next_event()
         except h11.RemoteProtocolError as error:
-            raise BadAnswerError(str(error)) from error
+            raise BadAnswerError(
+                f"the endpoint's response is not valid HTTP: {error}"
+            ) from error
         if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-            raise ConnectionLostError("the endpoint closed the connection")
+            raise ConnectionLostError(
+                "the endpoint closed the connection before its response was complete"
+            )
         return event
 
     async def skip_answer(self) -> None:
-        """Read an answer that belongs to an earlier request to its end.
+        """Skip a response that belongs to an earlier request.
 
-        A late second answer stands where the own one is expected. It is dropped
-        whole, and a new state machine goes on with the bytes behind it.
+        A late second response may arrive where the response to the current request
+        is expected. It is read to its end and dropped, and a new state machine
+        continues with the bytes after it.
         """
         while not isinstance(await self.next_answer_event(), h11.EndOfMessage):
             pass
         rest, closed = self.h11.trailing_data
         if closed and not rest:
-            raise ConnectionLostError("the endpoint closed the connection")
+            raise ConnectionLostError(
+                "the endpoint closed the connection after the response to an earlier"
+                " request"
+            )
         assert self._request is not None
         self.h11 = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEADER_BYTES
@@ -88,7 +99,7 @@
             self.h11.receive_data(rest)
 
     def _finish_body_silently(self) -> None:
-        """Bring the new state machine to where the real request stands."""
+        """Bring the new state machine to the end of the request that was sent."""
         assert self._request is not None
         length = dict(self._request.headers).get(b"content-length", b"0")
         if int(length):
@@ -96,7 +107,7 @@
         self.h11.send(h11.EndOfMessage())
 
     def finish(self) -> bool:
-        """End an exchange; tells whether the connection may serve another."""
+        """End an exchange; returns whether the connection is reusable."""
         self.busy = False
         rest, _ = self.h11.trailing_data
         kept = self.is_open and not rest and self.h11.our_state is h11.DONE
@@ -108,25 +119,33 @@
 
 
 async def connect(host: str, port: int, timeout_s: float) -> EndpointConnection:
-    """Open a connection; raises ConnectFailedError."""
+    """Open a connection; raises ConnectFailedError.
+
+    Raises its subclass ConnectRefusedError if the host refuses the connection.
+    """
     loop = asyncio.get_running_loop()
     try:
         async with asyncio.timeout(timeout_s):
             _, connection = await loop.create_connection(EndpointConnection, host, port)
     except ConnectionRefusedError as error:
-        raise ConnectRefusedError(f"{type(error).__name__}: {error}") from error
+        raise ConnectRefusedError(
+            f"{host}:{port} refused the connection: {error}"
+        ) from error
     except (OSError, TimeoutError) as error:
-        raise ConnectFailedError(f"{type(error).__name__}: {error}") from error
+        raise ConnectFailedError(
+            f"cannot connect to {host}:{port} within {timeout_s} s: "
+            f"{type(error).__name__}: {error}"
+        ) from error
     bound_unacknowledged(connection)
     return connection
 
 
 def bound_unacknowledged(connection: HttpConnection) -> None:
-    """Let the kernel end a connection whose bytes are not acknowledged."""
+    """Have the kernel close the connection if sent bytes stay unacknowledged."""
     if connection.transport is None:
         return
     sock = connection.transport.get_extra_info("socket")
-    # A socket of a test's loop knows no such option.
+    # Sockets of a virtual event loop have no such option.
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(
             socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS
--- a/acaciacove/gateway/http/errors.py
+++ b/acaciacove/gateway/http/errors.py
@@ -4,29 +4,29 @@
 
 
 class ConnectionLostError(AcaciacoveError):
-    """A connection ended or broke before the exchange on it was complete."""
+    """A connection was closed or broken before its exchange was complete."""
 
 
 class ConnectFailedError(AcaciacoveError):
-    """A connection could not be made; nothing was sent."""
+    """A connection could not be established, so nothing was sent."""
 
 
 class ConnectRefusedError(ConnectFailedError):
-    """The machine answers, and nothing listens there."""
+    """The host is reachable but nothing listens on the port."""
 
 
 class BadAnswerError(AcaciacoveError):
-    """An endpoint sent bytes that are no answer to the request."""
+    """An endpoint sent bytes that are not a valid response to the request."""
 
 
 class BadRequestError(AcaciacoveError):
-    """A caller sent bytes that are no acceptable request."""
+    """A caller sent bytes that are not an acceptable request."""
 
     def __init__(self, status: int, detail: str) -> None:
-        """Keep the status to answer with."""
+        """Store the status of the response; ``detail`` is its body."""
         super().__init__(detail)
         self.status = status
 
 
 class CallerGoneError(AcaciacoveError):
-    """The caller closed its connection before its answer was complete."""
+    """The caller closed its connection before its response was complete."""
--- a/acaciacove/gateway/http/event_splitter.py
+++ b/acaciacove/gateway/http/event_splitter.py
@@ -1,4 +1,4 @@
-"""Cuts a stream of server-sent events into whole events."""
+"""Splits a stream of server-sent events at event boundaries."""
 
 import re
 
@@ -7,19 +7,20 @@
 
 
 class EventSplitter:
-    """Keeps the bytes of an unfinished event until its end arrives.
+    """Buffers an incomplete event until its end arrives.
 
-    Only whole events are passed on: an endpoint that dies inside an event could
-    otherwise not be replaced without its caller reading two halves as one.
+    Only complete events are passed on. If an endpoint failed within an event whose
+    first half was already sent, another endpoint could not continue the stream: the
+    caller would read two halves of different events as one.
     """
 
     def __init__(self) -> None:
-        """Begin without bytes."""
+        """Start with an empty buffer."""
         self._rest = b""
         self.last_id: str | None = None
 
     def push(self, data: bytes) -> bytes:
-        """Add bytes; return those of all events that are now whole."""
+        """Append bytes; return the bytes of all events that are now complete."""
         self._rest += data
         end = 0
         for boundary in _BOUNDARY.finditer(self._rest):
@@ -31,5 +32,5 @@
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not whole."""
+        """The bytes of the incomplete event."""
         return self._rest
--- a/acaciacove/gateway/http/forward_hints.py
+++ b/acaciacove/gateway/http/forward_hints.py
@@ -1,14 +1,15 @@
-"""What the gateway tells an endpoint along with a request."""
+"""Header values that the gateway sets on a forwarded request."""
 
 from attrs import frozen
 
 
 @frozen
 class ForwardHints:
-    """Header fields that the gateway sets itself on a forwarded request.
+    """Values of the header fields that the gateway adds or replaces.
 
-    ``time_left_s`` bounds the endpoint's work. ``last_event_id`` replaces the
-    caller's when a stream is resumed inside one answer.
+    ``instance`` is the endpoint that the request is meant for. ``time_left_s`` is
+    the remaining time for the endpoint's work. ``last_event_id`` replaces the
+    caller's value if a stream is resumed within one response.
     """
 
     instance: str
--- a/acaciacove/gateway/http/front_connection.py
+++ b/acaciacove/gateway/http/front_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller: requests in turn, each with one answer."""
+"""Server side of a caller's connection, with one request at a time."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,19 +23,19 @@
 BODY_TOO_LARGE_STATUS = 413
 HEADER_TOO_LARGE_STATUS = 431
 BAD_REQUEST_STATUS = 400
-# How long a refused caller may take to read its refusal.
+# How long the connection stays open for a refused caller to read the refusal.
 LINGER_S = 1.0
 LINGER_STEP_S = 0.05
-# Bytes of a header line beside its name and value.
+# Bytes of a header line in addition to name and value: ": " and CRLF.
 LINE_OVERHEAD_BYTES = 4
 
 
 class FrontConnection(HttpConnection):
-    """The server side of a caller's connection.
+    """Reads a caller's requests and writes the responses.
 
-    A task reads one request after another and hands each to ``serve``, which
-    answers through this object. When the caller leaves, the task is cancelled,
-    so that whatever works for it stops at once.
+    A task reads one request after another and passes each to ``serve``, which
+    responds through this object. When the caller disconnects, the task is cancelled,
+    so that all work on its request stops immediately.
     """
 
     def __init__(
@@ -46,7 +46,12 @@
         is_leaving: Callable[[], bool],
         connections: set["FrontConnection"],
     ) -> None:
-        """Join ``connections`` while open; ``limits`` are read at each request."""
+        """Start unconnected.
+
+        The connection is a member of ``connections`` while it is open. ``limits`` is
+        called for each request. ``is_draining`` returns whether the gateway is
+        shutting down, so that a response also closes the connection.
+        """
         super().__init__(h11.SERVER, limits().max_header_bytes)
         self._serve = serve
         self._dialect = dialect
@@ -66,7 +71,7 @@
         self._task = asyncio.get_running_loop().create_task(self._run())
 
     def data_received(self, data: bytes) -> None:
-        """Note when a request's first byte came; a caller's time runs from it."""
+        """Record when a request's first byte arrived; its deadline counts from then."""
         if self._discarding:
             return
         if self._first_byte_s is None:
@@ -74,20 +79,20 @@
         super().data_received(data)
 
     def eof_received(self) -> bool:
-        """Take the end of a caller's bytes for its leaving."""
+        """Treat the end of the caller's input as a disconnect."""
         if self.serving and self._task is not None:
             self._task.cancel()
         return super().eof_received()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop whatever works for this caller."""
+        """Cancel the work on this caller's request."""
         super().connection_lost(exc)
         self._connections.discard(self)
         if self._task is not None:
             self._task.cancel()
 
     def end_if_idle(self) -> None:
-        """Close when no request is being read or served."""
+        """Close the connection if no request is being read or served."""
         if not self.serving and self._first_byte_s is None:
             self.close()
 
@@ -103,7 +108,7 @@
             raise
 
     async def _serve_one(self) -> bool:
-        """Read and answer one request; tells whether another may follow."""
+        """Read and serve one request; returns whether another may follow."""
         try:
             request = await self._read_request()
         except BadRequestError as error:
@@ -121,8 +126,9 @@
 
     def _prepare_next(self) -> bool:
         if self._is_leaving():
-            # A caller whose answer began before the process was told to stop has
-            # not been asked to leave. Its next request would be cut by the end.
+            # A response that started before the shutdown carried no "Connection:
+            # close". The caller would reuse the connection, and the exit of the
+            # process would interrupt that request.
             return False
         if self.h11.our_state is not h11.DONE or self._end_seen:
             return False
@@ -135,7 +141,7 @@
         return True
 
     async def _read_request(self) -> CallerRequest | None:
-        """Return the next request; None at a clean end or after idling."""
+        """Return the next request; None if the caller closed or was idle too long."""
         head = await self._read_head()
         if head is None:
             return None
@@ -164,15 +170,21 @@
             async with asyncio.timeout(limits.header_timeout_s):
                 event = await self._next_caller_event()
         except TimeoutError:
-            raise BadRequestError(REQUEST_TIMEOUT_STATUS, "head too slow") from None
+            raise BadRequestError(
+                REQUEST_TIMEOUT_STATUS,
+                f"request head incomplete after {limits.header_timeout_s} s",
+            ) from None
         if isinstance(event, h11.ConnectionClosed):
             return None
         if not isinstance(event, h11.Request):
-            raise BadRequestError(BAD_REQUEST_STATUS, "no request")
+            raise BadRequestError(
+                BAD_REQUEST_STATUS,
+                f"expected a request head, got {type(event).__name__}",
+            )
         return event
 
     async def _wait_for_first_byte(self, limits: CallerLimits) -> bool:
-        """Wait on an idle connection; false when nothing comes in time."""
+        """Wait on an idle connection; returns False on idle timeout or close."""
         try:
             async with asyncio.timeout(limits.idle_timeout_s):
                 while self._first_byte_s is None:
@@ -195,14 +207,24 @@
                 async with asyncio.timeout(limits.header_timeout_s):
                     event = await self._next_caller_event()
             except TimeoutError:
-                raise BadRequestError(REQUEST_TIMEOUT_STATUS, "body too slow") from None
+                raise BadRequestError(
+                    REQUEST_TIMEOUT_STATUS,
+                    f"no data for {limits.header_timeout_s} s after {size} bytes"
+                    " of the request body",
+                ) from None
             if isinstance(event, h11.EndOfMessage):
                 return b"".join(pieces)
             if not isinstance(event, h11.Data):
-                raise ConnectionLostError("the caller left within a body")
+                raise ConnectionLostError(
+                    f"the caller closed the connection after {size} bytes of its"
+                    " request body"
+                )
             size += len(event.data)
             if size > limits.max_body_bytes:
-                raise BadRequestError(BODY_TOO_LARGE_STATUS, "body too large")
+                raise BadRequestError(
+                    BODY_TOO_LARGE_STATUS,
+                    f"request body exceeds the limit of {limits.max_body_bytes} bytes",
+                )
             pieces.append(bytes(event.data))
 
     async def _next_caller_event(self) -> Any:
@@ -210,13 +232,13 @@
             return await self.next_event()
         except h11.RemoteProtocolError as error:
             status = error.error_status_hint or BAD_REQUEST_STATUS
-            raise BadRequestError(status, str(error)) from error
+            raise BadRequestError(status, f"invalid HTTP request: {error}") from error
 
     async def _refuse_unread(self, error: BadRequestError) -> None:
-        """Answer bytes that are no acceptable request, and close.
+        """Respond to an unacceptable request with an error, and close.
 
-        What follows such bytes on the connection cannot be told from a request
-        that somebody else smuggled in, so nothing behind them is read.
+        Bytes that follow such a request on the connection cannot be told from a
+        smuggled request, so they are not parsed.
         """
         if self.lost or self.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
@@ -232,10 +254,10 @@
         await self._let_caller_read()
 
     async def _let_caller_read(self) -> None:
-        """Drop what the caller still sends until it has read its refusal.
+        """Discard further input for a while, so that the caller can read the refusal.
 
-        Closed with bytes unread, the connection would be reset, and the reset can
-        overtake the refusal on its way.
+        Closing a socket that has unread input sends a reset, which can overtake the
+        refusal.
         """
         self._discarding = True
         assert self.transport is not None
@@ -248,11 +270,11 @@
             await asyncio.sleep(LINGER_STEP_S)
 
     #
-    # What ``serve`` answers with
+    # Response methods for ``serve``
     #
 
     def start(self, status: int, reason: bytes, headers: Headers) -> None:
-        """Send the head of the answer."""
+        """Send the head of the response."""
         self.answer_started = True
         headers = list(headers)
         if self._is_leaving():
@@ -265,50 +287,64 @@
         )
 
     async def write(self, data: bytes) -> None:
-        """Send a piece of the answer at the caller's pace."""
+        """Send a chunk of the response body, with flow control."""
         self._send_to_caller(h11.Data(data=data))
         await self.drain()
 
     def finish(self) -> None:
-        """Mark the answer as complete."""
+        """Send the end of the response."""
         self._send_to_caller(h11.EndOfMessage())
 
     def break_off(self) -> None:
-        """End an answer that must not look complete."""
+        """Abort the connection, so that the response does not look complete."""
         self.abort()
 
     def _send_to_caller(self, event: Any) -> None:
         try:
             self.send(event)
         except ConnectionLostError as error:
-            raise CallerGoneError("the caller closed its connection") from error
+            raise CallerGoneError(
+                "the caller closed its connection before the response was complete"
+            ) from error
 
 
 def refuse_ambiguous_framing(head: h11.Request) -> None:
-    """Refuse a request whose length can be read in two ways.
+    """Refuse a request whose length, target or host is ambiguous.
 
-    A sender and a receiver that differ on where a body ends let a second request
-    ride inside the first, past the checks of its organisation.
+    If two programs on the path disagree on where a body ends, a second request can
+    be smuggled inside the first and bypass the check of its API key.
     """
     names = [bytes(name) for name, _ in head.headers]
     if b"content-length" in names and b"transfer-encoding" in names:
-        raise BadRequestError(BAD_REQUEST_STATUS, "two lengths")
+        raise BadRequestError(
+            BAD_REQUEST_STATUS,
+            "request has both Content-Length and Transfer-Encoding",
+        )
     if not bytes(head.target).startswith(b"/") and bytes(head.target) != b"*":
-        raise BadRequestError(BAD_REQUEST_STATUS, "the target is no path")
+        raise BadRequestError(BAD_REQUEST_STATUS, "request target must be a path or *")
     if names.count(b"host") > 1:
-        raise BadRequestError(BAD_REQUEST_STATUS, "two hosts")
+        raise BadRequestError(
+            BAD_REQUEST_STATUS, "request has more than one Host field"
+        )
 
 
 def refuse_too_large(head: h11.Request, limits: CallerLimits) -> None:
-    """Refuse a head over its limit, and a body that is announced over its own.
+    """Refuse a head over its limit, and a declared body length over its own limit.
 
-    The parser bounds only heads that are not complete yet.
+    h11 enforces its limit only on heads that are not complete yet.
     """
     fields_bytes = sum(
         len(name) + len(value) + LINE_OVERHEAD_BYTES for name, value in head.headers
     )
     if len(head.target) + fields_bytes > limits.max_header_bytes:
-        raise BadRequestError(HEADER_TOO_LARGE_STATUS, "head too large")
+        raise BadRequestError(
+            HEADER_TOO_LARGE_STATUS,
+            f"request head exceeds the limit of {limits.max_header_bytes} bytes",
+        )
     announced = dict(head.headers).get(b"content-length", b"0")
     if int(announced) > limits.max_body_bytes:
-        raise BadRequestError(BODY_TOO_LARGE_STATUS, "body too large")
+        raise BadRequestError(
+            BODY_TOO_LARGE_STATUS,
+            f"request body exceeds the limit of {limits.max_body_bytes} bytes:"
+            f" Content-Length is {int(announced)}",
+        )
--- a/acaciacove/gateway/peers/__init__.py
+++ b/acaciacove/gateway/peers/__init__.py
@@ -1,1 +1,1 @@
-"""What gateways tell each other: ages of beliefs and evidence on versions."""
+"""Gossip between gateways: age of the view, limits, crashes and roll-out evidence."""
--- a/acaciacove/gateway/peers/datagrams.py
+++ b/acaciacove/gateway/peers/datagrams.py
@@ -1,4 +1,4 @@
-"""Datagrams between gateways."""
+"""Datagram sockets between gateways, by default UDP."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -8,14 +8,14 @@
 
 
 class Datagrams(Protocol):
-    """A socket for datagrams."""
+    """A datagram socket."""
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send one datagram; it may be lost."""
+        """Send one datagram; delivery is not guaranteed."""
         ...
 
     def is_closing(self) -> bool:
-        """Tell whether the socket is closed."""
+        """Return whether the socket is closed or closing."""
         ...
 
     def close(self) -> None:
@@ -27,21 +27,21 @@
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    def __init__(self, take: Take) -> None:
-        self._take = take
+    def __init__(self, on_datagram: Take) -> None:
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: object) -> None:
-        """Hand on what came."""
-        self._take(data)
+        """Pass the datagram to the callback."""
+        self._on_datagram(data)
 
     def error_received(self, exc: Exception) -> None:
-        """Leave a refused datagram: its receiver is down, and says so by silence."""
+        """Ignore a refused datagram: a peer that is down is detected by its silence."""
 
 
-async def open_udp(host: str, port: int, take: Take) -> Any:
-    """Open a UDP socket that hands each datagram to ``take``."""
+async def open_udp(host: str, port: int, on_datagram: Take) -> Any:
+    """Open a UDP socket that passes each datagram to ``on_datagram``."""
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
-        lambda: _Receiver(take), local_addr=(host, port)
+        lambda: _Receiver(on_datagram), local_addr=(host, port)
     )
     return transport
--- a/acaciacove/gateway/peers/limit_talk.py
+++ b/acaciacove/gateway/peers/limit_talk.py
@@ -1,7 +1,8 @@
-"""Spreads what endpoints say of their limits over all gateways.
+"""Gossips the rate limits that endpoints announce in their responses.
 
-Each would otherwise send one request too many before it heard of a limit, and one that
-has no share of it would never hear of its end.
+Otherwise each gateway would send one request too many before it learnt of a limit. A
+gateway whose share of a limit is zero sends nothing to that endpoint, so it would never
+learn that the limit was lifted.
 """
 
 import math
@@ -22,13 +23,13 @@
 from acaciacove.messages.limit_seen import LimitSeen
 from acaciacove.wire.codec import encode
 
-# What a report is followed by fits into one datagram.
+# At most this many limits fit into one datagram.
 MAX_LIMITS = 32
 
 
 @define(eq=False)
 class LimitTalk:
-    """Tells peers of limits and takes their word."""
+    """Sends endpoint limits to peers and applies those received."""
 
     few: TellFew
     states: EndpointStates
@@ -37,16 +38,19 @@
     clock_s: Callable[[], float]
 
     def tell(self, state: EndpointState) -> None:
-        """Tell a few at once of an endpoint's limit, or of its end."""
+        """Send an endpoint's new or lifted limit to a subset of peers immediately."""
         self.few.tell(encode(LimitNews((self._seen(state, self.clock_s()),))))
 
-    def take(self, news: LimitNews) -> None:
-        """Take another gateway's word and pass on what changes the own."""
+    def take(self, update: LimitNews) -> None:
+        """Apply an update from a peer, and forward the limits that it changed here."""
         now_s = self.clock_s()
         changed = []
-        for seen in news.limits:
+        for seen in update.limits:
             if not _is_sound(seen):
-                detail = f"a limit of {seen.per_s}, {seen.age_s} s old"
+                detail = (
+                    f"limit for endpoint {seen.endpoint} out of range:"
+                    f" {seen.per_s} requests/s, {seen.age_s} s old"
+                )
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
                 continue
             state = self.states.find_life(seen.endpoint)
@@ -59,13 +63,13 @@
             self.few.tell(encode(LimitNews(tuple(changed))))
 
     def tell_some(self, peer: Peer) -> None:
-        """Tell a peer of limits and ends of limits, along with a report."""
+        """Send recently seen and lifted limits to a peer, along with a report."""
         now_s = self.clock_s()
-        known = [s for s in self.states.all() if now_s - s.limit.seen_s < LIFE_S]
-        if len(known) > MAX_LIMITS:
-            known = self.random.sample(known, MAX_LIMITS)
-        if known:
-            limits = tuple(self._seen(state, now_s) for state in known)
+        recent = [s for s in self.states.all() if now_s - s.limit.seen_s < LIFE_S]
+        if len(recent) > MAX_LIMITS:
+            recent = self.random.sample(recent, MAX_LIMITS)
+        if recent:
+            limits = tuple(self._seen(state, now_s) for state in recent)
             self.few.send(encode(LimitNews(limits)), peer)
 
     def _seen(self, state: EndpointState, now_s: float) -> LimitSeen:
--- a/acaciacove/gateway/peers/member_record.py
+++ b/acaciacove/gateway/peers/member_record.py
@@ -1,4 +1,4 @@
-"""The record by which gateways find each other."""
+"""Log record through which gateways discover each other."""
 
 import orjson
 from attrs import frozen
@@ -8,7 +8,7 @@
 
 @frozen
 class MemberRecord:
-    """Where a gateway listens for its peers."""
+    """Address at which a gateway listens for its peers."""
 
     instance: str
     host: str
@@ -17,7 +17,7 @@
 
 
 def write_member(member: MemberRecord) -> bytes:
-    """Return the bytes of a record."""
+    """Encode a member record."""
     return orjson.dumps(
         {
             "host": member.host,
@@ -28,16 +28,19 @@
 
 
 def read_member(key: str, value: bytes) -> MemberRecord:
-    """Read a record; raises MalformedMessageError."""
+    """Decode a member record; raises MalformedMessageError."""
     try:
         document = orjson.loads(value)
         return MemberRecord(
             instance=key,
             host=str(document["host"]),
             port=int(document["port"]),
-            # Gateways of an earlier release write none. Passed over, they would be
-            # missing from the slices of the shared bounds while a fleet is upgraded.
+            # Gateways of an earlier release write no zone. If their records were
+            # rejected, they would not be counted when the shared limits are split
+            # while a fleet is upgraded.
             availability_zone=str(document.get("availability_zone", "")),
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise MalformedMessageError(f"{key}: {error!r}") from error
+        raise MalformedMessageError(
+            f"malformed member record {key!r}: {error!r}"
+        ) from error
--- a/acaciacove/gateway/peers/peer.py
+++ b/acaciacove/gateway/peers/peer.py
@@ -1,13 +1,15 @@
-"""Another gateway, as this one knows it."""
+"""State that this gateway holds about another gateway."""
 
 from attrs import define
 
 
 @define(eq=False)
 class Peer:
-    """``known_s`` is when it was last heard or its record first read.
+    """Address and last contact of a peer.
 
-    ``heard_nonce`` is the nonce of its last report, echoed to it.
+    ``last_seen_s`` is when its last report arrived or its member record was first
+    read. ``last_report_s`` is when its last report arrived. ``last_nonce`` is the
+    nonce of that report, which is echoed to the peer.
     """
 
     instance: str
--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -1,4 +1,4 @@
-"""Reports between gateways over UDP, to a few random peers at a time."""
+"""Gossip between gateways over UDP, sent to random peers in each round."""
 
 import asyncio
 import time
@@ -31,26 +31,26 @@
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.wire.codec import decode, encode
 
-# Pace of reports: fast while a roll-out is judged or the log cannot be reached,
-# else just often enough to tell living peers from dead ones.
+# Intervals between reports. They are short while a roll-out is judged or the log is
+# unavailable, and otherwise just short enough to tell live peers from failed ones.
 BUSY_EVERY_S = 0.3
 CALM_EVERY_S = 2.0
-# An outcome of a roll-out that was read here is passed on for this long.
+# Reports are sent at the busy interval for this long after a roll-out outcome was read.
 OUTCOME_NEWS_S = 2.0
-# Peers that one round of reports goes to; the others learn in later rounds.
+# Number of peers that one round of reports goes to; others follow in later rounds.
 FANOUT = 4
-# The age of the own beliefs from which peers are asked to confirm them.
+# Age of the local view from which on peers are asked to confirm it.
 ASK_AGE_S = 2.0
-# How long a peer that is not heard counts among those that share the bounds.
-# A machine that is cut off goes on serving; one that is gone for good only makes
-# the shares of the others smaller.
+# How long a silent peer counts among the gateways that share the limits. A host that is
+# partitioned from this one continues to serve. A host that has failed for good only
+# makes the shares of the others smaller.
 MEMBER_LIFE_S = 60.0
-# New peers introduce themselves, and random reports make up for a word that was lost;
-# the log's list is read at the start, and again in case that both failed.
+# New peers announce themselves, and random reports replace lost updates. The member
+# list in the log is read at the start, and again at this interval in case both failed.
 READ_MEMBERS_EVERY_S = 60.0
 LIST_RETRY_S = 2.0
 JOIN_RETRY_S = 0.5
-# Own questions that an answer may still come to.
+# Nonces of sent reports that are retained to match the echo of a reply.
 MAX_NONCES = 512
 
 
@@ -59,7 +59,7 @@
 
 
 class PeerNetwork:
-    """Sends and takes reports, and keeps the list of peers."""
+    """Sends and receives gossip, and maintains the list of peers."""
 
     def __init__(
         self,
@@ -67,7 +67,7 @@
         metadata: MetadataLog,
         open_datagrams: OpenDatagrams | None = None,
     ) -> None:
-        """Begin without peers; ``open_datagrams`` replaces UDP in tests."""
+        """Start without peers; ``open_socket`` replaces UDP in tests."""
         self._open_datagrams = open_datagrams or open_udp
         self._gateway = gateway
         self._metadata = metadata
@@ -91,7 +91,7 @@
         )
 
     async def open(self) -> None:
-        """Listen for peers."""
+        """Listen for peers and install the gossip hooks of the gateway."""
         settings = self._gateway.settings
         self._transport = await self._open_datagrams(
             settings.host, settings.peer_port, self._take
@@ -102,7 +102,7 @@
         self._gateway.tell_limit = self._limit_talk.tell
 
     async def run(self) -> None:
-        """Join, and report until cancelled."""
+        """Publish the member record, and send reports until cancelled."""
         members = asyncio.create_task(self._follow_members())
         try:
             while True:
@@ -125,7 +125,7 @@
         )
 
     #
-    # Who the peers are
+    # Membership
     #
 
     async def _follow_members(self) -> None:
@@ -141,8 +141,8 @@
                 offset = -1
                 continue
             except PlatformUnavailableError:
-                # Said already by the followers of the decisions; peers that are
-                # known stay known.
+                # The readers of the operator's decisions already log an outage.
+                # The list of peers is retained.
                 await asyncio.sleep(LIST_RETRY_S)
                 continue
             offset = page.next_offset
@@ -208,9 +208,9 @@
         self._update_membership(now_s)
         peers = list(self._peers.values())
         chosen = self._gateway.random.sample(peers, min(FANOUT, len(peers)))
-        asks = self._gateway.beliefs.confirmed_age_s > ASK_AGE_S
+        wants_reply = self._gateway.beliefs.confirmed_age_s > ASK_AGE_S
         for peer in chosen:
-            self._send(peer, reply_wanted=asks)
+            self._send(peer, reply_wanted=wants_reply)
 
     def _send(self, peer: Peer, reply_wanted: bool) -> None:
         self._send_data(encode(self._report(peer, reply_wanted)), peer)
@@ -302,17 +302,17 @@
         return known
 
     def _confirm(self, report: GatewayReport) -> None:
-        """Take a peer's word that the own decisions are the newest.
+        """Let a peer's report confirm that the local view is the newest.
 
-        Its answer was made after the own question went out, so the peer asked the
-        log no longer before that question than its age says. A report without an
-        echo may have waited in a queue for any time, and confirms nothing.
+        The reply was created after the local request was sent. So the peer polled the
+        log at most ``confirmed_age_s`` before that request. A report without a matching
+        echo may have been queued for any length of time, and confirms nothing.
         """
-        asked_boot_s = self._nonces.get(report.echo)
+        requested_boot_s = self._nonces.get(report.echo)
         beliefs = self._gateway.beliefs
-        if asked_boot_s is None or report.revision != beliefs.operator_revision:
+        if requested_boot_s is None or report.revision != beliefs.operator_revision:
             return
-        beliefs.confirm(asked_boot_s - report.confirmed_age_s)
+        beliefs.confirm(requested_boot_s - report.confirmed_age_s)
 
     def _take_rollouts(self, report: GatewayReport, now_s: float) -> None:
         peer = f"{report.instance}/{report.incarnation}"
--- a/acaciacove/gateway/peers/request_talk.py
+++ b/acaciacove/gateway/peers/request_talk.py
@@ -1,7 +1,8 @@
-"""Spreads word of requests that crash endpoints over all gateways.
+"""Gossips requests that crash endpoints, and the verdicts on them.
 
-Each gateway passes what is new to it on to a few others at once, and tells some of
-what it holds with its reports, for those that missed it, were cut off or have started.
+Each gateway forwards what is new to it to a subset of peers immediately. With its
+reports it also sends a sample of its retained state, for peers that lost an update,
+were partitioned or have just started.
 """
 
 from collections import OrderedDict
@@ -17,11 +18,11 @@
 from acaciacove.messages.request_news import RequestNews
 from acaciacove.wire.codec import encode
 
-# For this long after something new, reports follow each other fast.
+# Reports are sent at the busy interval for this long after a new update.
 NEWS_S = 0.7
-# Crashes go along with reports for this long after they were told here.
+# Crashes are sent along with reports for this long after their update was sent.
 FRESH_S = 30.0
-# What a report is followed by fits into one datagram.
+# At most this many fit into one datagram.
 MAX_CRASHES = 4
 MAX_SUSPECTS = 24
 MAX_VERDICTS = 16
@@ -29,7 +30,7 @@
 
 @define(eq=False)
 class RequestTalk:
-    """Sends news of requests to peers and takes theirs."""
+    """Sends crashes and verdicts to peers and applies those received."""
 
     few: TellFew
     guard: RequestGuard
@@ -38,34 +39,34 @@
     _news_s: float = float("-inf")
     _fresh: OrderedDict[int, float] = field(factory=OrderedDict)
 
-    def tell(self, news: RequestNews) -> None:
-        """Tell a few others at once."""
+    def tell(self, update: RequestNews) -> None:
+        """Send an update to a subset of peers immediately."""
         self._news_s = self.clock_s()
-        for crash in news.crashes:
+        for crash in update.crashes:
             self._fresh[crash.endpoint] = self.clock_s() + FRESH_S
             self._fresh.move_to_end(crash.endpoint)
         while len(self._fresh) > MAX_CRASHES:
             self._fresh.popitem(last=False)
-        self.few.tell(encode(news))
+        self.few.tell(encode(update))
 
-    def tell_all(self, news: RequestNews) -> None:
-        """Tell all others, of what must not happen twice."""
+    def tell_all(self, update: RequestNews) -> None:
+        """Send an update to all peers, about an action that must not happen twice."""
         self._news_s = self.clock_s()
-        self.few.tell_all(encode(news))
+        self.few.tell_all(encode(update))
 
     @property
     def has_news(self) -> bool:
-        """Tell whether others may not have heard yet of what is new here."""
+        """Return whether peers may not yet have received the last update."""
         return self.clock_s() - self._news_s < NEWS_S
 
-    def take(self, news: RequestNews) -> None:
-        """Take another gateway's news and pass on what was new here."""
-        new = self.guard.take(news, self.clock_s())
+    def take(self, update: RequestNews) -> None:
+        """Apply an update from a peer, and forward what was new here."""
+        new = self.guard.take(update, self.clock_s())
         if new.crashes or new.verdicts:
             self.tell(new)
 
     def tell_some(self, peer: Peer) -> None:
-        """Tell a peer some of what is held here, along with a report."""
+        """Send a sample of the retained state to a peer, along with a report."""
         quarantine = self.guard.quarantine
         verdicts = quarantine.verdicts(self.clock_s())
         if len(verdicts) > MAX_VERDICTS:
@@ -79,6 +80,6 @@
         evidence = self.guard.quarantine.evidence
         return [
             CrashSeen(endpoint, tuple(suspects[:MAX_SUSPECTS]))
-            for endpoint, until_s in self._fresh.items()
-            if until_s > now_s and (suspects := evidence.suspects_of(endpoint))
+            for endpoint, expires_s in self._fresh.items()
+            if expires_s > now_s and (suspects := evidence.suspects_of(endpoint))
         ]
--- a/acaciacove/gateway/peers/talk_to_peers.py
+++ b/acaciacove/gateway/peers/talk_to_peers.py
@@ -1,4 +1,4 @@
-"""What a gateway does for its peers: reports, and answers on the log's records."""
+"""Tasks of a gateway for its peers: gossip, and relaying records of the log."""
 
 from acaciacove.daemon.message_server import message_server
 from acaciacove.gateway.gateway import Gateway
@@ -14,15 +14,15 @@
     metadata: MetadataLog,
     open_datagrams: OpenDatagrams | None = None,
 ) -> None:
-    """Listen for peers and report to them until cancelled."""
+    """Relay log records to peers and exchange gossip until cancelled."""
     settings = gateway.settings
 
-    async def tell(connection: Connection) -> None:
+    async def relay(connection: Connection) -> None:
         await tell_records(
             connection, gateway.tails, gateway.beliefs.clock_s, gateway.pace
         )
 
     peers = PeerNetwork(gateway, metadata, open_datagrams)
-    async with message_server((settings.host, settings.peer_port), tell):
+    async with message_server((settings.host, settings.peer_port), relay):
         await peers.open()
         await peers.run()
--- a/acaciacove/gateway/peers/tell_few.py
+++ b/acaciacove/gateway/peers/tell_few.py
@@ -1,4 +1,4 @@
-"""Tells a few other gateways at once, within what may be spent on that."""
+"""Sends gossip updates to peers immediately, within a byte budget."""
 
 from collections.abc import Callable, Iterable
 from random import Random
@@ -8,16 +8,19 @@
 from acaciacove.gateway.choice.sliding_count import SlidingCount
 from acaciacove.gateway.peers.peer import Peer
 
-# Others that news is passed on to; each passes on what is new to it.
+# Number of peers that an update is sent to; each forwards what is new to it.
 FANOUT = 3
-# Of what a process may send to others for control, over the time below.
+# Part of the control traffic of a process that updates may use in a sliding window.
 TOLD_BYTES = 60_000
 TOLD_WINDOW_S = 20.0
 
 
 @define(eq=False)
 class TellFew:
-    """``send`` puts one datagram on its way; ``members`` are the receivers."""
+    """Sends updates while the byte budget of the sliding window lasts.
+
+    ``send`` sends one datagram to a peer; ``members`` returns the possible receivers.
+    """
 
     members: Callable[[], Iterable[Peer]]
     send: Callable[[bytes, Peer], None]
@@ -26,15 +29,15 @@
     _told: SlidingCount = field(factory=lambda: SlidingCount(TOLD_WINDOW_S))
 
     def tell(self, data: bytes) -> None:
-        """Send a datagram to a few, while the bytes for that last.
+        """Send a datagram to a random subset of peers within the byte budget.
 
-        What is left out goes along with later reports.
+        State whose update is dropped here is sent along with later reports.
         """
         members = list(self.members())
         self._tell(data, self.random.sample(members, min(FANOUT, len(members))))
 
     def tell_all(self, data: bytes) -> None:
-        """Send a datagram to all, while the bytes for that last."""
+        """Send a datagram to all peers within the byte budget."""
         self._tell(data, self.members())
 
     def _tell(self, data: bytes, peers: Iterable[Peer]) -> None:
--- a/acaciacove/gateway/peers/work_news.py
+++ b/acaciacove/gateway/peers/work_news.py
@@ -1,8 +1,9 @@
-"""Gateways tell each other of long prompts that they send to endpoints.
+"""Gossips long prompts that gateways have sent to endpoints.
 
-One of thirty gateways sees a thirtieth of what an endpoint has to read. Without word of
-the rest, several send it their longest prompts in the same second, and all behind them
-wait for seconds beside endpoints that are free.
+With thirty gateways, each sees a thirtieth of the prompts that an endpoint has to
+process. Without updates on the rest, several gateways send their longest prompts to
+the same endpoint within a second. All requests queued behind them then wait for
+seconds while other endpoints are idle.
 """
 
 from collections.abc import Callable, Iterable
@@ -18,17 +19,17 @@
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.wire.codec import encode
 
-# Of what a process may send to others for control.
+# Part of the control traffic of a process that updates on work may use.
 TOLD_BYTES_PER_S = 2_500.0
-# No prompt takes longer to read; a larger number is a fault of its sender.
+# No prompt takes longer to process; a larger value is a fault of the sender.
 LONGEST_WORK_S = 120.0
 
 
 @define(eq=False)
 class WorkNews:
-    """Sends word of own prompts and takes that of others.
+    """Sends updates on local prompts to peers and applies those received.
 
-    ``send`` puts one datagram on its way; ``members`` are the receivers.
+    ``send`` sends one datagram to a peer; ``members`` returns the receivers.
     """
 
     members: Callable[[], Iterable[Peer]]
@@ -40,7 +41,7 @@
     )
 
     def tell(self, sent: WorkSent, now_s: float) -> None:
-        """Tell all members of a prompt, if it is long enough."""
+        """Send an update on a prompt to all peers if the prompt is long enough."""
         members = list(self.members())
         if not members or sent.work_s < LEAST_WORK_S:
             return
@@ -51,9 +52,12 @@
             self.send(data, peer)
 
     def take(self, sent: WorkSent, now_s: float) -> None:
-        """Add another gateway's prompt to what its endpoint has to read."""
+        """Add a prompt sent by a peer to the backlog of its endpoint."""
         if not isfinite(sent.work_s) or not 0.0 <= sent.work_s <= LONGEST_WORK_S:
-            detail = f"a prompt of {sent.work_s} s"
+            detail = (
+                f"work of {sent.work_s} s for endpoint {sent.endpoint} is not within"
+                f" 0 to {LONGEST_WORK_S} s"
+            )
             self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
             return
         state = self.states.find(sent.endpoint)
--- a/acaciacove/platform/__init__.py
+++ b/acaciacove/platform/__init__.py
@@ -1,1 +1,4 @@
-"""The users' platform: its names, formats and calls. Nothing here decides."""
+"""Adapter to the users' platform: its names, formats and calls.
+
+No routing decisions are made here.
+"""
--- a/acaciacove/platform/__main__.py
+++ b/acaciacove/platform/__main__.py
@@ -1,9 +1,9 @@
-"""``python -m acaciacove.platform``: one gateway on the users' platform.
+"""``python -m acaciacove.platform`` runs one gateway on the users' platform.
 
-The front's port is opened before anything else is imported. Loading the modules
-takes a third of a second of a small machine's processor; callers that connect
-meanwhile wait in the kernel's queue and are served, where they would otherwise be
-turned away by every restart.
+The port for callers is opened before anything else is imported. Importing the modules
+takes a third of a second of CPU time on a small machine. Callers that connect meanwhile
+wait in the kernel's accept queue and are then served. Otherwise their connections would
+be refused at every restart.
 """
 
 import sys
@@ -12,7 +12,7 @@
 
 
 def main() -> int:
-    """Open the front's port, read the settings whole, then serve."""
+    """Open the port for callers, read the settings, then serve."""
     front = open_front()
     from acaciacove.platform.run_gateway import run_gateway
 
--- a/acaciacove/platform/early_listener.py
+++ b/acaciacove/platform/early_listener.py
@@ -1,4 +1,4 @@
-"""Opens the port for callers with as few imports as can be."""
+"""Opens the port for callers with as few imports as possible."""
 
 import os
 import socket
@@ -6,21 +6,21 @@
 SETTINGS_VARIABLE = "ACACIACOVE_NODE_FILE"
 DEFAULT_PATH = "/etc/acaciacove/boot.conf"
 FRONT_FIELD = "listenAddresses.frontend"
-# Connections that wait while the process starts, and in bursts; beyond it the
-# first packet of a connection is dropped and sent again a second later.
+# Connections that can wait in the accept queue while the process starts and in bursts.
+# When it is full, the kernel drops a connection's SYN, which is resent a second later.
 BACKLOG = 1024
 
 
 def settings_path() -> str:
-    """Return where the platform puts the settings of this process."""
+    """Return the path of this process's settings file."""
     return os.environ.get(SETTINGS_VARIABLE) or DEFAULT_PATH
 
 
 def open_front() -> socket.socket | None:
-    """Listen on the front's address; None when that cannot be done yet.
+    """Listen on the address for callers; returns None if that is not possible.
 
-    Whatever is wrong with the settings is told later, with all other faults, by
-    the part of the program that reads them whole.
+    Faults in the settings are not reported here. ``read_node_file`` reads the complete
+    file later and reports all of them together.
     """
     try:
         with open(settings_path(), encoding="utf-8") as lines:
--- a/acaciacove/platform/header_fields.py
+++ b/acaciacove/platform/header_fields.py
@@ -1,4 +1,4 @@
-"""Header fields of requests and answers, decoded and written."""
+"""Decoding and encoding of header fields of requests and responses."""
 
 import math
 
@@ -14,7 +14,7 @@
 
 
 def read_hints(headers: RawHeaders) -> CallerHints:
-    """Decode a caller's fields; one that cannot be read counts as not given."""
+    """Decode a caller's fields; an unreadable one counts as absent."""
     fields = _first_of_each(headers)
     model = fields.get(names.MODEL)
     return CallerHints(
@@ -31,8 +31,8 @@
 def forward_headers(headers: RawHeaders, hints: ForwardHints) -> list[Header]:
     """Build the fields of a forwarded request.
 
-    The caller's own go along, but for those that concern its connection, its
-    key, and those that are the gateway's to set.
+    The caller's fields are passed on, except hop-by-hop fields, its API key, and the
+    fields that only the gateway sets.
     """
     fields = dict(headers)
     dropped = names.HOP_BY_HOP | names.GATEWAY_ONLY | _named_by(fields)
@@ -41,21 +41,24 @@
         dropped |= {names.MODEL}
     if hints.last_event_id is not None:
         dropped |= {names.LAST_EVENT_ID}
-    kept = [(name, value) for name, value in headers if name not in dropped]
-    return kept + _own_fields(hints)
+    passed_on = [(name, value) for name, value in headers if name not in dropped]
+    return passed_on + _own_fields(hints)
 
 
 def _named_by(fields: dict[bytes, bytes]) -> frozenset[bytes]:
-    """Return the fields that the Connection field names."""
+    """Return the field names that are listed in the Connection field.
+
+    Host and the request ID are always passed on, even if they are listed there.
+    """
     listed = fields.get(b"connection", b"").split(b",")
     named = frozenset(word.strip().lower() for word in listed)
     return named - {b"host", names.REQUEST_ID}
 
 
 def _own_fields(hints: ForwardHints) -> list[Header]:
-    left_ms = max(1, int(hints.time_left_s * MS))
-    own = [
-        (names.DEADLINE_MS, str(left_ms).encode()),
+    remaining_ms = max(1, int(hints.time_left_s * MS))
+    fields = [
+        (names.DEADLINE_MS, str(remaining_ms).encode()),
         (names.EXPECTED_INSTANCE, hints.instance.encode()),
     ]
     optional = (
@@ -64,14 +67,14 @@
         (names.PRIORITY, hints.priority),
         (names.LAST_EVENT_ID, hints.last_event_id),
     )
-    own += [
+    fields += [
         (name, str(value).encode()) for name, value in optional if value is not None
     ]
-    return own
+    return fields
 
 
 def read_answer(status: int, reason: bytes, headers: RawHeaders) -> AnswerHead:
-    """Decode the head of an answer."""
+    """Decode the head of a response."""
     fields = _first_of_each(headers)
     connection = fields.get(b"connection", "")
     dropped = names.HOP_BY_HOP | _named_by({b"connection": connection.encode()})
@@ -91,7 +94,7 @@
     )
 
 
-# An endpoint that is not the expected one says so by this status alone.
+# An endpoint that is not the expected one responds with this status and no other sign.
 MISDIRECTED = 421
 
 
@@ -128,7 +131,9 @@
 
 def _prompt(parts_text: str | None, tokens_text: str | None) -> Prompt | None:
     try:
-        given, most = (int(word) for word in (tokens_text or "0,0").split(",")[:2])
+        input_tokens, max_output = (
+            int(word) for word in (tokens_text or "0,0").split(",")[:2]
+        )
         parts = tuple(
             (part.split(":")[0].strip(), int(part.split(":")[1]))
             for part in (parts_text or "").split(",")
@@ -136,9 +141,9 @@
         )
     except (ValueError, IndexError):
         return None
-    if not parts and not given:
+    if not parts and not input_tokens:
         return None
-    return Prompt(parts=parts, input_tokens=given, max_output_tokens=most)
+    return Prompt(parts=parts, input_tokens=input_tokens, max_output_tokens=max_output)
 
 
 def _load(text: str | None) -> tuple[int, int, int] | None:
--- a/acaciacove/platform/names.py
+++ b/acaciacove/platform/names.py
@@ -1,14 +1,14 @@
-"""Header fields, paths and streams as the platform spells them."""
+"""Names of header fields, paths, streams and keys on the platform."""
 
 from acaciacove.gateway.log_stream import LogStream
 
 REQUEST_ID = b"acaciacove-attempt-id"
 DEADLINE_MS = b"acaciacove-deadline-ms"
-# Sent by callers and passed on; "*" as model asks the gateway to choose.
+# Set by callers and passed on; with the model "*" the gateway chooses one.
 MODEL = b"acaciacove-model"
-# "input tokens,most output tokens".
+# "INPUT_TOKENS,MAX_OUTPUT_TOKENS".
 TOKENS = b"acaciacove-token-usage"
-# "ID:TOKENS,ID:TOKENS" in the order of the prompt.
+# "ID:TOKENS,ID:TOKENS", in prompt order.
 PROMPT_PARTS = b"acaciacove-prompt-prefix"
 LAST_EVENT_ID = b"last-event-id"
 AUTHORIZATION = b"authorization"
@@ -27,19 +27,19 @@
 RESUME_FROM = b"kv-from"
 FETCH_FROM = b"kv-fetch"
 
-# Set by endpoints on answers. The "signature" is a receipt: it shows that an
-# endpoint made the answer, and signs nothing.
+# Set by endpoints on responses. The "signature" is only a receipt: it shows that an
+# endpoint produced the response, and is no cryptographic signature.
 RECEIPT = b"acaciacove-response-signature"
 NOT_RUN = b"acaciacove-not-executed"
 LOAD = b"acaciacove-replica-load"
 CONFIDENCE = b"acaciacove-confidence"
-# Requests a second that the endpoint takes from all gateways together.
+# Requests per second that the endpoint accepts from all gateways together.
 RATE_LIMIT = b"server-limit"
 KEEP_ALIVE = b"keep-alive"
 CONTENT_ENCODING = b"content-encoding"
 
-# A caller that could set these would speak in the gateway's name: claim
-# somebody's memory, another organisation, or a priority.
+# Never passed on from a caller, which could otherwise impersonate the gateway and claim
+# another caller's cache, another organisation or a priority.
 GATEWAY_ONLY = frozenset(
     {
         ORGANISATION,
--- a/acaciacove/platform/node_file.py
+++ b/acaciacove/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of one process."""
+"""Decodes the platform's settings file of one process."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -13,17 +13,17 @@
 def read_node_file(path: Path) -> GatewaySettings:
     """Read a file of ``a.b=value`` lines; raises InvalidSettingsError with all faults.
 
-    Fields that are not known are left alone: new ones may come.
+    Unknown fields are ignored, because the platform may add new ones.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidSettingsError([f"{path} cannot be read: {error}"]) from error
+        raise InvalidSettingsError([f"cannot read {path}: {error}"]) from error
     return decode_node_file(text)
 
 
 def decode_node_file(text: str) -> GatewaySettings:
-    """Turn the lines of a settings file into settings."""
+    """Decode the text of a settings file; raises InvalidSettingsError."""
     lines = (line.partition("=") for line in text.splitlines())
     fields = {name.strip(): value.strip() for name, found, value in lines if found}
     faults: list[str] = []
@@ -49,12 +49,12 @@
     faults: list[str],
 ) -> Any:
     if source not in fields:
-        faults.append(f"{source} is missing")
+        faults.append(f"required field {source} is missing")
         return None
     try:
         return convert(fields[source])
     except ValueError:
-        faults.append(f"{source} cannot be read: {fields[source]!r}")
+        faults.append(f"invalid value for {source}: {fields[source]!r}")
         return None
 
 
@@ -64,7 +64,7 @@
 
 def _flag(text: str) -> bool:
     if text not in ("true", "false"):
-        raise ValueError(text)
+        raise ValueError(f"expected true or false, got {text!r}")
     return text == "true"
 
 
--- a/acaciacove/platform/records.py
+++ b/acaciacove/platform/records.py
@@ -1,4 +1,4 @@
-"""Records of the platform's log, decoded into the gateway's types."""
+"""Decodes records of the platform's log into the gateway's types."""
 
 import math
 from collections.abc import Callable
@@ -39,13 +39,13 @@
 }
 STATE_WORDS = {state: word for word, state in STATES.items()}
 ENDPOINT_STATES = {"ready": False, "draining": True}
-# Used where a route says nothing; the operator's catalogues always do.
+# Defaults for routes without these fields; operators' catalogues always have them.
 DEFAULT_TIMEOUT_MS = 30_000.0
 DEFAULT_TARGET_MS = 1_000.0
 
 
 def read_decision(record: LogRecord) -> OperatorDecision | None:
-    """Decode an operator's record; None for keys that decide nothing here."""
+    """Decode an operator's record; None for keys that a gateway does not use."""
     if record.key == names.CATALOGUE_KEY:
         return _strictly(_catalogue, record)
     if record.key.startswith(names.ROLLOUT_KEY):
@@ -55,12 +55,12 @@
 
 
 def removed_zone(key: str) -> str | None:
-    """Return the zone that a key takes out."""
+    """Return the zone that a zone-out key names; None for other keys."""
     return _after(names.ZONE_OUT_KEY, key)
 
 
 def removed_rollout(key: str) -> str | None:
-    """Return the service that a key's order is about."""
+    """Return the service that a roll-out key names; None for other keys."""
     return _after(names.ROLLOUT_KEY, key)
 
 
@@ -71,12 +71,14 @@
 def _strictly(
     read: Callable[[dict[str, Any], LogRecord], Document], record: LogRecord
 ) -> Document:
-    """Read a document; whatever is wrong with it is one kind of error."""
+    """Decode a record with ``read``; any fault raises MalformedMessageError."""
     try:
         document = orjson.loads(record.value or b"")
         return read(document, record)
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        raise MalformedMessageError(f"{record.key}: {error!r}") from error
+        raise MalformedMessageError(
+            f"malformed record {record.key!r} at offset {record.offset}: {error!r}"
+        ) from error
 
 
 def _catalogue(document: dict[str, Any], record: LogRecord) -> Catalogue:
@@ -148,12 +150,14 @@
 
 
 def _limits(document: dict[str, Any]) -> CallerLimits:
-    usual = CallerLimits()
+    defaults = CallerLimits()
     return CallerLimits(
-        max_header_bytes=int(document.get("maxHeaderBytes", usual.max_header_bytes)),
-        max_body_bytes=int(document.get("maxBodyBytes", usual.max_body_bytes)),
-        header_timeout_s=_seconds(document, "headerTimeoutMs", usual.header_timeout_s),
-        idle_timeout_s=_seconds(document, "idleTimeoutMs", usual.idle_timeout_s),
+        max_header_bytes=int(document.get("maxHeaderBytes", defaults.max_header_bytes)),
+        max_body_bytes=int(document.get("maxBodyBytes", defaults.max_body_bytes)),
+        header_timeout_s=_seconds(
+            document, "headerTimeoutMs", defaults.header_timeout_s
+        ),
+        idle_timeout_s=_seconds(document, "idleTimeoutMs", defaults.idle_timeout_s),
     )
 
 
@@ -171,7 +175,7 @@
 
 
 def read_endpoint(record: LogRecord) -> EndpointReport:
-    """Decode a heartbeat; other writers' records are refused as malformed."""
+    """Decode an endpoint's heartbeat; raises MalformedMessageError."""
     return _strictly(_endpoint, record)
 
 
@@ -179,16 +183,18 @@
     host, _, port = _text(document, "address").rpartition(":")
     cold_ms = document.get("coldRemainingMs", 0)
     if not isinstance(cold_ms, int | float) or not math.isfinite(cold_ms):
-        raise ValueError("coldRemainingMs is no number")
+        raise ValueError(f"coldRemainingMs must be a finite number, got {cold_ms!r}")
     slots = document.get("slots", 0)
     if not isinstance(slots, int):
-        raise ValueError("slots is no whole number")
+        raise ValueError(f"slots must be an integer, got {slots!r}")
     if not host or not record.key:
-        raise ValueError("no address")
+        raise ValueError(
+            f"record key and host must not be empty, got {record.key!r} and {host!r}"
+        )
     return EndpointReport(
         instance=record.key,
-        # The Unix millisecond of the endpoint's start; other words for a life of
-        # an instance are not told by the platform.
+        # Start time of the endpoint in Unix milliseconds. The platform provides no
+        # other identifier of an incarnation.
         generation=str(document.get("born", "")),
         service=_text(document, "service"),
         host=host,
@@ -204,12 +210,12 @@
 def _text(document: dict[str, Any], name: str) -> str:
     value = document[name]
     if not isinstance(value, str) or not value:
-        raise ValueError(f"{name} is no text")
+        raise ValueError(f"{name} must be a non-empty string, got {value!r}")
     return value
 
 
 def read_outcome(record: LogRecord) -> RolloutStatus | None:
-    """Decode the recorded state of a roll-out."""
+    """Decode the recorded outcome of a roll-out; None if there is none."""
     service = removed_rollout(record.key)
     if service is None or record.value is None:
         return None
@@ -226,7 +232,7 @@
 
 
 def write_outcome(status: RolloutStatus) -> tuple[str, bytes]:
-    """Return key and value of a roll-out's state."""
+    """Return the key and value of the record of a roll-out's outcome."""
     document = {
         "service": status.service,
         "target": status.target,
--- a/acaciacove/platform/run_gateway.py
+++ b/acaciacove/platform/run_gateway.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings and runs a gateway with this platform's calls."""
+"""Reads the platform's settings file and runs a gateway with this adapter."""
 
 import asyncio
 import socket
@@ -16,7 +16,7 @@
 
 
 def run_gateway(front: socket.socket | None) -> ExitStatus:
-    """Serve until stopped; every fault of the settings is told at once."""
+    """Serve until stopped; all faults in the settings are reported together."""
     path = Path(settings_path())
     try:
         settings = read_node_file(path)
@@ -25,8 +25,8 @@
             sys.stderr.write(f"acaciacove: {path}: {fault}\n")
         return ExitStatus.USAGE
     host, _, port = settings.log_address.rpartition(":")
-    store = StoreClient(host, int(port), settings.name)
+    log_client = StoreClient(host, int(port), settings.name)
     asyncio.run(
-        serve_gateway(lambda: read_node_file(path), DIALECT, CODEC, store, front)
+        serve_gateway(lambda: read_node_file(path), DIALECT, CODEC, log_client, front)
     )
     return ExitStatus.SUCCESS
--- a/acaciacove/platform/store_client.py
+++ b/acaciacove/platform/store_client.py
@@ -1,4 +1,4 @@
-"""Calls to the platform's log, over one kept connection a stream."""
+"""HTTP client of the platform's log, over keep-alive connections."""
 
 import asyncio
 from base64 import b64decode
@@ -31,35 +31,37 @@
 _LENGTH = Struct(">I")
 _OFFSET = Struct(">Q")
 MS = 1000.0
-# A call that is not answered by then gets a fresh connection: connections can go
-# silent for good without a reset. Answers take 4 ms, slowed stores some 400 ms.
+# A call without a response by then fails and its connection is closed, because a
+# connection can stop delivering data for good without a reset. Responses take 4 ms, or
+# some 400 ms from a slowed log.
 CALL_TIMEOUT_S = 1.0
 CONNECT_TIMEOUT_S = 0.8
 
 
 @frozen
 class StoreAnswer:
-    """Status and body of one call."""
+    """Status and body of a response of the log."""
 
     status: int
     body: bytes
 
 
 class StoreClient:
-    """The platform's log behind its HTTP calls."""
+    """Implements ``MetadataLog`` on the platform's HTTP API."""
 
     def __init__(self, host: str, port: int, caller: str) -> None:
-        """Begin without connections; ``caller`` names this process in each call."""
+        """Start without connections; ``caller`` is sent as User-Agent."""
         self._host = host
         self._caller = caller
         self._pool = ConnectionPool(host, port)
         self.calls = 0
 
     async def newest(self, stream: LogStream) -> LogPage:
-        """Return the newest record of each key; pages are no snapshot.
+        """Return the newest record of each key.
 
-        The offset to read on from is that of the first page: what changed while
-        the other pages were read is then read again, in order.
+        The pages together are not a snapshot. ``next_offset`` is that of the first
+        page, so that changes made while the other pages were read are read again, in
+        order.
         """
         records: list[LogRecord] = []
         next_offset: int | None = None
@@ -79,7 +81,7 @@
             after = items[-1]["key"]
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        """Return records from an offset on."""
+        """Return records from an offset on, waiting up to ``wait_s`` for one."""
         query = {
             "topic": STREAMS[stream],
             "part": PARTITION,
@@ -94,7 +96,10 @@
     async def append(
         self, stream: LogStream, key: str, value: bytes, at: int | None
     ) -> int:
-        """Append one record, with ``at`` only where the stream ends."""
+        """Append one record and return the offset after it.
+
+        With ``at``, raises LogMovedError if the stream does not end at that offset.
+        """
         query = {"topic": STREAMS[stream], "part": PARTITION}
         if at is not None:
             query["at"] = at
@@ -133,34 +138,40 @@
             complete = True
             return answer
         except (ConnectFailedError, ConnectionLostError, BadAnswerError) as error:
-            raise PlatformUnavailableError(f"{name}: {error}") from error
+            raise PlatformUnavailableError(
+                f"log call {name} failed: {error}"
+            ) from error
         except TimeoutError as error:
-            raise PlatformUnavailableError(f"{name}: no answer in time") from error
+            raise PlatformUnavailableError(
+                f"log call {name} got no response within {wait_s + CALL_TIMEOUT_S} s"
+            ) from error
         finally:
             if connection is not None:
                 self._pool.give_back(connection, complete)
 
     def close(self) -> None:
-        """End idle connections."""
+        """Close all idle connections."""
         self._pool.close()
 
 
 async def _read_answer(connection: EndpointConnection) -> StoreAnswer:
     status = 0
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     while True:
         event = await connection.next_answer_event()
         if isinstance(event, h11.Response):
             status = event.status_code
         elif isinstance(event, h11.Data):
-            pieces.append(bytes(event.data))
+            chunks.append(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            return StoreAnswer(status, b"".join(pieces))
+            return StoreAnswer(status, b"".join(chunks))
 
 
 def _expect_ok(answer: StoreAnswer) -> StoreAnswer:
     if answer.status != OK:
-        raise PlatformUnavailableError(f"the log answered {answer.status}")
+        raise PlatformUnavailableError(
+            f"expected status {OK} from the log, got {answer.status}"
+        )
     return answer
 
 
@@ -168,9 +179,13 @@
     try:
         document = orjson.loads(answer.body)
     except ValueError as error:
-        raise PlatformUnavailableError(f"unreadable answer: {error}") from error
+        raise PlatformUnavailableError(
+            f"the log's response is not valid JSON: {error}"
+        ) from error
     if not isinstance(document, dict):
-        raise PlatformUnavailableError("the answer is no object")
+        raise PlatformUnavailableError(
+            f"expected a JSON object from the log, got {type(document).__name__}"
+        )
     return document
 
 
@@ -184,7 +199,10 @@
 
 
 def _records(body: bytes, offset: int) -> LogPage:
-    """Cut a raw answer: end and first offset, then records with their lengths."""
+    """Decode a raw response: end and first offset, then length-prefixed records.
+
+    A record that is cut off at the end of the body is ignored.
+    """
     records: list[LogRecord] = []
     at = 2 * _OFFSET.size
     while at + _LENGTH.size <= len(body):
--- a/acaciacove/platform/written_node_file.py
+++ b/acaciacove/platform/written_node_file.py
@@ -1,4 +1,4 @@
-"""Writes the platform's settings file of one process, for stand-ins and tests."""
+"""Writes settings files in the platform's format, for stand-ins and tests."""
 
 from acaciacove.platform.node_file import FIELDS
 from acaciacove.settings.gateway_settings import GatewaySettings
@@ -9,7 +9,7 @@
 
 
 def write_node_file(settings: GatewaySettings) -> str:
-    """Return the lines that ``decode_node_file`` reads as these settings."""
+    """Return a settings file that ``decode_node_file`` decodes to these settings."""
     lines = [
         f"{source}={_written(source, getattr(settings, name))}"
         for name, (source, _) in FIELDS.items()
--- a/acaciacove/platform/written_records.py
+++ b/acaciacove/platform/written_records.py
@@ -1,7 +1,6 @@
-"""Writes what operators and endpoints write on the platform, for stand-ins.
+"""Encodes the log records of operators and endpoints, for stand-ins and tests.
 
-The inverse of ``acaciacove.platform.records``: whatever is written here is read
-there as the same values.
+``acaciacove.platform.records`` decodes these records to the same values.
 """
 
 from typing import Any
@@ -25,7 +24,7 @@
 
 
 def write_catalogue(catalogue: Catalogue) -> bytes:
-    """Return the record of a catalogue."""
+    """Encode a catalogue record."""
     keys: dict[str, list[str]] = {}
     for key, organisation in catalogue.organisations.items():
         keys.setdefault(organisation.name, []).append(key)
@@ -93,7 +92,7 @@
 
 
 def write_endpoint(report: EndpointReport) -> bytes:
-    """Return the record of an endpoint's heartbeat."""
+    """Encode the record of an endpoint's heartbeat."""
     return orjson.dumps(
         {
             "service": report.service,
@@ -109,7 +108,7 @@
 
 
 def write_rollout(wish: RolloutWish) -> bytes:
-    """Return the record of an order to roll a version out."""
+    """Encode the record that orders a roll-out."""
     return orjson.dumps(
         {
             "service": wish.service,
