--- a/acaciacove/platform/node_file.py
+++ b/acaciacove/platform/node_file.py
@@ -49,12 +49,12 @@
     faults: list[str],
 ) -> Any:
     if source not in fields:
-        faults.append(f"required field {source} is missing")
+        faults.append(f"{source} is missing")
         return None
     try:
         return convert(fields[source])
     except ValueError:
-        faults.append(f"invalid value for {source}: {fields[source]!r}")
+        faults.append(f"{source} cannot be read: {fields[source]!r}")
         return None
 
 
@@ -64,7 +64,7 @@
 
 def _flag(text: str) -> bool:
     if text not in ("true", "false"):
-        raise ValueError(f"expected true or false, got {text!r}")
+        raise ValueError(text)
     return text == "true"
 
 
--- a/tests/raw_server.py
+++ b/tests/raw_server.py
@@ -1,4 +1,4 @@
-"""A bare HTTP server whose handler decides byte by byte what happens."""
+"""A minimal HTTP server whose handler returns the raw bytes of each response."""
 
 import asyncio
 import re
@@ -9,7 +9,7 @@
 
 @define
 class RawRequest:
-    """What came in: on which connection, as its how-manieth request."""
+    """A received request; ``number`` is its position on its connection, from 1."""
 
     method: str
     path: str
@@ -19,7 +19,7 @@
 
 @define
 class RawServer:
-    """Keeps every request; ``url`` is where it listens."""
+    """Records all requests; ``url`` is the address that it listens on."""
 
     url: str = ""
     requests: list[RawRequest] = field(factory=list)
@@ -36,11 +36,11 @@
 
 
 @asynccontextmanager
-async def raw_server(answer):
-    """Serve; ``answer(request)`` returns bytes, or None to drop the connection."""
+async def raw_server(respond):
+    """Serve; ``respond(request)`` returns bytes, or None to drop the connection."""
     server = RawServer()
 
-    async def handle(reader, writer):
+    async def serve_connection(reader, writer):
         server.connections += 1
         connection, number = server.connections, 0
         try:
@@ -52,7 +52,7 @@
                 method, path = head.decode().split(" ")[:2]
                 request = RawRequest(method, path, connection, number)
                 server.requests.append(request)
-                data = await answer(request)
+                data = await respond(request)
                 if data is None:
                     break
                 writer.write(data)
@@ -64,7 +64,7 @@
             writer.close()
             server.closed += 1
 
-    listening = await asyncio.start_server(handle, "127.0.0.1", 0)
+    listening = await asyncio.start_server(serve_connection, "127.0.0.1", 0)
     port = listening.sockets[0].getsockname()[1]
     server.url = f"http://127.0.0.1:{port}"
     try:
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -1,4 +1,4 @@
-"""What the front takes from callers: framing, limits, slow and leaving callers."""
+"""Caller-facing connections: framing, limits, slow callers and shutdown."""
 
 import asyncio
 
@@ -19,13 +19,13 @@
 )
 
 
-async def raw(*pieces, pause_s=0.0, wait_s=1.0):
-    """Send bytes as they are; return what comes until the end or ``wait_s``."""
+async def raw(*chunks, pause_s=0.0, wait_s=1.0):
+    """Send raw bytes; return what is received until the end or for ``wait_s``."""
     reader, writer = await asyncio.open_connection(GATEWAY_HOST, 8000)
     received = b""
     try:
-        for piece in pieces:
-            writer.write(piece.encode())
+        for chunk in chunks:
+            writer.write(chunk.encode())
             await asyncio.sleep(pause_s)
         async with asyncio.timeout(wait_s):
             while data := await reader.read(65_536):
@@ -37,33 +37,35 @@
 
 
 def test_a_request_with_two_lengths_is_refused_and_nothing_behind_it_is_read():
-    """A caller sends a length and chunks. Two programs that differ on which counts
-    read different requests: the second, hidden in the first, would run with
-    nobody's key checked.
+    """Guards against request smuggling.
+
+    A request has both a Content-Length and chunks. Two programs that disagree on which
+    of them counts see different requests, and a request hidden in the first would run
+    without a check of its API key.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         hidden = HEAD % "hidden" + "Content-Length: 0\r\n\r\n"
         sent = HEAD % "r-1" + "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n"
         answer = await raw(sent + "0\r\n\r\n" + hidden)
         assert answer.startswith(b"HTTP/1.1 400") and answer.count(b"HTTP/1.1") == 1
         assert fleet.arrivals == []
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_body_that_looks_like_a_request_stays_a_body():
-    async def story(fleet):
+    async def scenario(fleet):
         body = (HEAD % "hidden" + "Content-Length: 0\r\n\r\n").encode()
         await call("/look/1", "r-1", body=body)
         assert [a.request_id for a in fleet.arrivals] == ["r-1"]
         assert fleet.arrivals[0].body == body
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_malformed_heads_are_refused():
-    async def story(fleet):
+    async def scenario(fleet):
         for head in (
             "POST /look/1 HTTP/1.1\r\nContent-Length: x\r\nHost: a\r\n\r\n",
             "POST /look/1 HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n"
@@ -77,45 +79,45 @@
             assert answer.startswith(b"HTTP/1.1 400"), head
         assert fleet.arrivals == []
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_chunks_arrive_as_the_same_bytes():
-    async def story(fleet):
+    async def scenario(fleet):
         sent = HEAD % "r-1" + "Transfer-Encoding: chunked\r\n\r\n"
         answer = await raw(sent + "3\r\nabc\r\n", "2\r\nde\r\n0\r\n\r\n", pause_s=0.1)
         assert answer.startswith(b"HTTP/1.1 200")
         assert fleet.arrivals[0].body == b"abcde"
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_too_large_heads_and_bodies_are_refused():
-    async def story(fleet):
+    async def scenario(fleet):
         large_head = HEAD % "r-1" + "X: " + "y" * 20_000 + "\r\n\r\n"
         assert (await raw(large_head)).startswith(b"HTTP/1.1 431")
         large_body = HEAD % "r-2" + "Content-Length: 5000000\r\n\r\n" + "z" * 5_000_000
         assert (await raw(large_body, wait_s=5.0)).startswith(b"HTTP/1.1 413")
         assert fleet.arrivals == []
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_caller_that_sends_slowly_is_told_and_let_go():
-    """Many callers that send a byte now and then would hold every connection."""
+    """Guards against slow callers that occupy all connections for long."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         answer = await raw("POST /look/1 HT", wait_s=4.0)
         assert answer.startswith(b"HTTP/1.1 408")
         answer = await raw(HEAD % "r-1" + "Content-Length: 10\r\n\r\nab", wait_s=4.0)
         assert answer.startswith(b"HTTP/1.1 408")
         assert fleet.arrivals == []
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_an_idle_connection_is_kept_for_as_long_as_was_promised():
-    async def story(fleet):
+    async def scenario(fleet):
         caller = await Caller().open()
         first = await caller.ask("/look/1", "r-1", method="GET")
         assert first.headers["keep-alive"] == "timeout=15"
@@ -124,59 +126,59 @@
         await asyncio.sleep(15.5)
         assert await caller.reader.read() == b""
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_requests_behind_each_other_on_one_connection_are_answered_in_turn():
-    async def story(fleet):
+    async def scenario(fleet):
         sent = "".join(HEAD % f"r-{n}" + "Content-Length: 0\r\n\r\n" for n in range(3))
         answer = await raw(sent)
         assert answer.count(b"HTTP/1.1 200") == 3
         assert [a.request_id for a in fleet.arrivals] == ["r-0", "r-1", "r-2"]
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_caller_that_asks_first_is_told_to_go_on():
-    async def story(fleet):
+    async def scenario(fleet):
         head = HEAD % "r-1" + "Content-Length: 2\r\nExpect: 100-continue\r\n\r\n"
         answer = await raw(head, "ok", pause_s=0.1)
         assert answer.startswith(b"HTTP/1.1 100") and b"HTTP/1.1 200" in answer
         assert runs_of(fleet, "r-1")[0].body == b"ok"
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_fields_of_one_connection_are_not_passed_on():
-    async def story(fleet):
+    async def scenario(fleet):
         fields = {"Connection": "X-Private", "X-Private": "1", "X-Public": "2"}
         await call("/look/1", "r-1", fields=fields)
         arrived = fleet.arrivals[0].fields
         assert arrived["x-public"] == "2"
         assert "x-private" not in arrived
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_a_stop_cuts_no_request():
-    """The gateway is told to stop while it streams, and a caller's next request
-    comes on a kept connection. The stream is finished, the caller is asked to leave,
-    and the process ends by itself.
+    """The gateway is shut down while it streams, and a caller's next request comes on
+    a keep-alive connection. The stream is completed, the next response asks the caller
+    to close the connection, and the process exits by itself.
     """
     from tests.gateway_world import model_fields
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.events = 40
             server.behaviour.gap_s = 0.1
-        kept = await Caller().open()
-        await kept.ask("/look/1", "r-0", method="GET")
+        caller = await Caller().open()
+        await caller.ask("/look/1", "r-0", method="GET")
         stream = asyncio.create_task(call("/draft/1", "r-1", fields=model_fields("k")))
         await asyncio.sleep(0.5)
         stop = asyncio.create_task(fleet.stop_gateway("gateway-0"))
         await asyncio.sleep(0.5)
         assert not fleet.gateways["gateway-0"].is_ready()
-        late = await kept.ask("/look/1", "r-2", method="GET")
+        late = await caller.ask("/look/1", "r-2", method="GET")
         assert late.status == 200 and late.headers["connection"] == "close"
         fresh = await call("/look/1", "r-3", method="GET")
         assert fresh.status == 200
@@ -184,16 +186,17 @@
         assert answer.complete and answer.body.count(b"id:") == 40
         await stop
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 def test_nothing_is_taken_that_could_not_be_finished():
-    """A caller whose stream began before the stop was not asked to leave. Its next
-    request on the same connection would come seconds later and be cut by the end.
+    """A stream that began before the shutdown did not ask the caller to close the
+    connection. Without a close after the stream, the caller's next request on it would
+    come seconds later and be interrupted by the exit of the process.
     """
     from tests.gateway_world import model_fields
 
-    async def story(fleet):
+    async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.events = 40
             server.behaviour.gap_s = 0.1
@@ -206,20 +209,20 @@
         assert await caller.reader.read() == b""
         await stop
 
-    run_fleet(story)
+    run_fleet(scenario)
 
 
 @pytest.mark.parametrize("grace_s", [1.0, 2.0, 8.0])
 def test_a_gateway_is_gone_before_its_time_to_leave_ends(grace_s):
-    """Guards against a stop that takes callers for longer than the process has."""
+    """Guards against a shutdown that outlasts the grace period of the process."""
 
-    async def story(fleet):
-        kept = await Caller().open()
-        await kept.ask("/look/1", "r-0", method="GET")
+    async def scenario(fleet):
+        caller = await Caller().open()
+        await caller.ask("/look/1", "r-0", method="GET")
         began_s = asyncio.get_running_loop().time()
         await fleet.stop_gateway("gateway-0")
         assert asyncio.get_running_loop().time() - began_s < grace_s
-        # The caller was let go, not cut by the end of the process.
-        assert await kept.reader.read() == b""
+        # The connection was closed properly, not reset by the exit of the process.
+        assert await caller.reader.read() == b""
 
-    run_fleet(story, grace_s=grace_s)
+    run_fleet(scenario, grace_s=grace_s)
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other, and what they may conclude from it."""
+"""Gossip between gateways, and what a gateway may conclude from it."""
 
 import asyncio
 
@@ -77,9 +77,10 @@
 
 
 def test_a_member_of_an_earlier_release_is_known():
-    """A fleet is upgraded one gateway after the other. Those of the earlier release
-    write no zone; left out, they would not count among those that share the retry
-    budget, and all together would send more repeats than are promised.
+    """Gateways of the earlier release write no zone into their member records.
+
+    If these records were rejected during a rolling upgrade, the gateways would not be
+    counted when the retry budget is split, and all together would exceed it.
     """
     old = read_member("gateway-7", b'{"host": "10.0.1.8", "port": 8002}')
     assert old == MemberRecord("gateway-7", "10.0.1.8", 8002, "")
@@ -90,19 +91,19 @@
 
 
 def test_gateways_find_each_other():
-    async def story(fleet):
+    async def scenario(fleet):
         for name, running in fleet.gateways.items():
             assert running.gateway.peers == frozenset(fleet.gateways) - {name}
 
-    run_fleet(story, gateways=3)
+    run_fleet(scenario, gateways=3)
 
 
 def test_a_gateway_that_the_log_turns_away_serves_by_its_peers_word():
-    """The log refuses one machine and serves the others. That machine cannot learn
-    by itself whether a key was taken away; its peers know, and it goes on serving.
+    """The log rejects one gateway and serves the others. That gateway cannot find out
+    by itself whether an API key was revoked. Its peers can, so it continues to serve.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "busy"
         fleet.store.refused_callers = frozenset({"gateway-0"})
@@ -111,16 +112,16 @@
             assert answer.status == 200
             await asyncio.sleep(0.1)
 
-    run_fleet(story, gateways=3)
+    run_fleet(scenario, gateways=3)
 
 
 def test_a_peers_word_is_not_taken_for_decisions_that_it_knows_and_we_do_not():
-    """A key is taken away while the log turns one machine away. Its peers know a
-    newer decision, and it cannot ask them for it; their word that they are up to
-    date says nothing of ours.
+    """An API key is revoked while the log rejects one gateway. Its peers have the newer
+    revision, which it cannot get from them. Their reports that they are up to date must
+    not confirm its older view.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.gateways["gateway-0"].metadata.members = dict
         fleet.store.down = "busy"
@@ -137,16 +138,16 @@
         assert last_served_s - published_s < 5.0
         assert answer.status == 503
 
-    run_fleet(story, gateways=3)
+    run_fleet(scenario, gateways=3)
 
 
 def test_a_report_that_waited_in_a_queue_confirms_nothing():
-    """A report lies in a socket while its receiver is suspended. Read afterwards it
-    would make old beliefs look fresh, and a key that was taken away meanwhile would
-    be honoured. Only an answer to an own question counts.
+    """A report waits in a socket while the receiver is suspended. If it confirmed the
+    receiver's old view afterwards, an API key that was revoked meanwhile would still be
+    accepted. Only a reply that echoes a local request counts.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(1.0)
         beliefs = fleet.gateways["gateway-0"].gateway.beliefs
         stale = GatewayReport(
@@ -171,36 +172,36 @@
         await asyncio.sleep(0.01)
         assert beliefs.confirmed_boot_s == before
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_bytes_from_strangers_are_left():
-    async def story(fleet):
+    async def scenario(fleet):
         for data in (b"", b"\x00" * 64, b"hello", bytes(range(200))):
             fleet.network.carry("10.9.9.9", data, ("10.0.1.1", PEER_PORT))
         await asyncio.sleep(0.1)
         assert (await call("/look/1", "r-1", method="GET")).status == 200
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_limits_are_shared_by_as_many_gateways_as_there_may_be():
-    async def story(fleet):
+    async def scenario(fleet):
         fleet.network.cut.update({"10.0.1.1", "10.0.1.2", "10.0.1.3"})
         await asyncio.sleep(20.0)
         assert fleet.gateways["gateway-0"].gateway.gateway_count == 3
 
-    run_fleet(story, gateways=3)
+    run_fleet(scenario, gateways=3)
 
 
 def test_a_gateway_that_knows_no_members_yet_spares_cold_endpoints():
-    """All gateways are killed and start again at the same moment, beside an endpoint in
-    its cold start. Until each knows the others, none can tell which part of its rate is
-    its own: taken whole by each, the endpoint gets five times what it bears and falls
-    over.
+    """All gateways are killed and restarted at the same time, while an endpoint is in
+    its cold start. Until a gateway has the member list, it does not know its share of
+    the endpoint's rate. If each gateway used the complete rate, the endpoint would
+    receive five times its capacity and fail.
     """
 
-    async def story(fleet):
+    async def scenario(fleet):
         await fleet.add_endpoint(
             report("cold", "model", 80, slots=64, cold_remaining_s=2.0)
         )
@@ -223,7 +224,7 @@
         assert cold_part(gateway, work, state, now_s) == 0
         assert gateway.gateway_count == ASSUMED_GATEWAYS
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 @given(
@@ -240,36 +241,36 @@
 
 
 def test_a_long_prompt_at_one_gateway_is_known_to_the_other():
-    async def story(fleet):
+    async def scenario(fleet):
         await asyncio.sleep(1.5)
         fields = model_fields(tokens=60_000)
         await call("/draft/1", "r-1", fields=fields)
-        asked = next(a.instance for a in fleet.arrivals)
+        instance = next(a.instance for a in fleet.arrivals)
         other = fleet.gateways["gateway-1"].gateway
-        state = other.states.find(endpoint_id(asked))
+        state = other.states.find(endpoint_id(instance))
         assert state.backlog.told
         assert any(state.holds(part_key(m, "subject")) for m in ("small", "large"))
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
 
 
 def test_after_a_burst_shorter_prompts_are_told_again():
-    """Guards against a threshold that only longer prompts could bring down."""
+    """Guards against a threshold that stays high until longer prompts arrive."""
     sent = []
-    news = WorkNews(lambda: range(200), lambda data, _: sent.append(data), None, None)
+    gossip = WorkNews(lambda: range(200), lambda data, _: sent.append(data), None, None)
     for step in range(200):
-        news.tell(WorkSent(1, 5.0, ()), step * 0.01)
-    assert news.threshold.least_s > 0.5
+        gossip.tell(WorkSent(1, 5.0, ()), step * 0.01)
+    assert gossip.threshold.least_s > 0.5
     sent.clear()
     for step in range(10):
-        news.tell(WorkSent(1, 0.3, ()), 60.0 + step)
+        gossip.tell(WorkSent(1, 0.3, ()), 60.0 + step)
     assert sent
 
 
 def test_word_of_impossible_work_is_left():
-    """Guards against a faulty peer that makes an endpoint look busy for ever."""
+    """Guards against a faulty peer that makes an endpoint look busy forever."""
 
-    async def story(fleet):
+    async def scenario(fleet):
         gateway = fleet.gateways["gateway-0"].gateway
         for work_s in (float("nan"), float("inf"), -1.0, 1e9):
             data = encode(WorkSent(endpoint_id("model-0"), work_s, ()))
@@ -279,4 +280,4 @@
         for state in gateway.states.all():
             assert state.backlog.wait_s(now_s, 0.0) == 0.0
 
-    run_fleet(story, gateways=2)
+    run_fleet(scenario, gateways=2)
--- a/tests/test_platform_engine.py
+++ b/tests/test_platform_engine.py
@@ -1,4 +1,4 @@
-"""The engine adapter: whole answers, and a type for every other end."""
+"""The engine adapter: complete answers, and a typed refusal for every failure."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 VERSION = "guide-small@1"
 BODY = {"messages": [{"role": "user", "content": "how is the creek"}], "max_tokens": 9}
-WHOLE = "".join(generated_tokens(VERSION, BODY))
+COMPLETE_TEXT = "".join(generated_tokens(VERSION, BODY))
 
 
 def call(request_id="r1", **fields):
@@ -29,7 +29,7 @@
 
 
 def with_engine(use, **profile):
-    """Run ``use(engine, state)`` against a stand-in."""
+    """Run ``use(engine, state)`` with an engine stand-in."""
     state = EngineState({VERSION}, EngineProfile(**profile))
 
     async def run():
@@ -43,7 +43,7 @@
 
 
 def events_of(stream, faults=None, **fields):
-    """Return all events of one call under some faults."""
+    """Return all events of one call with the given faults injected."""
 
     async def use(engine, state):
         for name, value in (faults or {}).items():
@@ -60,7 +60,7 @@
 @pytest.mark.parametrize("stream", [False, True])
 def test_a_whole_answer_ends_with_a_finish_and_its_usage(stream):
     events = events_of(stream)
-    assert text_of(events) == WHOLE
+    assert text_of(events) == COMPLETE_TEXT
     assert isinstance(events[-1], EngineFinish)
     assert events[-1].completion_tokens == 9
     assert events[-1].finish_reason == "stop"
@@ -69,7 +69,7 @@
 def test_a_resumed_stream_goes_on_after_the_tokens_already_had():
     events = events_of(True, resume_from_tokens=4)
     head = "".join(generated_tokens(VERSION, BODY)[:4])
-    assert head + text_of(events) == WHOLE
+    assert head + text_of(events) == COMPLETE_TEXT
 
 
 @pytest.mark.parametrize("stream", [False, True])
@@ -85,9 +85,9 @@
     ],
 )
 def test_a_broken_answer_ends_with_its_type(stream, fault, reason):
-    # An engine sends someone else's answer, breaks off, falls silent or talks
-    # nonsense. Relayed as it is, a swimmer would read a stranger's chat or half a
-    # creek report as the whole; each case has to end as a typed failure instead.
+    # An engine sends the answer to another request, stops early, stalls or sends
+    # garbage. Passed on unchecked, a caller would see another user's chat or take half
+    # an answer for a complete one. Each case has to end with a typed failure instead.
     events = events_of(stream, {fault: 1}, stall_s=0.1, timeout_s=0.5)
     end = events[-1]
     assert isinstance(end, Refusal)
@@ -95,12 +95,12 @@
         fault == "dropped" and end.reason is Reason.ANSWER_TRUNCATED
     )
     assert not end.not_run
-    assert WHOLE.startswith(text_of(events))
+    assert COMPLETE_TEXT.startswith(text_of(events))
     assert not any(isinstance(event, EngineFinish) for event in events)
 
 
 def test_a_caller_that_leaves_cancels_the_call_in_the_engine():
-    # Without the cancellation the engine would go on writing for nobody.
+    # Without the cancellation the engine would continue to generate unused tokens.
     async def use(engine, state):
         async def read_two():
             events = engine.generate(call(stream=True))
@@ -150,8 +150,8 @@
 
 
 def test_a_cold_engine_that_is_overrun_falls_over():
-    # A freshly started engine bears little. Given a full load at once it loses all
-    # of it and starts anew, and callers see their streams break.
+    # A freshly started engine has little capacity. Under full load it fails all its
+    # requests and restarts, and callers see their streams break.
     async def use(engine, state):
         state.turn_cold(asyncio.get_running_loop().time())
 
@@ -180,8 +180,9 @@
 
 @pytest.mark.parametrize("refuses", [True, False])
 def test_an_old_fence_is_refused_by_engines_that_mind_it(refuses):
-    # Two sidecars order one engine, the first one paused past its lease. An engine
-    # that ignores fencing numbers obeys it all the same; callers must know.
+    # Two sidecars send orders to one engine; the first was paused beyond its lease. An
+    # engine that ignores fencing numbers still executes the stale order, so callers
+    # have to know which kind of engine they use.
     async def use(engine, state):
         new = EngineOrder(7, EngineAction.LOAD_VERSION, "guide-small@2")
         old = EngineOrder(6, EngineAction.UNLOAD_VERSION, "guide-small@2")
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -1,4 +1,4 @@
-"""What the HTTP client does with lost, cancelled and cut exchanges."""
+"""The HTTP client with lost, cancelled and truncated exchanges."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 async def drop_second(request):
-    """Answer the first request of a connection and drop the later ones."""
+    """Respond to the first request of a connection and drop the later ones."""
     return response(b"ok") if request.number == 1 else None
 
 
@@ -35,8 +35,9 @@
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE"])
 def test_the_library_sends_an_idempotent_method_again_on_a_reused_connection(method):
-    # A server takes a booking and drops the connection before it answers. The
-    # library resends methods that the HTTP standard calls idempotent: two bookings.
+    # A server executes a booking and drops the connection before it responds. The
+    # library resends methods that the HTTP standard defines as idempotent: this makes
+    # two bookings.
     async def run():
         client = HTTPClient()
         async with raw_server(drop_second) as server:
@@ -63,8 +64,8 @@
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "PATCH"])
 def test_a_call_that_may_not_be_repeated_is_sent_once(method):
-    # The service loses every connection after it has read the call. A client that
-    # tried again would book twice; the caller has to hear that nothing is known.
+    # The service drops each connection after it has read the request. A client that
+    # retried would book twice. The call has to fail with an unknown outcome instead.
     async def drop(request):
         return response(b"ok") if request.path == "/a" else None
 
@@ -93,9 +94,9 @@
 
 
 def test_a_timeout_after_sending_leaves_the_outcome_unknown():
-    # The service has the booking and says nothing until the deadline is over. On a
-    # busy machine a short deadline may end before a byte was sent, and "not run" is
-    # then true; so the deadline grows until the service has the booking for certain.
+    # The service receives the booking and does not respond before the deadline. On a
+    # busy machine a short deadline may expire before a byte was sent, and "not run" is
+    # then correct. So the deadline is raised until the service has the booking.
     received = asyncio.Event()
 
     async def silent(request):
@@ -117,9 +118,9 @@
 
 @pytest.mark.parametrize("safe", [False, True])
 def test_a_cancelled_request_leaves_no_answer_for_the_next(safe):
-    # A caller leaves while its request waits on a reused connection. The library
-    # keeps that connection, and the next caller is given the answer to the first
-    # request. Ours closes it. The library's own behaviour stands here to show why.
+    # A caller cancels its request on a reused connection. The library keeps that
+    # connection open, and the next caller receives the response to the first request.
+    # ``open_client`` closes it. The library's behaviour is tested to show the need.
     async def slow(request):
         if request.path == "/slow":
             await asyncio.sleep(0.05)
@@ -129,11 +130,11 @@
         client = open_client() if safe else HTTPClient()
         async with raw_server(slow) as server:
             await client.request(server.url + "/a", "GET")
-            leaving = asyncio.create_task(client.request(server.url + "/slow", "GET"))
+            cancelled = asyncio.create_task(client.request(server.url + "/slow", "GET"))
             while server.methods("/slow") == []:
                 await asyncio.sleep(0.001)
-            leaving.cancel()
-            await asyncio.wait([leaving])
+            cancelled.cancel()
+            await asyncio.wait([cancelled])
             answer = await client.request(server.url + "/next", "GET")
             text = await answer.text()
             await client.aclose()
@@ -154,13 +155,13 @@
     ],
 )
 def test_a_cut_answer_is_never_taken_for_a_whole_one(cut):
-    # The service dies while it answers. A caller must not be given half a booking
-    # confirmation, nor an empty one, as if it were the answer.
-    async def answer(request):
+    # The service fails while it responds. A caller must not receive a partial or empty
+    # booking confirmation as if it were complete.
+    async def respond(request):
         return cut
 
     async def run():
-        async with raw_server(answer) as server:
+        async with raw_server(respond) as server:
             return await service_call(server.url)
 
     outcome = asyncio.run(run())
@@ -169,14 +170,14 @@
 
 
 def test_a_connection_that_the_server_has_closed_is_not_used_again():
-    # Servers close idle connections. A call sent into a closed one is lost, and a
-    # POST is not sent again: the caller would see a failure for no reason.
-    async def answer_and_close(request):
+    # Servers close idle connections. A request sent on a closed connection is lost, and
+    # a POST is not resent, so the call would fail without need.
+    async def respond_and_close(request):
         return b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok"
 
     async def run():
         client = open_client()
-        async with raw_server(answer_and_close) as server:
+        async with raw_server(respond_and_close) as server:
             await client.request(server.url + "/a", "GET")
             while not server.closed:
                 await asyncio.sleep(0.001)
@@ -188,8 +189,8 @@
     assert asyncio.run(run()) == (200, 2)
 
 
-class ClosedByItsLimit:
-    """Says that the connection is lost when the time is up, as the client may."""
+class ClosedAtDeadline:
+    """Reports a lost connection at the deadline, as the client may do."""
 
     async def request(self, *args, **kwargs):
         try:
@@ -199,10 +200,10 @@
 
 
 def test_a_connection_closed_by_the_deadline_is_told_as_the_deadline():
-    # On a busy machine the client notices that its connection was closed before it
-    # notices that it was cancelled. The caller read "connection lost" of a call that
-    # had run out of time.
-    client = ClosedByItsLimit()
+    # On a busy machine the client may detect the closed connection before its own
+    # cancellation. The caller then saw "connection lost" for a call whose deadline had
+    # expired.
+    client = ClosedAtDeadline()
     service = HttpService("http://127.0.0.1:1", client, client)
     call = ServiceCall("r-1", "POST", "/shuttles", timeout_s=0.05)
     outcome = asyncio.run(service.call(call))
--- a/tests/test_platform_records.py
+++ b/tests/test_platform_records.py
@@ -1,4 +1,4 @@
-"""Names and formats of the users' platform: what is written is what is read."""
+"""Names and formats of the users' platform: encoding, decoding and invalid input."""
 
 import pytest
 from attrs import evolve
