--- a/acaciacove/gateway/http/connection_pool.py
+++ b/acaciacove/gateway/http/connection_pool.py
@@ -12,7 +12,7 @@
 # retried. The outcome of a non-idempotent one would be unknown, so it needs a larger
 # margin.
 REUSE_SHARE = 0.8
-REUSE_SHARE_ONCE = 0.4
+REUSE_SHARE_NON_IDEMPOTENT = 0.4
 
 
 class ConnectionPool:
@@ -26,9 +26,13 @@
         self.open_count = 0
         self.handshakes = 0
 
-    async def take(self, once: bool, timeout_s: float) -> EndpointConnection:
+    async def acquire(
+        self, non_idempotent: bool, timeout_s: float
+    ) -> EndpointConnection:
         """Return an idle or a new connection; raises ConnectFailedError."""
-        kept = self._take_idle(REUSE_SHARE_ONCE if once else REUSE_SHARE)
+        kept = self._pop_idle(
+            REUSE_SHARE_NON_IDEMPOTENT if non_idempotent else REUSE_SHARE
+        )
         if kept is not None:
             return kept
         self.open_count += 1
@@ -39,13 +43,13 @@
             self.open_count -= 1
             raise
 
-    async def check(self, timeout_s: float) -> None:
+    async def check_connect(self, timeout_s: float) -> None:
         """Open a connection and abort it; raises ConnectFailedError."""
         self.handshakes += 1
         connection = await connect(self._host, self._port, timeout_s)
         connection.abort()
 
-    def _take_idle(self, share: float) -> EndpointConnection | None:
+    def _pop_idle(self, share: float) -> EndpointConnection | None:
         now_s = asyncio.get_running_loop().time()
         while self._idle:
             connection = self._idle.pop()
@@ -55,9 +59,9 @@
             self._discard(connection)
         return None
 
-    def give_back(self, connection: EndpointConnection, reusable: bool) -> None:
+    def release(self, connection: EndpointConnection, reusable: bool) -> None:
         """Return a connection to the pool if it is reusable, else close it."""
-        if reusable and connection.finish():
+        if reusable and connection.finish_exchange():
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
             return
@@ -68,7 +72,7 @@
         connection.abort()
         self.open_count -= 1
 
-    def trim(self) -> None:
+    def close_expired(self) -> None:
         """Discard idle connections that are closed or past their idle timeout."""
         now_s = asyncio.get_running_loop().time()
         kept: deque[EndpointConnection] = deque()
--- a/acaciacove/gateway/http/dialect.py
+++ b/acaciacove/gateway/http/dialect.py
@@ -4,9 +4,9 @@
 
 from attrs import frozen
 
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.caller_hints import CallerHints
 from acaciacove.gateway.http.forward_hints import ForwardHints
+from acaciacove.gateway.http.response_head import ResponseHead
 
 RawHeaders = Sequence[tuple[bytes, bytes]]
 
@@ -23,5 +23,5 @@
 
     read_hints: Callable[[RawHeaders], CallerHints]
     forward_headers: Callable[[RawHeaders, ForwardHints], list[tuple[bytes, bytes]]]
-    read_answer: Callable[[int, bytes, RawHeaders], AnswerHead]
+    read_response: Callable[[int, bytes, RawHeaders], ResponseHead]
     readiness_path: str
--- a/acaciacove/gateway/http/endpoint_connection.py
+++ b/acaciacove/gateway/http/endpoint_connection.py
@@ -9,17 +9,17 @@
 
 from acaciacove.gateway.http.connection import HttpConnection
 from acaciacove.gateway.http.errors import (
-    BadAnswerError,
     ConnectFailedError,
     ConnectionLostError,
     ConnectRefusedError,
+    InvalidResponseError,
 )
 
-MAX_ANSWER_HEADER_BYTES = 65_536
+MAX_RESPONSE_HEADER_BYTES = 65_536
 # How long sent bytes may stay unacknowledged. A host that has lost power sends
 # nothing, not even a reset, and a send would hang for minutes without this bound.
 # It is long enough for three round trips on a lossy link and shorter than callers wait.
-UNACKNOWLEDGED_LIMIT_MS = 1_500
+TCP_USER_TIMEOUT_MS = 1_500
 
 
 class EndpointConnection(HttpConnection):
@@ -27,7 +27,7 @@
 
     def __init__(self) -> None:
         """Start unconnected and unused."""
-        super().__init__(h11.CLIENT, MAX_ANSWER_HEADER_BYTES)
+        super().__init__(h11.CLIENT, MAX_RESPONSE_HEADER_BYTES)
         self.idle_since_s = 0.0
         self.idle_timeout_s: float | None = None
         self.busy = False
@@ -56,7 +56,7 @@
         except h11.LocalProtocolError as error:
             raise ConnectionLostError(f"cannot send the request: {error}") from error
 
-    async def next_answer_event(self) -> Any:
+    async def next_response_event(self) -> Any:
         """Return the next event of the response.
 
         Raises InvalidResponseError for a protocol error.
@@ -64,7 +64,7 @@
         try:
             event = await self.next_event()
         except h11.RemoteProtocolError as error:
-            raise BadAnswerError(
+            raise InvalidResponseError(
                 f"the endpoint's response is not valid HTTP: {error}"
             ) from error
         if isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
@@ -73,14 +73,14 @@
             )
         return event
 
-    async def skip_answer(self) -> None:
+    async def skip_response(self) -> None:
         """Skip a response that belongs to an earlier request.
 
         A late second response may arrive where the response to the current request
         is expected. It is read to its end and dropped, and a new state machine
         continues with the bytes after it.
         """
-        while not isinstance(await self.next_answer_event(), h11.EndOfMessage):
+        while not isinstance(await self.next_response_event(), h11.EndOfMessage):
             pass
         rest, closed = self.h11.trailing_data
         if closed and not rest:
@@ -90,15 +90,15 @@
             )
         assert self._request is not None
         self.h11 = h11.Connection(
-            h11.CLIENT, max_incomplete_event_size=MAX_ANSWER_HEADER_BYTES
+            h11.CLIENT, max_incomplete_event_size=MAX_RESPONSE_HEADER_BYTES
         )
         self.h11.send(self._request)
         if self.h11.our_state is h11.SEND_BODY:
-            self._finish_body_silently()
+            self._replay_request_body()
         if rest:
             self.h11.receive_data(rest)
 
-    def _finish_body_silently(self) -> None:
+    def _replay_request_body(self) -> None:
         """Bring the new state machine to the end of the request that was sent."""
         assert self._request is not None
         length = dict(self._request.headers).get(b"content-length", b"0")
@@ -106,7 +106,7 @@
             self.h11.send(h11.Data(data=bytes(int(length))))
         self.h11.send(h11.EndOfMessage())
 
-    def finish(self) -> bool:
+    def finish_exchange(self) -> bool:
         """End an exchange; returns whether the connection is reusable."""
         self.busy = False
         rest, _ = self.h11.trailing_data
@@ -136,11 +136,11 @@
             f"cannot connect to {host}:{port} within {timeout_s} s: "
             f"{type(error).__name__}: {error}"
         ) from error
-    bound_unacknowledged(connection)
+    set_tcp_user_timeout(connection)
     return connection
 
 
-def bound_unacknowledged(connection: HttpConnection) -> None:
+def set_tcp_user_timeout(connection: HttpConnection) -> None:
     """Have the kernel close the connection if sent bytes stay unacknowledged."""
     if connection.transport is None:
         return
@@ -148,5 +148,5 @@
     # Sockets of a virtual event loop have no such option.
     with contextlib.suppress(OSError, AttributeError):
         sock.setsockopt(
-            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_LIMIT_MS
+            socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS
         )
--- a/acaciacove/gateway/http/errors.py
+++ b/acaciacove/gateway/http/errors.py
@@ -15,7 +15,7 @@
     """The host is reachable but nothing listens on the port."""
 
 
-class BadAnswerError(AcaciacoveError):
+class InvalidResponseError(AcaciacoveError):
     """An endpoint sent bytes that are not a valid response to the request."""
 
 
@@ -28,5 +28,5 @@
         self.status = status
 
 
-class CallerGoneError(AcaciacoveError):
+class CallerDisconnectedError(AcaciacoveError):
     """The caller closed its connection before its response was complete."""
--- a/acaciacove/gateway/http/front_connection.py
+++ b/acaciacove/gateway/http/front_connection.py
@@ -12,7 +12,7 @@
 from acaciacove.gateway.http.dialect import Dialect
 from acaciacove.gateway.http.errors import (
     BadRequestError,
-    CallerGoneError,
+    CallerDisconnectedError,
     ConnectionLostError,
 )
 
@@ -24,8 +24,8 @@
 HEADER_TOO_LARGE_STATUS = 431
 BAD_REQUEST_STATUS = 400
 # How long the connection stays open for a refused caller to read the refusal.
-LINGER_S = 1.0
-LINGER_STEP_S = 0.05
+LINGER_TIMEOUT_S = 1.0
+LINGER_POLL_S = 0.05
 # Bytes of a header line in addition to name and value: ": " and CRLF.
 LINE_OVERHEAD_BYTES = 4
 
@@ -43,7 +43,7 @@
         serve: Serve,
         dialect: Dialect,
         limits: Callable[[], CallerLimits],
-        is_leaving: Callable[[], bool],
+        is_draining: Callable[[], bool],
         connections: set["FrontConnection"],
     ) -> None:
         """Start unconnected.
@@ -56,13 +56,13 @@
         self._serve = serve
         self._dialect = dialect
         self._limits = limits
-        self._is_leaving = is_leaving
+        self._is_draining = is_draining
         self._connections = connections
         self._task: asyncio.Task[None] | None = None
         self._first_byte_s: float | None = None
         self._discarding = False
         self.serving = False
-        self.answer_started = False
+        self.response_started = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Start the task that serves this connection."""
@@ -91,7 +91,7 @@
         if self._task is not None:
             self._task.cancel()
 
-    def end_if_idle(self) -> None:
+    def close_if_idle(self) -> None:
         """Close the connection if no request is being read or served."""
         if not self.serving and self._first_byte_s is None:
             self.close()
@@ -101,7 +101,7 @@
             while await self._serve_one():
                 pass
             self.close()
-        except (ConnectionLostError, CallerGoneError, asyncio.CancelledError):
+        except (ConnectionLostError, CallerDisconnectedError, asyncio.CancelledError):
             self.abort()
         except BaseException:
             self.abort()
@@ -112,12 +112,12 @@
         try:
             request = await self._read_request()
         except BadRequestError as error:
-            await self._refuse_unread(error)
+            await self._refuse_bad_request(error)
             return False
         if request is None:
             return False
         self.serving = True
-        self.answer_started = False
+        self.response_started = False
         try:
             await self._serve(request, self)
         finally:
@@ -125,12 +125,12 @@
         return self._prepare_next()
 
     def _prepare_next(self) -> bool:
-        if self._is_leaving():
+        if self._is_draining():
             # A response that started before the shutdown carried no "Connection:
             # close". The caller would reuse the connection, and the exit of the
             # process would interrupt that request.
             return False
-        if self.h11.our_state is not h11.DONE or self._end_seen:
+        if self.h11.our_state is not h11.DONE or self._eof_seen:
             return False
         if self.h11.their_state is not h11.DONE:
             return False
@@ -188,10 +188,10 @@
         try:
             async with asyncio.timeout(limits.idle_timeout_s):
                 while self._first_byte_s is None:
-                    if self.lost or self._end_seen:
+                    if self.lost or self._eof_seen:
                         return False
-                    self._arrived.clear()
-                    await self._arrived.wait()
+                    self._input_ready.clear()
+                    await self._input_ready.wait()
         except TimeoutError:
             return False
         return True
@@ -234,7 +234,7 @@
             status = error.error_status_hint or BAD_REQUEST_STATUS
             raise BadRequestError(status, f"invalid HTTP request: {error}") from error
 
-    async def _refuse_unread(self, error: BadRequestError) -> None:
+    async def _refuse_bad_request(self, error: BadRequestError) -> None:
         """Respond to an unacceptable request with an error, and close.
 
         Bytes that follow such a request on the connection cannot be told from a
@@ -251,9 +251,9 @@
         self.send(h11.Response(status_code=error.status, headers=headers))
         self.send(h11.Data(data=body))
         self.send(h11.EndOfMessage())
-        await self._let_caller_read()
+        await self._linger()
 
-    async def _let_caller_read(self) -> None:
+    async def _linger(self) -> None:
         """Discard further input for a while, so that the caller can read the refusal.
 
         Closing a socket that has unread input sends a reset, which can overtake the
@@ -265,19 +265,19 @@
             self.transport.write_eof()
         self._resume_reading()
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + LINGER_S
-        while not (self.lost or self._end_seen) and loop.time() < until_s:
-            await asyncio.sleep(LINGER_STEP_S)
+        until_s = loop.time() + LINGER_TIMEOUT_S
+        while not (self.lost or self._eof_seen) and loop.time() < until_s:
+            await asyncio.sleep(LINGER_POLL_S)
 
     #
     # Response methods for ``serve``
     #
 
-    def start(self, status: int, reason: bytes, headers: Headers) -> None:
+    def start_response(self, status: int, reason: bytes, headers: Headers) -> None:
         """Send the head of the response."""
-        self.answer_started = True
+        self.response_started = True
         headers = list(headers)
-        if self._is_leaving():
+        if self._is_draining():
             headers.append((b"Connection", b"close"))
         else:
             idle_s = int(self._limits().idle_timeout_s)
@@ -291,11 +291,11 @@
         self._send_to_caller(h11.Data(data=data))
         await self.drain()
 
-    def finish(self) -> None:
+    def finish_response(self) -> None:
         """Send the end of the response."""
         self._send_to_caller(h11.EndOfMessage())
 
-    def break_off(self) -> None:
+    def abort_response(self) -> None:
         """Abort the connection, so that the response does not look complete."""
         self.abort()
 
@@ -303,7 +303,7 @@
         try:
             self.send(event)
         except ConnectionLostError as error:
-            raise CallerGoneError(
+            raise CallerDisconnectedError(
                 "the caller closed its connection before the response was complete"
             ) from error
 
--- a/acaciacove/gateway/http/answer_head.py
+++ b/acaciacove/gateway/http/response_head.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class AnswerHead:
+class ResponseHead:
     """Status line and decoded header fields of a response.
 
     ``headers`` are the fields to pass on to the caller, without hop-by-hop fields.
@@ -22,7 +22,7 @@
     reason: bytes
     headers: tuple[tuple[bytes, bytes], ...]
     request_id: str | None
-    signed: bool
+    has_receipt: bool
     not_run: bool
     confidence: float | None
     load: tuple[int, int, int] | None
--- a/acaciacove/gateway/peers/datagrams.py
+++ b/acaciacove/gateway/peers/datagrams.py
@@ -4,10 +4,10 @@
 from collections.abc import Awaitable, Callable
 from typing import Any, Protocol
 
-Take = Callable[[bytes], None]
+OnDatagram = Callable[[bytes], None]
 
 
-class Datagrams(Protocol):
+class DatagramSocket(Protocol):
     """A datagram socket."""
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
@@ -23,11 +23,11 @@
         ...
 
 
-OpenDatagrams = Callable[[str, int, Take], Awaitable[Datagrams]]
+OpenDatagramSocket = Callable[[str, int, OnDatagram], Awaitable[DatagramSocket]]
 
 
 class _Receiver(asyncio.DatagramProtocol):
-    def __init__(self, on_datagram: Take) -> None:
+    def __init__(self, on_datagram: OnDatagram) -> None:
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: object) -> None:
@@ -38,7 +38,7 @@
         """Ignore a refused datagram: a peer that is down is detected by its silence."""
 
 
-async def open_udp(host: str, port: int, on_datagram: Take) -> Any:
+async def open_udp(host: str, port: int, on_datagram: OnDatagram) -> Any:
     """Open a UDP socket that passes each datagram to ``on_datagram``."""
     loop = asyncio.get_running_loop()
     transport, _ = await loop.create_datagram_endpoint(
--- a/acaciacove/gateway/peers/tell_few.py
+++ b/acaciacove/gateway/peers/gossip_sender.py
@@ -5,18 +5,18 @@
 
 from attrs import define, field
 
-from acaciacove.gateway.choice.sliding_count import SlidingCount
+from acaciacove.gateway.choice.sliding_window_counter import SlidingWindowCounter
 from acaciacove.gateway.peers.peer import Peer
 
 # Number of peers that an update is sent to; each forwards what is new to it.
 FANOUT = 3
 # Part of the control traffic of a process that updates may use in a sliding window.
-TOLD_BYTES = 60_000
-TOLD_WINDOW_S = 20.0
+MAX_WINDOW_BYTES = 60_000
+WINDOW_S = 20.0
 
 
 @define(eq=False)
-class TellFew:
+class GossipSender:
     """Sends updates while the byte budget of the sliding window lasts.
 
     ``send`` sends one datagram to a peer; ``members`` returns the possible receivers.
@@ -26,24 +26,28 @@
     send: Callable[[bytes, Peer], None]
     random: Random
     clock_s: Callable[[], float]
-    _told: SlidingCount = field(factory=lambda: SlidingCount(TOLD_WINDOW_S))
+    _sent_bytes: SlidingWindowCounter = field(
+        factory=lambda: SlidingWindowCounter(WINDOW_S)
+    )
 
-    def tell(self, data: bytes) -> None:
+    def send_update(self, data: bytes) -> None:
         """Send a datagram to a random subset of peers within the byte budget.
 
         State whose update is dropped here is sent along with later reports.
         """
         members = list(self.members())
-        self._tell(data, self.random.sample(members, min(FANOUT, len(members))))
+        self._send_within_budget(
+            data, self.random.sample(members, min(FANOUT, len(members)))
+        )
 
-    def tell_all(self, data: bytes) -> None:
+    def broadcast_update(self, data: bytes) -> None:
         """Send a datagram to all peers within the byte budget."""
-        self._tell(data, self.members())
+        self._send_within_budget(data, self.members())
 
-    def _tell(self, data: bytes, peers: Iterable[Peer]) -> None:
+    def _send_within_budget(self, data: bytes, peers: Iterable[Peer]) -> None:
         for peer in peers:
             now_s = self.clock_s()
-            if self._told.total(now_s) + len(data) > TOLD_BYTES:
+            if self._sent_bytes.total(now_s) + len(data) > MAX_WINDOW_BYTES:
                 return
-            self._told.add(now_s, len(data))
+            self._sent_bytes.add(now_s, len(data))
             self.send(data, peer)
--- a/acaciacove/gateway/peers/limit_talk.py
+++ b/acaciacove/gateway/peers/limit_gossip.py
@@ -11,14 +11,14 @@
 
 from attrs import define
 
-from acaciacove.gateway.choice.stated_limit import LIFE_S
+from acaciacove.gateway.choice.stated_limit import LIMIT_EXPIRY_S
 from acaciacove.gateway.endpoint_state import EndpointState
-from acaciacove.gateway.endpoint_states import EndpointStates, life_number
+from acaciacove.gateway.endpoint_states import EndpointStates, incarnation_id
 from acaciacove.gateway.event_log import EventLog
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.log_limit import log_limit
+from acaciacove.gateway.peers.gossip_sender import GossipSender
 from acaciacove.gateway.peers.peer import Peer
-from acaciacove.gateway.peers.tell_few import TellFew
 from acaciacove.messages.limit_news import LimitNews
 from acaciacove.messages.limit_seen import LimitSeen
 from acaciacove.wire.codec import encode
@@ -28,55 +28,63 @@
 
 
 @define(eq=False)
-class LimitTalk:
+class LimitGossip:
     """Sends endpoint limits to peers and applies those received."""
 
-    few: TellFew
+    sender: GossipSender
     states: EndpointStates
     log: EventLog
     random: Random
     clock_s: Callable[[], float]
 
-    def tell(self, state: EndpointState) -> None:
+    def send_update(self, state: EndpointState) -> None:
         """Send an endpoint's new or lifted limit to a subset of peers immediately."""
-        self.few.tell(encode(LimitNews((self._seen(state, self.clock_s()),))))
+        self.sender.send_update(
+            encode(LimitNews((self._limit_seen(state, self.clock_s()),)))
+        )
 
-    def take(self, update: LimitNews) -> None:
+    def apply(self, update: LimitNews) -> None:
         """Apply an update from a peer, and forward the limits that it changed here."""
         now_s = self.clock_s()
         changed = []
         for seen in update.limits:
-            if not _is_sound(seen):
+            if not _is_valid(seen):
                 detail = (
                     f"limit for endpoint {seen.endpoint} out of range:"
                     f" {seen.per_s} requests/s, {seen.age_s} s old"
                 )
                 self.log.write(Event.PEER_MESSAGE_UNREADABLE, detail=detail)
                 continue
-            state = self.states.find_life(seen.endpoint)
+            state = self.states.find_incarnation(seen.endpoint)
             if state is None:
                 continue
-            if state.limit.hear_told(seen.per_s, now_s - seen.age_s):
+            if state.stated_limit.apply_gossip(seen.per_s, now_s - seen.age_s):
                 changed.append(seen)
-                log_limit(self.log, state, told=True)
+                log_limit(self.log, state, from_peer=True)
         if changed:
-            self.few.tell(encode(LimitNews(tuple(changed))))
+            self.sender.send_update(encode(LimitNews(tuple(changed))))
 
-    def tell_some(self, peer: Peer) -> None:
+    def send_state(self, peer: Peer) -> None:
         """Send recently seen and lifted limits to a peer, along with a report."""
         now_s = self.clock_s()
-        recent = [s for s in self.states.all() if now_s - s.limit.seen_s < LIFE_S]
+        recent = [
+            s
+            for s in self.states.all()
+            if now_s - s.stated_limit.seen_s < LIMIT_EXPIRY_S
+        ]
         if len(recent) > MAX_LIMITS:
             recent = self.random.sample(recent, MAX_LIMITS)
         if recent:
-            limits = tuple(self._seen(state, now_s) for state in recent)
-            self.few.send(encode(LimitNews(limits)), peer)
+            limits = tuple(self._limit_seen(state, now_s) for state in recent)
+            self.sender.send(encode(LimitNews(limits)), peer)
 
-    def _seen(self, state: EndpointState, now_s: float) -> LimitSeen:
-        limit = state.limit
-        return LimitSeen(life_number(state.endpoint), limit.per_s, now_s - limit.seen_s)
+    def _limit_seen(self, state: EndpointState, now_s: float) -> LimitSeen:
+        limit = state.stated_limit
+        return LimitSeen(
+            incarnation_id(state.endpoint), limit.per_s, now_s - limit.seen_s
+        )
 
 
-def _is_sound(seen: LimitSeen) -> bool:
+def _is_valid(seen: LimitSeen) -> bool:
     per_s = 0.0 if seen.per_s is None else seen.per_s
     return per_s >= 0 and math.isfinite(per_s) and 0 <= seen.age_s < math.inf
--- a/acaciacove/gateway/peers/peer.py
+++ b/acaciacove/gateway/peers/peer.py
@@ -16,7 +16,7 @@
     host: str
     port: int
     availability_zone: str
-    known_s: float
+    last_seen_s: float
     incarnation: int = 0
-    heard_s: float = -1e9
-    heard_nonce: int = 0
+    last_report_s: float = -1e9
+    last_nonce: int = 0
--- a/acaciacove/platform/__main__.py
+++ b/acaciacove/platform/__main__.py
@@ -8,12 +8,12 @@
 
 import sys
 
-from acaciacove.platform.early_listener import open_front
+from acaciacove.platform.early_listener import open_front_socket
 
 
 def main() -> int:
     """Open the port for callers, read the settings, then serve."""
-    front = open_front()
+    front = open_front_socket()
     from acaciacove.platform.run_gateway import run_gateway
 
     return int(run_gateway(front))
--- a/tests/test_platform_http_client.py
+++ b/tests/test_platform_http_client.py
@@ -34,7 +34,7 @@
 
 
 @pytest.mark.parametrize("method", ["PUT", "DELETE"])
-def test_the_library_sends_an_idempotent_method_again_on_a_reused_connection(method):
+def test_library_resends_idempotent_methods_on_a_reused_connection(method):
     # A server executes a booking and drops the connection before it responds. The
     # library resends methods that the HTTP standard defines as idempotent: this makes
     # two bookings.
@@ -49,7 +49,7 @@
     assert asyncio.run(run()) == [method, method]
 
 
-def test_the_library_does_not_send_a_post_again():
+def test_library_does_not_resend_post():
     async def run():
         client = HTTPClient()
         async with raw_server(drop_second) as server:
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("method", ["POST", "PUT", "DELETE", "PATCH"])
-def test_a_call_that_may_not_be_repeated_is_sent_once(method):
+def test_non_repeatable_call_is_sent_once(method):
     # The service drops each connection after it has read the request. A client that
     # retried would book twice. The call has to fail with an unknown outcome instead.
     async def drop(request):
@@ -87,13 +87,13 @@
     assert not outcome.not_run
 
 
-def test_a_refused_connection_is_known_not_to_have_run():
+def test_refused_connection_reports_not_run():
     outcome = asyncio.run(service_call(UNUSED_PORT_URL))
     assert outcome.reason is Reason.CONNECTION_LOST
     assert outcome.not_run
 
 
-def test_a_timeout_after_sending_leaves_the_outcome_unknown():
+def test_timeout_after_sending_leaves_the_outcome_unknown():
     # The service receives the booking and does not respond before the deadline. On a
     # busy machine a short deadline may expire before a byte was sent, and "not run" is
     # then correct. So the deadline is raised until the service has the booking.
@@ -117,7 +117,7 @@
 
 
 @pytest.mark.parametrize("safe", [False, True])
-def test_a_cancelled_request_leaves_no_answer_for_the_next(safe):
+def test_cancelled_request_leaves_no_response_for_the_next(safe):
     # A caller cancels its request on a reused connection. The library keeps that
     # connection open, and the next caller receives the response to the first request.
     # ``open_client`` closes it. The library's behaviour is tested to show the need.
@@ -154,7 +154,7 @@
         b"not http at all\r\n\r\n",
     ],
 )
-def test_a_cut_answer_is_never_taken_for_a_whole_one(cut):
+def test_truncated_response_is_never_treated_as_complete(cut):
     # The service fails while it responds. A caller must not receive a partial or empty
     # booking confirmation as if it were complete.
     async def respond(request):
@@ -169,7 +169,7 @@
     assert not outcome.not_run
 
 
-def test_a_connection_that_the_server_has_closed_is_not_used_again():
+def test_connection_closed_by_the_server_is_not_reused():
     # Servers close idle connections. A request sent on a closed connection is lost, and
     # a POST is not resent, so the call would fail without need.
     async def respond_and_close(request):
@@ -199,7 +199,7 @@
             raise ConnectionDisconnected from None
 
 
-def test_a_connection_closed_by_the_deadline_is_told_as_the_deadline():
+def test_connection_closed_by_the_deadline_reports_the_deadline():
     # On a busy machine the client may detect the closed connection before its own
     # cancellation. The caller then saw "connection lost" for a call whose deadline had
     # expired.
