--- a/acaciacove/decisions/gossip_threshold.py
+++ b/acaciacove/decisions/gossip_threshold.py
@@ -14,11 +14,11 @@
 
 @define
 class GossipThreshold:
-    """Token bucket of bytes that admits the longest work items first.
+    """Keeps updates within a byte rate by admitting only sufficiently long work.
 
-    In a larger fleet each update goes to more receivers and costs more bytes. The
-    threshold then rises, so that only longer work is sent and the byte rate stays
-    the same.
+    A token bucket holds the byte budget, and the threshold rises when it is empty. In a
+    larger fleet each update goes to more receivers and costs more bytes. The threshold
+    is then higher, so that only longer work is sent and the byte rate stays the same.
     """
 
     bytes_per_s: float
@@ -31,12 +31,12 @@
 
         A single update may overdraw the budget.
         """
-        passed_s = now_s - self.updated_s
+        elapsed_s = now_s - self.updated_s
         self.updated_s = now_s
-        earned_bytes = self.budget_bytes + passed_s * self.bytes_per_s
-        self.budget_bytes = min(BURST_WINDOW_S * self.bytes_per_s, earned_bytes)
-        fallen_s = self.min_work_s * 0.5 ** (passed_s / HALF_LIFE_S)
-        self.min_work_s = max(MIN_WORK_S, fallen_s)
+        refilled_bytes = self.budget_bytes + elapsed_s * self.bytes_per_s
+        self.budget_bytes = min(BURST_WINDOW_S * self.bytes_per_s, refilled_bytes)
+        decayed_s = self.min_work_s * 0.5 ** (elapsed_s / HALF_LIFE_S)
+        self.min_work_s = max(MIN_WORK_S, decayed_s)
         if work_s < self.min_work_s:
             return False
         if self.budget_bytes <= 0.0:
--- a/acaciacove/gateway/http/connection.py
+++ b/acaciacove/gateway/http/connection.py
@@ -116,7 +116,7 @@
             self.transport.write(data)
 
     async def drain(self) -> None:
-        """Wait until the write buffer is below its high-water mark."""
+        """Wait while writing is paused because the write buffer is full."""
         await self._writable.wait()
         if self.lost:
             raise ConnectionLostError(
--- a/acaciacove/gateway/http/connection_pool.py
+++ b/acaciacove/gateway/http/connection_pool.py
@@ -30,11 +30,11 @@
         self, non_idempotent: bool, timeout_s: float
     ) -> EndpointConnection:
         """Return an idle or a new connection; raises ConnectFailedError."""
-        kept = self._pop_idle(
+        idle = self._pop_idle(
             REUSE_SHARE_NON_IDEMPOTENT if non_idempotent else REUSE_SHARE
         )
-        if kept is not None:
-            return kept
+        if idle is not None:
+            return idle
         self.open_count += 1
         self.handshakes += 1
         try:
@@ -75,14 +75,14 @@
     def close_expired(self) -> None:
         """Discard idle connections that are closed or past their idle timeout."""
         now_s = asyncio.get_running_loop().time()
-        kept: deque[EndpointConnection] = deque()
+        retained: deque[EndpointConnection] = deque()
         for connection in self._idle:
             limit_s = connection.idle_timeout_s or DEFAULT_IDLE_TIMEOUT_S
             if connection.is_open and now_s - connection.idle_since_s < limit_s:
-                kept.append(connection)
+                retained.append(connection)
             else:
                 self._discard(connection)
-        self._idle = kept
+        self._idle = retained
 
     def close(self) -> None:
         """Close all idle connections."""
--- a/acaciacove/gateway/http/endpoint_connection.py
+++ b/acaciacove/gateway/http/endpoint_connection.py
@@ -107,11 +107,11 @@
         self.h11.send(h11.EndOfMessage())
 
     def finish_exchange(self) -> bool:
-        """End an exchange; returns whether the connection is reusable."""
+        """End an exchange; returns whether the connection can be reused."""
         self.busy = False
         rest, _ = self.h11.trailing_data
-        kept = self.is_open and not rest and self.h11.our_state is h11.DONE
-        if not kept or self.h11.their_state is not h11.DONE:
+        reusable = self.is_open and not rest and self.h11.our_state is h11.DONE
+        if not reusable or self.h11.their_state is not h11.DONE:
             self.abort()
             return False
         self.h11.start_next_cycle()
@@ -133,7 +133,7 @@
         ) from error
     except (OSError, TimeoutError) as error:
         raise ConnectFailedError(
-            f"cannot connect to {host}:{port} within {timeout_s} s: "
+            f"cannot connect to {host}:{port} (timeout {timeout_s} s): "
             f"{type(error).__name__}: {error}"
         ) from error
     set_tcp_user_timeout(connection)
--- a/acaciacove/gateway/http/event_splitter.py
+++ b/acaciacove/gateway/http/event_splitter.py
@@ -25,10 +25,10 @@
         end = 0
         for boundary in _BOUNDARY.finditer(self._rest):
             end = boundary.end()
-        whole, self._rest = self._rest[:end], self._rest[end:]
-        for found in _ID_LINE.finditer(whole):
-            self.last_id = found.group(1).decode("latin-1")
-        return whole
+        complete, self._rest = self._rest[:end], self._rest[end:]
+        for id_line in _ID_LINE.finditer(complete):
+            self.last_id = id_line.group(1).decode("latin-1")
+        return complete
 
     @property
     def rest(self) -> bytes:
--- a/acaciacove/gateway/http/front_connection.py
+++ b/acaciacove/gateway/http/front_connection.py
@@ -200,7 +200,7 @@
         limits = self._limits()
         if self.h11.they_are_waiting_for_100_continue:
             self.send(h11.InformationalResponse(status_code=100, headers=[]))
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while True:
             try:
@@ -213,7 +213,7 @@
                     " of the request body",
                 ) from None
             if isinstance(event, h11.EndOfMessage):
-                return b"".join(pieces)
+                return b"".join(chunks)
             if not isinstance(event, h11.Data):
                 raise ConnectionLostError(
                     f"the caller closed the connection after {size} bytes of its"
@@ -225,7 +225,7 @@
                     BODY_TOO_LARGE_STATUS,
                     f"request body exceeds the limit of {limits.max_body_bytes} bytes",
                 )
-            pieces.append(bytes(event.data))
+            chunks.append(bytes(event.data))
 
     async def _next_caller_event(self) -> Any:
         try:
@@ -265,8 +265,8 @@
             self.transport.write_eof()
         self._resume_reading()
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + LINGER_TIMEOUT_S
-        while not (self.lost or self._eof_seen) and loop.time() < until_s:
+        deadline_s = loop.time() + LINGER_TIMEOUT_S
+        while not (self.lost or self._eof_seen) and loop.time() < deadline_s:
             await asyncio.sleep(LINGER_POLL_S)
 
     #
@@ -341,10 +341,10 @@
             HEADER_TOO_LARGE_STATUS,
             f"request head exceeds the limit of {limits.max_header_bytes} bytes",
         )
-    announced = dict(head.headers).get(b"content-length", b"0")
-    if int(announced) > limits.max_body_bytes:
+    declared = dict(head.headers).get(b"content-length", b"0")
+    if int(declared) > limits.max_body_bytes:
         raise BadRequestError(
             BODY_TOO_LARGE_STATUS,
             f"request body exceeds the limit of {limits.max_body_bytes} bytes:"
-            f" Content-Length is {int(announced)}",
+            f" Content-Length is {int(declared)}",
         )
--- a/acaciacove/gateway/peers/gossip_sender.py
+++ b/acaciacove/gateway/peers/gossip_sender.py
@@ -10,7 +10,8 @@
 
 # Number of peers that an update is sent to; each forwards what is new to it.
 FANOUT = 3
-# Part of the control traffic of a process that updates may use in a sliding window.
+# Bytes that updates may use per sliding window: a share of what a process may send to
+# its peers for control.
 MAX_WINDOW_BYTES = 60_000
 WINDOW_S = 20.0
 
--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -72,7 +72,7 @@
         open_socket: OpenDatagramSocket | None = None,
     ) -> None:
         """Start without peers; ``open_socket`` replaces UDP in tests."""
-        self._open_datagrams = open_socket or open_udp
+        self._open_socket = open_socket or open_udp
         self._gateway = gateway
         self._metadata = metadata
         self._peers: dict[str, Peer] = {}
@@ -102,7 +102,7 @@
     async def open(self) -> None:
         """Listen for peers and install the gossip hooks of the gateway."""
         settings = self._gateway.settings
-        self._transport = await self._open_datagrams(
+        self._transport = await self._open_socket(
             settings.host, settings.peer_port, self._receive
         )
         self._gateway.gossip_work = self._work_gossip.send_update
@@ -127,11 +127,11 @@
 
     def _is_busy(self) -> bool:
         gateway = self._gateway
-        changed_s = asyncio.get_running_loop().time() - gateway.outcomes_changed_s
+        since_outcome_s = asyncio.get_running_loop().time() - gateway.outcomes_changed_s
         return (
             bool(gateway.rollouts)
             or gateway.view.confirmed_age_s > CONFIRM_AGE_S
-            or changed_s < BUSY_AFTER_OUTCOME_S
+            or since_outcome_s < BUSY_AFTER_OUTCOME_S
             or self._request_gossip.has_recent_update
         )
 
@@ -289,8 +289,8 @@
         peer.last_seen_s = peer.last_report_s = now_s
         peer.incarnation = report.incarnation
         peer.last_nonce = report.nonce
-        told = max(self._gateway.peer_outcomes_offset, report.outcomes_offset)
-        self._gateway.peer_outcomes_offset = told
+        newest_offset = max(self._gateway.peer_outcomes_offset, report.outcomes_offset)
+        self._gateway.peer_outcomes_offset = newest_offset
         self._confirm_view(report)
         self._apply_rollouts(report, now_s)
         if report.reply_wanted:
@@ -298,19 +298,19 @@
 
     def _find_or_add_peer(self, report: GatewayReport, now_s: float) -> Peer:
         host, _, port = report.address.rpartition(":")
-        known = self._peers.get(report.instance)
-        if known is None or (known.host, known.port) != (host, int(port)):
-            known = Peer(
+        peer = self._peers.get(report.instance)
+        if peer is None or (peer.host, peer.port) != (host, int(port)):
+            peer = Peer(
                 instance=report.instance,
                 host=host,
                 port=int(port),
                 availability_zone=report.availability_zone,
                 last_seen_s=now_s,
             )
-            self._peers[report.instance] = known
+            self._peers[report.instance] = peer
             self._gateway.log.write(Event.PEER_KNOWN, peer=report.instance)
             self._update_membership(now_s)
-        return known
+        return peer
 
     def _confirm_view(self, report: GatewayReport) -> None:
         """Let a peer's report confirm that the local view is the newest.
@@ -320,10 +320,10 @@
         echo may have been queued for any length of time, and confirms nothing.
         """
         requested_boot_s = self._pending_nonces.get(report.echo)
-        beliefs = self._gateway.view
-        if requested_boot_s is None or report.revision != beliefs.operator_revision:
+        view = self._gateway.view
+        if requested_boot_s is None or report.revision != view.operator_revision:
             return
-        beliefs.confirm(requested_boot_s - report.confirmed_age_s)
+        view.confirm(requested_boot_s - report.confirmed_age_s)
 
     def _apply_rollouts(self, report: GatewayReport, now_s: float) -> None:
         peer = f"{report.instance}/{report.incarnation}"
--- a/acaciacove/gateway/peers/work_gossip.py
+++ b/acaciacove/gateway/peers/work_gossip.py
@@ -19,7 +19,7 @@
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.wire.codec import encode
 
-# Part of the control traffic of a process that updates on work may use.
+# Share of what a process may send to its peers for control.
 MAX_BYTES_PER_S = 2_500.0
 # No prompt takes longer to process; a larger value is a fault of the sender.
 MAX_WORK_S = 120.0
--- a/acaciacove/platform/header_fields.py
+++ b/acaciacove/platform/header_fields.py
@@ -96,7 +96,7 @@
     )
 
 
-# An endpoint that is not the expected one responds with this status and no other sign.
+# An endpoint that is not the expected instance indicates it by this status alone.
 MISDIRECTED_REQUEST = 421
 
 
--- a/acaciacove/platform/log_client.py
+++ b/acaciacove/platform/log_client.py
@@ -70,8 +70,8 @@
             query = {"topic": STREAMS[stream], "part": PARTITION}
             if after is not None:
                 query["after"] = after
-            answer = await self._call("GET", "log-newest", query)
-            document = _document(_expect_ok(answer))
+            response = await self._call("GET", "log-newest", query)
+            document = _document(_expect_ok(response))
             if next_offset is None:
                 next_offset = int(document["endOffset"])
             items = document.get("items") or []
@@ -88,17 +88,17 @@
             "source": offset,
             "waitMs": int(wait_s * MS),
         }
-        answer = await self._call("GET", "log-read", query, wait_s=wait_s)
-        if answer.status == GONE:
-            raise OffsetExpiredError(int(_document(answer).get("firstOffset", 0)))
-        return _records(_expect_ok(answer).body, offset)
+        response = await self._call("GET", "log-read", query, wait_s=wait_s)
+        if response.status == GONE:
+            raise OffsetExpiredError(int(_document(response).get("firstOffset", 0)))
+        return _decode_page(_expect_ok(response).body, offset)
 
     async def append(
         self, stream: LogStream, key: str, value: bytes, at: int | None
     ) -> int:
         """Append one record and return the offset after it.
 
-        With ``at``, raises AppendConflictError if the stream does not end at that offset.
+        With ``at``, raises AppendConflictError if the stream does not end there.
         """
         query = {"topic": STREAMS[stream], "part": PARTITION}
         if at is not None:
@@ -106,10 +106,10 @@
         name = key.encode()
         content = bytes([len(name)]) + name + value
         body = _LENGTH.pack(len(content)) + content
-        answer = await self._call("POST", "log-append", query, body)
-        if answer.status == PRECONDITION_FAILED:
-            raise AppendConflictError(int(_document(answer)["endOffset"]))
-        return int(_document(_expect_ok(answer))["endOffset"])
+        response = await self._call("POST", "log-append", query, body)
+        if response.status == PRECONDITION_FAILED:
+            raise AppendConflictError(int(_document(response)["endOffset"]))
+        return int(_document(_expect_ok(response))["endOffset"])
 
     async def _call(
         self,
@@ -134,16 +134,17 @@
             async with asyncio.timeout(wait_s + CALL_TIMEOUT_S):
                 connection = await self._pool.acquire(False, CONNECT_TIMEOUT_S)
                 connection.send_request(request, body)
-                answer = await _read_response(connection)
+                response = await _read_response(connection)
             complete = True
-            return answer
+            return response
         except (ConnectFailedError, ConnectionLostError, InvalidResponseError) as error:
             raise PlatformUnavailableError(
-                f"log call {name} failed: {error}"
+                f"call {name} to the log failed: {error}"
             ) from error
         except TimeoutError as error:
             raise PlatformUnavailableError(
-                f"log call {name} got no response within {wait_s + CALL_TIMEOUT_S} s"
+                f"call {name} to the log got no response within"
+                f" {wait_s + CALL_TIMEOUT_S} s"
             ) from error
         finally:
             if connection is not None:
@@ -167,17 +168,17 @@
             return LogResponse(status, b"".join(chunks))
 
 
-def _expect_ok(answer: LogResponse) -> LogResponse:
-    if answer.status != OK:
+def _expect_ok(response: LogResponse) -> LogResponse:
+    if response.status != OK:
         raise PlatformUnavailableError(
-            f"expected status {OK} from the log, got {answer.status}"
+            f"expected status {OK} from the log, got {response.status}"
         )
-    return answer
+    return response
 
 
-def _document(answer: LogResponse) -> dict[str, Any]:
+def _document(response: LogResponse) -> dict[str, Any]:
     try:
-        document = orjson.loads(answer.body)
+        document = orjson.loads(response.body)
     except ValueError as error:
         raise PlatformUnavailableError(
             f"the log's response is not valid JSON: {error}"
@@ -198,7 +199,7 @@
     )
 
 
-def _records(body: bytes, offset: int) -> LogPage:
+def _decode_page(body: bytes, offset: int) -> LogPage:
     """Decode a raw response: end and first offset, then length-prefixed records.
 
     A record that is cut off at the end of the body is ignored.
--- a/acaciacove/platform/record_writer.py
+++ b/acaciacove/platform/record_writer.py
@@ -37,8 +37,8 @@
     }
     if catalogue.has_organisations:
         document["tenants"] = [
-            {"name": name, "apiKeys": listed, "priority": priorities[name]}
-            for name, listed in keys.items()
+            {"name": name, "apiKeys": api_keys, "priority": priorities[name]}
+            for name, api_keys in keys.items()
         ]
     return orjson.dumps(document)
 
@@ -107,12 +107,12 @@
     )
 
 
-def write_rollout(wish: RolloutSpec) -> bytes:
+def write_rollout(spec: RolloutSpec) -> bytes:
     """Encode the record that orders a roll-out."""
     return orjson.dumps(
         {
-            "service": wish.service,
-            "target": wish.target,
-            "durationS": wish.duration_s,
+            "service": spec.service,
+            "target": spec.target,
+            "durationS": spec.duration_s,
         }
     )
--- a/acaciacove/platform/records.py
+++ b/acaciacove/platform/records.py
@@ -37,7 +37,7 @@
     "completed": RolloutState.COMPLETED,
     "rolled_back": RolloutState.ROLLED_BACK,
 }
-STATE_NAMES = {state: word for word, state in STATES.items()}
+STATE_NAMES = {state: name for name, state in STATES.items()}
 IS_DRAINING = {"ready": False, "draining": True}
 # Defaults for routes without these fields; operators' catalogues always have them.
 DEFAULT_TIMEOUT_MS = 30_000.0
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -208,7 +208,7 @@
         await asyncio.sleep(0.5)
         gateway = fleet.gateways["gateway-0"].gateway
         endpoint = gateway.view.endpoints["cold"]
-        work = RequestContext(
+        context = RequestContext(
             request=None,
             route=gateway.view.catalogue.routes[2],
             service=gateway.view.catalogue.services["model"],
@@ -219,9 +219,9 @@
         )
         now_s = asyncio.get_running_loop().time()
         state = gateway.states.of(endpoint)
-        assert cold_share(gateway, work, state, now_s) > 0
+        assert cold_share(gateway, context, state, now_s) > 0
         gateway.members_loaded = False
-        assert cold_share(gateway, work, state, now_s) == 0
+        assert cold_share(gateway, context, state, now_s) == 0
         assert gateway.gateway_count == ASSUMED_GATEWAYS
 
     run_fleet(scenario, gateways=2)
