--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -313,7 +313,7 @@
         return peer
 
     def _confirm_view(self, report: GatewayReport) -> None:
-        """Let a peer's report confirm that the local view is the newest.
+        """Confirm the local view if a peer's report shows that it is the newest.
 
         The reply was created after the local request was sent. So the peer polled the
         log at most ``confirmed_age_s`` before that request. A report without a matching
