--- a/acaciacove/gateway/http/front_connection.py
+++ b/acaciacove/gateway/http/front_connection.py
@@ -237,8 +237,8 @@
     async def _refuse_bad_request(self, error: BadRequestError) -> None:
         """Respond to an unacceptable request with an error, and close.
 
-        Bytes that follow such a request on the connection cannot be distinguished from a
-        smuggled request, so they are not parsed.
+        Bytes that follow such a request on the connection cannot be distinguished
+        from a smuggled request, so they are not parsed.
         """
         if self.lost or self.h11.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             return
