--- a/acaciacove/decisions/gossip_threshold.py
+++ b/acaciacove/decisions/gossip_threshold.py
@@ -1,23 +1,24 @@
-"""Which of a process's decisions are worth telling the others, within a budget."""
+"""Adaptive threshold that keeps gossip on sent work within a byte budget."""
 
 from attrs import define
 
-# Shorter work ends before word of it changes anything.
+# Shorter work is finished before a peer could act on an update about it.
 MIN_WORK_S = 0.1
-# How much the threshold rises when the budget refuses something above it, and how
-# fast it comes down again.
+# The threshold is multiplied by this factor when the budget is exhausted, and decays
+# with the half-life below.
 RISE_FACTOR = 1.25
 HALF_LIFE_S = 5.0
-# What is saved up for a burst.
+# Unused budget accumulates up to this many seconds of the byte rate.
 BURST_WINDOW_S = 2.0
 
 
 @define
 class GossipThreshold:
-    """Lets the longest work through that a budget of bytes allows.
+    """Keeps updates within a byte rate by admitting only sufficiently long work.
 
-    In a larger fleet each word goes to more receivers and costs more: then only
-    longer work is told, and the bytes stay as they were.
+    A token bucket holds the byte budget, and the threshold rises when it is empty. In a
+    larger fleet each update goes to more receivers and costs more bytes. The threshold
+    is then higher, so that only longer work is sent and the byte rate stays the same.
     """
 
     bytes_per_s: float
@@ -26,13 +27,16 @@
     updated_s: float = 0.0
 
     def admits(self, work_s: float, cost_bytes: int, now_s: float) -> bool:
-        """Tell whether to say it now; what is said may overdraw the budget."""
-        passed_s = now_s - self.updated_s
+        """Return whether to send the update now, and charge its cost if so.
+
+        A single update may overdraw the budget.
+        """
+        elapsed_s = now_s - self.updated_s
         self.updated_s = now_s
-        earned_bytes = self.budget_bytes + passed_s * self.bytes_per_s
-        self.budget_bytes = min(BURST_WINDOW_S * self.bytes_per_s, earned_bytes)
-        fallen_s = self.min_work_s * 0.5 ** (passed_s / HALF_LIFE_S)
-        self.min_work_s = max(MIN_WORK_S, fallen_s)
+        refilled_bytes = self.budget_bytes + elapsed_s * self.bytes_per_s
+        self.budget_bytes = min(BURST_WINDOW_S * self.bytes_per_s, refilled_bytes)
+        decayed_s = self.min_work_s * 0.5 ** (elapsed_s / HALF_LIFE_S)
+        self.min_work_s = max(MIN_WORK_S, decayed_s)
         if work_s < self.min_work_s:
             return False
         if self.budget_bytes <= 0.0:
--- a/acaciacove/gateway/http/connection_pool.py
+++ b/acaciacove/gateway/http/connection_pool.py
@@ -1,24 +1,25 @@
-"""Kept connections to one endpoint."""
+"""Pool of keep-alive connections to one endpoint."""
 
 import asyncio
 from collections import deque
 
 from acaciacove.gateway.http.endpoint_connection import EndpointConnection, connect
 
-# An endpoint that says no idle timeout is taken to keep connections this long.
+# Assumed idle timeout of an endpoint that announces none.
 DEFAULT_IDLE_TIMEOUT_S = 2.0
-# Shares of the idle timeout up to which a connection is used again. The
-# endpoint's close may cross a request: one that may be repeated is then sent
-# again, one that may run once only ends as unknown, so it needs more margin.
+# A connection is reused until it has been idle for this share of the idle timeout.
+# The endpoint may close it just as a request is sent. An idempotent request is then
+# retried. The outcome of a non-idempotent one would be unknown, so it needs a larger
+# margin.
 REUSE_SHARE = 0.8
 REUSE_SHARE_NON_IDEMPOTENT = 0.4
 
 
 class ConnectionPool:
-    """Idle connections to one life of an endpoint, the latest used first."""
+    """Idle connections to one incarnation of an endpoint, most recently used first."""
 
     def __init__(self, host: str, port: int) -> None:
-        """Begin without connections."""
+        """Start without connections."""
         self._host = host
         self._port = port
         self._idle: deque[EndpointConnection] = deque()
@@ -28,12 +29,12 @@
     async def acquire(
         self, non_idempotent: bool, timeout_s: float
     ) -> EndpointConnection:
-        """Return a connection; raises ConnectFailedError when none can be made."""
-        kept = self._pop_idle(
+        """Return an idle or a new connection; raises ConnectFailedError."""
+        idle = self._pop_idle(
             REUSE_SHARE_NON_IDEMPOTENT if non_idempotent else REUSE_SHARE
         )
-        if kept is not None:
-            return kept
+        if idle is not None:
+            return idle
         self.open_count += 1
         self.handshakes += 1
         try:
@@ -43,7 +44,7 @@
             raise
 
     async def check_connect(self, timeout_s: float) -> None:
-        """Make a connection and end it; raises ConnectFailedError when none is made."""
+        """Open a connection and abort it; raises ConnectFailedError."""
         self.handshakes += 1
         connection = await connect(self._host, self._port, timeout_s)
         connection.abort()
@@ -59,7 +60,7 @@
         return None
 
     def release(self, connection: EndpointConnection, reusable: bool) -> None:
-        """Keep a connection whose exchange is complete, or end it."""
+        """Return a connection to the pool if it is reusable, else close it."""
         if reusable and connection.finish_exchange():
             connection.idle_since_s = asyncio.get_running_loop().time()
             self._idle.append(connection)
@@ -72,18 +73,18 @@
         self.open_count -= 1
 
     def close_expired(self) -> None:
-        """End connections that are closed or have been idle for too long."""
+        """Discard idle connections that are closed or past their idle timeout."""
         now_s = asyncio.get_running_loop().time()
-        kept: deque[EndpointConnection] = deque()
+        retained: deque[EndpointConnection] = deque()
         for connection in self._idle:
             limit_s = connection.idle_timeout_s or DEFAULT_IDLE_TIMEOUT_S
             if connection.is_open and now_s - connection.idle_since_s < limit_s:
-                kept.append(connection)
+                retained.append(connection)
             else:
                 self._discard(connection)
-        self._idle = kept
+        self._idle = retained
 
     def close(self) -> None:
-        """End every idle connection."""
+        """Close all idle connections."""
         while self._idle:
             self._discard(self._idle.pop())
--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -1,4 +1,4 @@
-"""Reports between gateways over UDP, to a few random peers at a time."""
+"""Gossip between gateways over UDP, sent to random peers in each round."""
 
 import asyncio
 import time
@@ -35,26 +35,26 @@
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.wire.codec import decode, encode
 
-# Pace of reports: fast while a roll-out is judged or the log cannot be reached,
-# else just often enough to tell living peers from dead ones.
+# Intervals between reports. They are short while a roll-out is judged or the log is
+# unavailable, and otherwise just short enough to tell live peers from failed ones.
 BUSY_REPORT_INTERVAL_S = 0.3
 IDLE_REPORT_INTERVAL_S = 2.0
-# An outcome of a roll-out that was read here is passed on for this long.
+# Reports are sent at the busy interval for this long after a roll-out outcome was read.
 BUSY_AFTER_OUTCOME_S = 2.0
-# Peers that one round of reports goes to; the others learn in later rounds.
+# Number of peers that one round of reports goes to; others follow in later rounds.
 FANOUT = 4
-# The age of the own beliefs from which peers are asked to confirm them.
+# Age of the local view from which on peers are asked to confirm it.
 CONFIRM_AGE_S = 2.0
-# How long a peer that is not heard counts among those that share the bounds.
-# A machine that is cut off goes on serving; one that is gone for good only makes
-# the shares of the others smaller.
+# How long a silent peer counts among the gateways that share the limits. A host that is
+# partitioned from this one continues to serve. A host that has failed for good only
+# makes the shares of the others smaller.
 MEMBER_EXPIRY_S = 60.0
-# New peers introduce themselves, and random reports make up for a word that was lost;
-# the log's list is read at the start, and again in case that both failed.
+# New peers announce themselves, and random reports replace lost updates. The member
+# list in the log is read at the start, and again at this interval in case both failed.
 READ_MEMBERS_INTERVAL_S = 60.0
 READ_MEMBERS_RETRY_S = 2.0
 JOIN_RETRY_S = 0.5
-# Own questions that an answer may still come to.
+# Nonces of sent reports that are retained to match the echo of a reply.
 MAX_PENDING_NONCES = 512
 
 
@@ -63,7 +63,7 @@
 
 
 class PeerNetwork:
-    """Sends and takes reports, and keeps the list of peers."""
+    """Sends and receives gossip, and maintains the list of peers."""
 
     def __init__(
         self,
@@ -71,8 +71,8 @@
         metadata: MetadataLog,
         open_socket: OpenDatagramSocket | None = None,
     ) -> None:
-        """Begin without peers; ``open_socket`` replaces UDP in tests."""
-        self._open_datagrams = open_socket or open_udp
+        """Start without peers; ``open_socket`` replaces UDP in tests."""
+        self._open_socket = open_socket or open_udp
         self._gateway = gateway
         self._metadata = metadata
         self._peers: dict[str, Peer] = {}
@@ -100,9 +100,9 @@
         )
 
     async def open(self) -> None:
-        """Listen for peers."""
+        """Listen for peers and install the gossip hooks of the gateway."""
         settings = self._gateway.settings
-        self._transport = await self._open_datagrams(
+        self._transport = await self._open_socket(
             settings.host, settings.peer_port, self._receive
         )
         self._gateway.gossip_work = self._work_gossip.send_update
@@ -111,7 +111,7 @@
         self._gateway.gossip_limit = self._limit_gossip.send_update
 
     async def run(self) -> None:
-        """Join, and report until cancelled."""
+        """Publish the member record, and send reports until cancelled."""
         members = asyncio.create_task(self._poll_members())
         try:
             while True:
@@ -127,16 +127,16 @@
 
     def _is_busy(self) -> bool:
         gateway = self._gateway
-        changed_s = asyncio.get_running_loop().time() - gateway.outcomes_changed_s
+        since_outcome_s = asyncio.get_running_loop().time() - gateway.outcomes_changed_s
         return (
             bool(gateway.rollouts)
             or gateway.view.confirmed_age_s > CONFIRM_AGE_S
-            or changed_s < BUSY_AFTER_OUTCOME_S
+            or since_outcome_s < BUSY_AFTER_OUTCOME_S
             or self._request_gossip.has_recent_update
         )
 
     #
-    # Who the peers are
+    # Membership
     #
 
     async def _poll_members(self) -> None:
@@ -152,8 +152,8 @@
                 offset = -1
                 continue
             except PlatformUnavailableError:
-                # Said already by the followers of the decisions; peers that are
-                # known stay known.
+                # The readers of the operator's decisions already log an outage.
+                # The list of peers is retained.
                 await asyncio.sleep(READ_MEMBERS_RETRY_S)
                 continue
             offset = page.next_offset
@@ -219,9 +219,9 @@
         self._update_membership(now_s)
         peers = list(self._peers.values())
         chosen = self._gateway.random.sample(peers, min(FANOUT, len(peers)))
-        asks = self._gateway.view.confirmed_age_s > CONFIRM_AGE_S
+        wants_reply = self._gateway.view.confirmed_age_s > CONFIRM_AGE_S
         for peer in chosen:
-            self._send_report(peer, reply_wanted=asks)
+            self._send_report(peer, reply_wanted=wants_reply)
 
     def _send_report(self, peer: Peer, reply_wanted: bool) -> None:
         self._send_datagram(encode(self._build_report(peer, reply_wanted)), peer)
@@ -289,8 +289,8 @@
         peer.last_seen_s = peer.last_report_s = now_s
         peer.incarnation = report.incarnation
         peer.last_nonce = report.nonce
-        told = max(self._gateway.peer_outcomes_offset, report.outcomes_offset)
-        self._gateway.peer_outcomes_offset = told
+        newest_offset = max(self._gateway.peer_outcomes_offset, report.outcomes_offset)
+        self._gateway.peer_outcomes_offset = newest_offset
         self._confirm_view(report)
         self._apply_rollouts(report, now_s)
         if report.reply_wanted:
@@ -298,32 +298,32 @@
 
     def _find_or_add_peer(self, report: GatewayReport, now_s: float) -> Peer:
         host, _, port = report.address.rpartition(":")
-        known = self._peers.get(report.instance)
-        if known is None or (known.host, known.port) != (host, int(port)):
-            known = Peer(
+        peer = self._peers.get(report.instance)
+        if peer is None or (peer.host, peer.port) != (host, int(port)):
+            peer = Peer(
                 instance=report.instance,
                 host=host,
                 port=int(port),
                 availability_zone=report.availability_zone,
                 last_seen_s=now_s,
             )
-            self._peers[report.instance] = known
+            self._peers[report.instance] = peer
             self._gateway.log.write(Event.PEER_KNOWN, peer=report.instance)
             self._update_membership(now_s)
-        return known
+        return peer
 
     def _confirm_view(self, report: GatewayReport) -> None:
-        """Take a peer's word that the own decisions are the newest.
+        """Confirm the local view if a peer's report shows that it is the newest.
 
-        Its answer was made after the own question went out, so the peer asked the
-        log no longer before that question than its age says. A report without an
-        echo may have waited in a queue for any time, and confirms nothing.
+        The reply was created after the local request was sent. So the peer polled the
+        log at most ``confirmed_age_s`` before that request. A report without a matching
+        echo may have been queued for any length of time, and confirms nothing.
         """
-        asked_boot_s = self._pending_nonces.get(report.echo)
-        beliefs = self._gateway.view
-        if asked_boot_s is None or report.revision != beliefs.operator_revision:
+        requested_boot_s = self._pending_nonces.get(report.echo)
+        view = self._gateway.view
+        if requested_boot_s is None or report.revision != view.operator_revision:
             return
-        beliefs.confirm(asked_boot_s - report.confirmed_age_s)
+        view.confirm(requested_boot_s - report.confirmed_age_s)
 
     def _apply_rollouts(self, report: GatewayReport, now_s: float) -> None:
         peer = f"{report.instance}/{report.incarnation}"
--- a/acaciacove/gateway/peers/request_gossip.py
+++ b/acaciacove/gateway/peers/request_gossip.py
@@ -1,7 +1,8 @@
-"""Spreads word of requests that crash endpoints over all gateways.
+"""Gossips requests that crash endpoints, and the verdicts on them.
 
-Each gateway passes what is new to it on to a few others at once, and tells some of
-what it holds with its reports, for those that missed it, were cut off or have started.
+Each gateway forwards what is new to it to a subset of peers immediately. With its
+reports it also sends a sample of its retained state, for peers that lost an update,
+were partitioned or have just started.
 """
 
 from collections import OrderedDict
@@ -17,11 +18,11 @@
 from acaciacove.messages.request_news import RequestNews
 from acaciacove.wire.codec import encode
 
-# For this long after something new, reports follow each other fast.
+# Reports are sent at the busy interval for this long after a new update.
 BUSY_AFTER_UPDATE_S = 0.7
-# Crashes go along with reports for this long after they were told here.
+# Crashes are sent along with reports for this long after their update was sent.
 CRASH_RETENTION_S = 30.0
-# What a report is followed by fits into one datagram.
+# At most this many fit into one datagram.
 MAX_CRASHES = 4
 MAX_SUSPECTS = 24
 MAX_VERDICTS = 16
@@ -29,7 +30,7 @@
 
 @define(eq=False)
 class RequestGossip:
-    """Sends news of requests to peers and takes theirs."""
+    """Sends crashes and verdicts to peers and applies those received."""
 
     sender: GossipSender
     guard: RequestGuard
@@ -38,34 +39,34 @@
     _last_update_s: float = float("-inf")
     _crash_expiry_s: OrderedDict[int, float] = field(factory=OrderedDict)
 
-    def send_update(self, news: RequestNews) -> None:
-        """Tell a few others at once."""
+    def send_update(self, update: RequestNews) -> None:
+        """Send an update to a subset of peers immediately."""
         self._last_update_s = self.clock_s()
-        for crash in news.crashes:
+        for crash in update.crashes:
             self._crash_expiry_s[crash.endpoint] = self.clock_s() + CRASH_RETENTION_S
             self._crash_expiry_s.move_to_end(crash.endpoint)
         while len(self._crash_expiry_s) > MAX_CRASHES:
             self._crash_expiry_s.popitem(last=False)
-        self.sender.send_update(encode(news))
+        self.sender.send_update(encode(update))
 
-    def broadcast_update(self, news: RequestNews) -> None:
-        """Tell all others, of what must not happen twice."""
+    def broadcast_update(self, update: RequestNews) -> None:
+        """Send an update to all peers, about an action that must not happen twice."""
         self._last_update_s = self.clock_s()
-        self.sender.broadcast_update(encode(news))
+        self.sender.broadcast_update(encode(update))
 
     @property
     def has_recent_update(self) -> bool:
-        """Tell whether others may not have heard yet of what is new here."""
+        """Return whether peers may not yet have received the last update."""
         return self.clock_s() - self._last_update_s < BUSY_AFTER_UPDATE_S
 
-    def apply(self, news: RequestNews) -> None:
-        """Take another gateway's news and pass on what was new here."""
-        new = self.guard.apply(news, self.clock_s())
+    def apply(self, update: RequestNews) -> None:
+        """Apply an update from a peer, and forward what was new here."""
+        new = self.guard.apply(update, self.clock_s())
         if new.crashes or new.verdicts:
             self.send_update(new)
 
     def send_state(self, peer: Peer) -> None:
-        """Tell a peer some of what is held here, along with a report."""
+        """Send a sample of the retained state to a peer, along with a report."""
         quarantine = self.guard.quarantine
         verdicts = quarantine.verdicts(self.clock_s())
         if len(verdicts) > MAX_VERDICTS:
@@ -79,6 +80,6 @@
         evidence = self.guard.quarantine.evidence
         return [
             CrashSeen(endpoint, tuple(suspects[:MAX_SUSPECTS]))
-            for endpoint, until_s in self._crash_expiry_s.items()
-            if until_s > now_s and (suspects := evidence.suspects_of(endpoint))
+            for endpoint, expires_s in self._crash_expiry_s.items()
+            if expires_s > now_s and (suspects := evidence.suspects_of(endpoint))
         ]
--- a/acaciacove/gateway/peers/serve_peers.py
+++ b/acaciacove/gateway/peers/serve_peers.py
@@ -1,4 +1,4 @@
-"""What a gateway does for its peers: reports, and answers on the log's records."""
+"""Tasks of a gateway for its peers: gossip, and relaying records of the log."""
 
 from acaciacove.daemon.message_server import message_server
 from acaciacove.gateway.gateway import Gateway
@@ -14,15 +14,15 @@
     metadata: MetadataLog,
     open_socket: OpenDatagramSocket | None = None,
 ) -> None:
-    """Listen for peers and report to them until cancelled."""
+    """Relay log records to peers and exchange gossip until cancelled."""
     settings = gateway.settings
 
-    async def tell(connection: Connection) -> None:
+    async def relay(connection: Connection) -> None:
         await serve_records(
             connection, gateway.tails, gateway.view.clock_s, gateway.relay_intervals
         )
 
     peers = PeerNetwork(gateway, metadata, open_socket)
-    async with message_server((settings.host, settings.peer_port), tell):
+    async with message_server((settings.host, settings.peer_port), relay):
         await peers.open()
         await peers.run()
--- a/acaciacove/platform/node_file.py
+++ b/acaciacove/platform/node_file.py
@@ -1,4 +1,4 @@
-"""The platform's settings file of one process."""
+"""Decodes the platform's settings file of one process."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -13,17 +13,17 @@
 def read_node_file(path: Path) -> GatewaySettings:
     """Read a file of ``a.b=value`` lines; raises InvalidSettingsError with all faults.
 
-    Fields that are not known are left alone: new ones may come.
+    Unknown fields are ignored, because the platform may add new ones.
     """
     try:
         text = path.read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
-        raise InvalidSettingsError([f"{path} cannot be read: {error}"]) from error
+        raise InvalidSettingsError([f"cannot read {path}: {error}"]) from error
     return decode_node_file(text)
 
 
 def decode_node_file(text: str) -> GatewaySettings:
-    """Turn the lines of a settings file into settings."""
+    """Decode the text of a settings file; raises InvalidSettingsError."""
     lines = (line.partition("=") for line in text.splitlines())
     fields = {name.strip(): value.strip() for name, found, value in lines if found}
     faults: list[str] = []
