--- a/acaciacove/gateway/admit.py
+++ b/acaciacove/gateway/admit.py
@@ -1,4 +1,4 @@
-"""Decides whether and for whom a request is served."""
+"""Admission: decides whether a request is served, and for which organisation."""
 
 import asyncio
 
@@ -11,21 +11,20 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# API keys are honoured up to this share of the time within which a revocation
-# must be in force; the rest covers what is already on its way to this process.
+# API keys are accepted up to this share of the time within which a revocation must take
+# effect. The rest covers requests that are already on their way to this process.
 KEY_SHARE = 0.9
-# While the newest decisions are older than this share of the time within which one is
-# in force, "there is no such route" and "there is no such key" may be false: the
-# decision that adds them may be missing.
+# A view is stale when its age exceeds this share of the time within which a decision
+# must take effect. An unknown route or key may then be one that the view lacks.
 DOUBT_SHARE = 0.9
-# When a caller may do better: after a start, the log's first answer is due; after
-# an outage of the log, its return.
+# Retry-After of a refusal: after a start the first response of the log is due; during a
+# log outage, its recovery.
 STARTING_RETRY_S = 0.5
 STALE_RETRY_S = 1.0
 
 
 def admit(gateway: Gateway, request: CallerRequest) -> Work | Refusal:
-    """Find route, organisation and service of a request, or say why not."""
+    """Find route, organisation and service of a request, or return the refusal."""
     beliefs = gateway.beliefs
     catalogue = beliefs.catalogue
     if catalogue is None or not beliefs.is_usable:
@@ -57,18 +56,18 @@
 
 
 def _doubtful(in_doubt: bool, reason: Reason, detail: str) -> Refusal:
-    """Say 503 instead of "there is none" while decisions may be missing."""
+    """Return a refusal, with 503 instead of "there is none" while the view is stale."""
     if in_doubt:
         return Refusal(Reason.STALE_REVISION, True, detail, STALE_RETRY_S)
     return Refusal(reason, True, detail)
 
 
 def _keys_may_be_revoked(gateway: Gateway) -> bool:
-    """Tell whether the last look at the operator's decisions is too long ago.
+    """Return whether the operator's decisions were last read too long ago.
 
-    A process that is cut off from the log cannot learn that a key was taken
-    away. It would go on serving that key's holder, and the organisation would be
-    billed for requests of somebody it has shut out.
+    A process that is cut off from the log does not learn of a revoked key. It would go
+    on serving whoever holds the key, and the organisation would be billed for requests
+    of somebody whose access it has revoked.
     """
     if not gateway.settings.revocation_strict:
         return False
@@ -77,7 +76,7 @@
 
 
 def _pick_service(gateway: Gateway, route: Route) -> Service | None:
-    """Draw one of the route's services by weight."""
+    """Choose one of the route's services at random, by weight."""
     assert gateway.beliefs.catalogue is not None
     shares = [s for s in route.shares if s.weight > 0] or list(route.shares)
     if not shares:
--- a/acaciacove/gateway/attempt.py
+++ b/acaciacove/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint."""
+"""One attempt to serve a request at one endpoint."""
 
 import asyncio
 from collections.abc import Iterator
@@ -26,17 +26,17 @@
 from acaciacove.gateway.usable_endpoints import cold_part
 from acaciacove.gateway.work import Work
 
-# Connections within a region are made in a few milliseconds; one that takes this
-# long goes to a machine that is gone.
+# Connections within a region are made in a few milliseconds. One that takes this long
+# goes to a machine that no longer exists.
 CONNECT_TIMEOUT_S = 0.4
-# Whole answers up to this size are read before they are passed on, which lets a
-# broken one be asked for again unnoticed; larger ones flow through.
+# Responses up to this size that are not streamed are buffered, so that a broken one can
+# be retried without the caller seeing it. Larger ones fail.
 WHOLE_ANSWER_BYTES = 65_536
-# A first attempt that may be followed by another waits this many latency targets,
-# and at least this long, for the head of its answer.
+# While a retry is possible, the response head must arrive within this many latency
+# targets. The timeout is never below ``MIN_HEAD_TIMEOUT_S``.
 HEAD_WAIT_TARGETS = 1.5
 HEAD_WAIT_LEAST_S = 0.35
-# The same for the pause between two events of a stream that may be resumed.
+# Timeout between two events of a stream that may be resumed.
 PAUSE_LIMIT_S = 2.5
 SERVER_ERROR = 500
 
@@ -49,10 +49,10 @@
     may_follow: bool,
     may_enlarge: bool,
 ) -> AttemptOutcome:
-    """Send the request to an endpoint and pass its answer on.
+    """Send the request to an endpoint and forward its response.
 
-    ``may_follow`` tells that another attempt could follow, ``may_enlarge`` that
-    a doubtful answer could be asked of a larger model.
+    ``may_retry`` means that another attempt may follow, ``may_escalate`` that a
+    response of low confidence may be replaced by one of a larger model.
     """
     exchange = Exchange(gateway, work, state)
     try:
@@ -90,7 +90,7 @@
 
 @contextmanager
 def _counted(gateway: Gateway, work: Work, state: EndpointState) -> Iterator[None]:
-    """Count the request at the endpoint, and at the old version of a roll-out."""
+    """Count the request in flight, at the endpoint and for a roll-out's old version."""
     progress = gateway.rollouts.get(work.service.name)
     is_old = progress is not None and state.endpoint.version != progress.order.target
     state.load.in_flight += 1
@@ -106,7 +106,7 @@
 
 @contextmanager
 def _reserved(gateway: Gateway, work: Work, state: EndpointState) -> Iterator[None]:
-    """Keep the request's place in the limits while its connection is made."""
+    """Reserve a place in the limits for the request while its connection is made."""
     progress = gateway.rollouts.get(work.service.name)
     is_target = progress is not None and state.endpoint.version == progress.order.target
     state.cold.reserve()
@@ -169,7 +169,7 @@
     may_follow: bool,
     may_enlarge: bool,
 ) -> AttemptOutcome:
-    """Read the head and decide what becomes of the answer."""
+    """Read the response head and decide how the response is processed."""
     async with asyncio.timeout(_head_wait_s(work, may_follow)):
         head = await exchange.read_head()
     state = exchange.state
@@ -187,8 +187,8 @@
         exchange.note_first_piece(now_s)
     if head.not_run:
         await exchange.read_whole(WHOLE_ANSWER_BYTES)
-        # Refusals come at once and leave nothing under way: an endpoint that refuses
-        # everything would look idle, and get every request first.
+        # Refusals come at once and leave no request in flight. An endpoint that refuses
+        # everything would look idle and be chosen first each time.
         work.refused_by.add(state.endpoint.instance)
         _note_failure(gateway, state, AttemptOutcome.NOT_RUN, "refused")
         return AttemptOutcome.NOT_RUN
@@ -209,7 +209,7 @@
 def _note_limit(
     gateway: Gateway, exchange: Exchange, head: AnswerHead, now_s: float
 ) -> None:
-    """Take the endpoint's word on how many requests it takes."""
+    """Apply the rate limit that the response states, or its absence."""
     state = exchange.state
     if state.limit.hear(head.rate_limit_per_s, exchange.began_s, now_s):
         log_limit(gateway.log, state, told=False)
@@ -228,7 +228,7 @@
 
 
 def _head_wait_s(work: Work, may_follow: bool) -> float | None:
-    """Bound the silence of an endpoint when another could still serve."""
+    """Return the timeout for the response head, None where no retry is possible."""
     if not may_follow or not work.route.may_repeat:
         return None
     return max(HEAD_WAIT_LEAST_S, HEAD_WAIT_TARGETS * work.route.latency_target_s)
@@ -237,7 +237,7 @@
 def _note_answer(
     gateway: Gateway, exchange: Exchange, failed: bool, first_piece_s: float | None
 ) -> None:
-    """Count an answer for the endpoint's health and for a roll-out's evidence."""
+    """Record a result for the endpoint's health and as evidence for a roll-out."""
     state = exchange.state
     if failed:
         _note_failure(gateway, state, AttemptOutcome.FAILED, "failure answer")
@@ -249,7 +249,7 @@
 async def _failure(
     gateway: Gateway, work: Work, exchange: Exchange, head: AnswerHead
 ) -> AttemptOutcome:
-    """Keep a complete failure of an endpoint; it may become the final answer."""
+    """Read a complete failure response; it may become the final response."""
     is_fault = head.status >= SERVER_ERROR or head.is_success
     if is_fault:
         _note_answer(gateway, exchange, True, None)
@@ -267,11 +267,14 @@
     head: AnswerHead,
     front: FrontConnection,
 ) -> AttemptOutcome:
-    """Pass a whole answer on once all of it is here."""
+    """Forward a response once it has been read completely."""
     body = await exchange.read_whole(WHOLE_ANSWER_BYTES)
     now_s = asyncio.get_running_loop().time()
     if body is None:
-        raise BadAnswerError("the answer is larger than this gateway passes on")
+        raise BadAnswerError(
+            f"response from {exchange.state.endpoint.instance} is not streamed"
+            f" and exceeds {WHOLE_ANSWER_BYTES} bytes"
+        )
     _note_answer(gateway, exchange, False, now_s - exchange.began_s)
     work.first_piece_s = now_s
     exchange.close()
@@ -289,10 +292,10 @@
     front: FrontConnection,
     may_follow: bool,
 ) -> AttemptOutcome:
-    """Pass events on as they come, whole ones only.
+    """Forward complete events as they arrive.
 
-    The caller's head goes out with the first event, so that an answer which
-    breaks before it can still be asked for elsewhere unnoticed.
+    The response head is sent with the first event, so that a stream that breaks before
+    it can be retried at another endpoint without the caller seeing it.
     """
     splitter = EventSplitter()
     may_resume = may_follow and work.route.may_repeat
@@ -326,18 +329,18 @@
 
 
 def _note_size(gateway: Gateway, work: Work) -> None:
-    """Count an answer of a model size that its caller gets."""
+    """Count a delivered response by its model size."""
     if work.route.model_sizes:
         gateway.metrics.count(Metric.CASCADE, _size_of(work), "yes")
 
 
 def _size_of(work: Work) -> str:
-    """Return the place of the model among the route's sizes, 0 the smallest."""
+    """Return the index of the model among the route's sizes, 0 being the smallest."""
     sizes = work.route.model_sizes
     return str(sizes.index(work.model)) if work.model in sizes else "caller's"
 
 
 def _start_stream(front: FrontConnection, head: AnswerHead) -> None:
-    """Send the head; the stream's length is left open, as it may be resumed."""
+    """Send the head without a content length, since the stream may be resumed."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
     front.start(head.status, head.reason, headers)
--- a/acaciacove/gateway/attempt_outcome.py
+++ b/acaciacove/gateway/attempt_outcome.py
@@ -1,16 +1,18 @@
-"""How one attempt at one endpoint ended."""
+"""Outcome of one attempt at one endpoint."""
 
 from enum import Enum
 
 
 class AttemptOutcome(Enum):
-    """What may follow depends on whether the endpoint may have run the request.
+    """Outcomes, told apart by whether the endpoint may have run the request.
 
-    ``DELIVERED``: the caller has the whole answer. ``NOT_SENT``: no byte left.
-    ``NOT_RUN``: the endpoint says so. ``FAILED``: a complete answer that tells
-    a failure. ``LOST``: it may have run. ``UNSURE``: a small model doubts its
-    answer, of which the caller has nothing. ``BROKEN``: part of a stream has
-    been delivered. ``SILENT``: no head came in the time for one attempt.
+    ``DELIVERED``: the caller has the complete response. ``NOT_SENT``: no byte was sent.
+    ``NOT_RUN``: the endpoint refused the request without running it. ``FAILED``: a
+    complete failure response. ``LOST``: the endpoint may have run the request, and its
+    response was lost. ``LOW_CONFIDENCE``: the model's confidence is low and nothing was
+    sent to the caller yet. ``BROKEN``: the stream broke after a part of it was
+    delivered. ``TIMED_OUT``: no response head or first event came within the timeout of
+    an attempt.
     """
 
     DELIVERED = "delivered"
--- a/acaciacove/gateway/catalogue/__init__.py
+++ b/acaciacove/gateway/catalogue/__init__.py
@@ -1,1 +1,1 @@
-"""What operators decide and endpoints report, as typed values."""
+"""Decisions of operators and records of endpoints, as typed values."""
--- a/acaciacove/gateway/catalogue/caller_limits.py
+++ b/acaciacove/gateway/catalogue/caller_limits.py
@@ -1,13 +1,13 @@
-"""What a caller may send, and how long it may take."""
+"""Limits on the size and duration of callers' requests."""
 
 from attrs import frozen
 
 
 @frozen
 class CallerLimits:
-    """Bounds of one caller's connection.
+    """Limits of one caller's connection.
 
-    The defaults hold until a catalogue is known; they are those of the
+    The defaults apply until a catalogue is known. They equal the values in the
     catalogues seen so far.
     """
 
--- a/acaciacove/gateway/catalogue/catalogue.py
+++ b/acaciacove/gateway/catalogue/catalogue.py
@@ -1,4 +1,4 @@
-"""The operator's catalogue: what may be asked, by whom, and who serves it."""
+"""The operator's catalogue: routes, services and calling organisations."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,10 @@
 
 @define(eq=False)
 class Catalogue:
-    """One version of the catalogue, whole; ``revision`` is its log offset.
+    """One complete version of the catalogue.
 
-    ``organisations`` is keyed by API key. ``has_organisations`` is false where
-    anybody may call.
+    ``revision`` is its log offset. ``organisations`` is keyed by API key.
+    ``has_organisations`` is false where anybody may call.
     """
 
     revision: int
@@ -28,12 +28,12 @@
     _by_host: dict[str, list[Route]] = field(init=False, factory=dict)
 
     def __attrs_post_init__(self) -> None:
-        """Order the routes of each host by falling length of prefix."""
+        """Sort the routes of each host by descending prefix length."""
         for route in sorted(self.routes, key=lambda r: -len(r.path_prefix)):
             self._by_host.setdefault(route.host.lower(), []).append(route)
 
     def match(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix that begins the path."""
+        """Return the route with the longest prefix of the path."""
         candidates: Iterable[Route] = self._by_host.get(host.lower(), ())
         for route in candidates:
             if path.startswith(route.path_prefix):
--- a/acaciacove/gateway/catalogue/endpoint.py
+++ b/acaciacove/gateway/catalogue/endpoint.py
@@ -1,4 +1,4 @@
-"""One endpoint as it registered itself."""
+"""One registered endpoint."""
 
 from attrs import frozen
 
@@ -7,8 +7,8 @@
 class Endpoint:
     """A running instance of a service.
 
-    ``generation`` names one life of the endpoint: a restart, also under the
-    same ``instance``, is another one. ``cold_until_s`` is on the runtime's clock.
+    ``generation`` identifies the incarnation of the endpoint: a restart creates a new
+    one, also under the same ``instance``. ``cold_until_s`` is on the runtime's clock.
     """
 
     instance: str
@@ -24,5 +24,5 @@
 
     @property
     def key(self) -> tuple[str, str]:
-        """The identity of this life of the endpoint."""
+        """The identity of this incarnation of the endpoint."""
         return (self.instance, self.generation)
--- a/acaciacove/gateway/catalogue/organisation.py
+++ b/acaciacove/gateway/catalogue/organisation.py
@@ -1,11 +1,11 @@
-"""One organisation that calls."""
+"""One calling organisation."""
 
 from attrs import frozen
 
 
 @frozen
 class Organisation:
-    """A calling organisation; ``priority`` goes before a route's when given."""
+    """A calling organisation; its ``priority``, if given, overrides the route's."""
 
     name: str
     priority: int | None = None
--- a/acaciacove/gateway/catalogue/repetition.py
+++ b/acaciacove/gateway/catalogue/repetition.py
@@ -1,13 +1,14 @@
-"""How often a request of a route may run."""
+"""Whether the requests of a route may run more than once."""
 
 from enum import Enum
 
 
 class Repetition(Enum):
-    """What a repeat of the same request would do.
+    """How often a request may run.
 
-    A ``STREAMING`` request runs once at most unless its route says that streams
-    may be resumed. Kinds that this release does not know are ``ONCE``.
+    ``REPEATABLE`` requests may run again, ``ONCE`` requests may not. A ``STREAMING``
+    request runs at most once unless its route allows streams to be resumed. Kinds that
+    this release does not know count as ``ONCE``.
     """
 
     REPEATABLE = "repeatable"
--- a/acaciacove/gateway/catalogue/rollout_order.py
+++ b/acaciacove/gateway/catalogue/rollout_order.py
@@ -5,10 +5,10 @@
 
 @frozen
 class RolloutOrder:
-    """Move ``service`` to ``target`` within ``duration_s``.
+    """The order to move ``service`` to ``target`` within ``duration_s``.
 
-    ``revision`` is the log offset of the order, ``seen_s`` when this process
-    first knew of it.
+    ``revision`` is the log offset of the order, and ``seen_s`` is when this process
+    first read it.
     """
 
     service: str
--- a/acaciacove/gateway/catalogue/rollout_status.py
+++ b/acaciacove/gateway/catalogue/rollout_status.py
@@ -7,7 +7,7 @@
 
 @frozen
 class RolloutStatus:
-    """What the log says of a service's roll-out; ``revision`` is its offset."""
+    """A service's roll-out as recorded in the log; ``revision`` is its offset."""
 
     service: str
     target: str
--- a/acaciacove/gateway/catalogue/route.py
+++ b/acaciacove/gateway/catalogue/route.py
@@ -10,12 +10,12 @@
 class Route:
     """Requests to ``host`` whose path begins with ``path_prefix``.
 
-    ``timeout_s`` bounds the whole answer, ``latency_target_s`` is the time to
-    the first piece within which it is worth most, ``max_attempts`` counts
-    endpoints that one request may be sent to. ``priority`` 0 is the most
-    urgent. ``model_sizes`` lists models from small to large among which the
-    gateway chooses; empty when the caller names the model.
-    ``allowed_regions`` empty means any region.
+    ``timeout_s`` limits the time to the complete response. ``latency_target_s`` is the
+    time to the first chunk within which a response is worth most. ``max_attempts``
+    limits the endpoints that one request may be sent to. ``priority`` 0 is the most
+    urgent. ``model_sizes`` lists the models among which the gateway chooses, from small
+    to large; it is empty when the caller names the model. An empty ``allowed_regions``
+    means any region.
     """
 
     name: str
@@ -35,7 +35,7 @@
 
     @property
     def may_repeat(self) -> bool:
-        """Tell whether a request may run again after it may have run."""
+        """Return whether a request may run again after it may have run."""
         if self.repetition is Repetition.STREAMING:
             return self.resumable
         return self.repetition is Repetition.REPEATABLE
--- a/acaciacove/gateway/catalogue/service.py
+++ b/acaciacove/gateway/catalogue/service.py
@@ -5,12 +5,12 @@
 
 @frozen
 class Service:
-    """What holds for every endpoint of a service.
+    """Properties that hold for every endpoint of a service.
 
-    ``connection_limit`` counts connections of all callers to one endpoint.
-    A cold endpoint bears ``cold_rate_per_s`` requests for ``cold_start_s``;
-    a rate of 0 means that the service knows no cold start.
-    ``model_costs`` prices 1,000 generated tokens of each model.
+    ``connection_limit`` limits the connections of all callers to one endpoint. A cold
+    endpoint can serve ``cold_rate_per_s`` requests per second for ``cold_start_s``; a
+    rate of 0 means that the service has no cold start. ``model_costs`` holds the price
+    of 1,000 generated tokens of each model.
     """
 
     name: str
--- a/acaciacove/gateway/catalogue/service_share.py
+++ b/acaciacove/gateway/catalogue/service_share.py
@@ -5,7 +5,7 @@
 
 @frozen
 class ServiceShare:
-    """A service that takes ``weight`` parts of a route's requests."""
+    """A service that receives ``weight`` parts of a route's requests."""
 
     service: str
     weight: float
--- a/acaciacove/gateway/choice/__init__.py
+++ b/acaciacove/gateway/choice/__init__.py
@@ -1,1 +1,1 @@
-"""Choices and limits: plain state and functions without sockets or clocks."""
+"""Choices and limits as plain state and functions, without sockets or clocks."""
--- a/acaciacove/gateway/choice/choice_settings.py
+++ b/acaciacove/gateway/choice/choice_settings.py
@@ -1,32 +1,33 @@
-"""Weights of the choice among endpoints and model sizes."""
+"""Weights for the choice among endpoints and model sizes."""
 
 from attrs import frozen
 
 
 @frozen
 class ChoiceSettings:
-    """Costs in milliseconds of waiting that a choice weighs against each other.
+    """Costs that a choice adds up, in milliseconds of waiting.
 
-    Each is a trade between waits, so only their ratios matter.
+    Only their ratios matter.
     """
 
-    # What a second of reading weighs beside a second of waiting: it delays whoever
-    # comes behind.
+    # Weight of a second of prefill relative to a second of waiting: it also delays the
+    # requests behind it.
     reading_weight: float = 2.0
-    # What reading 1,000 tokens costs beside its time: they take the place of prompts
-    # that the endpoint holds, whatever the model that reads them.
+    # Cost of processing 1,000 tokens apart from the time: they displace other prompts
+    # from the endpoint's cache, whatever the model.
     memory_ms_per_1k: float = 60.0
-    # What one more request in an endpoint's batch costs beside the queue that it adds
-    # to: it slows all the others a little.
+    # Cost of one more request in an endpoint's batch apart from the longer queue: it
+    # slows all others a little.
     request_ms: float = 25.0
-    # What a request to another zone costs beside its millisecond of travel: bytes
-    # between zones are paid for.
+    # Cost of a request to another zone apart from about 1 ms of network latency:
+    # traffic between zones is billed.
     other_zone_ms: float = 200.0
-    # The share of a shared part's reading that is expected to be spared at the
-    # endpoint that all gateways prefer for it, though this one has not sent it.
+    # Expected share of a shared part that is cached at its preferred endpoint although
+    # this gateway has not sent it there.
     home_share: float = 0.6
-    # Plain services: a request in another zone counts as this many waiting ones.
+    # For services without model prices: a request to another zone counts as this many
+    # queued ones.
     other_zone_requests: float = 0.3
-    # An endpoint of which a connection has just broken counts as this many
-    # requests more: enough to pass it over while others are about as busy.
+    # An endpoint at which a connection broke recently counts as having this many more
+    # requests: enough to avoid it while others are about as busy.
     suspect_requests: float = 8.0
--- a/acaciacove/gateway/choice/cold_limiter.py
+++ b/acaciacove/gateway/choice/cold_limiter.py
@@ -1,41 +1,41 @@
-"""How many requests a second a cold endpoint gets from this gateway."""
+"""Limits the requests per second from this gateway to a cold endpoint."""
 
 from acaciacove.gateway.choice.sliding_count import SlidingCount
 from acaciacove.gateway.choice.stable_hash import stable_hash
 
 WINDOW_S = 1.0
-# A request is counted where it arrives. One that was sent at the end of one
-# second can meet one that was sent over a second later within one second of the
-# endpoint's clock; the longer window on this side keeps them apart.
+# Sent requests are counted at sending, but the endpoint counts them at arrival. A
+# request sent at the end of one window and one sent over a second later can arrive
+# within the same second; the margin keeps them apart.
 WINDOW_MARGIN_S = 0.15
 
 
 class ColdLimiter:
-    """This gateway's part of what one cold endpoint bears.
+    """This gateway's share of the rate that one cold endpoint can serve.
 
-    The parts of all gateways add up to at most ``limit``. With more gateways
-    than requests a second, only the ``limit`` that a hash picks may send any.
+    The shares of all gateways add up to at most ``limit``. With more gateways than
+    requests per second, a hash selects the ``limit`` gateways that may send any.
     """
 
     def __init__(self) -> None:
-        """Begin without sent requests."""
+        """Start with an empty window."""
         self._sent = SlidingCount(WINDOW_S + WINDOW_MARGIN_S)
         self._reserved = 0
 
     def allows(self, now_s: float, part: int) -> bool:
-        """Tell whether one more request may be sent now."""
+        """Return whether one more request may be sent now."""
         return self._sent.total(now_s) + self._reserved + 1 <= part
 
     def reserve(self) -> None:
-        """Keep a place for a request that has been chosen and is not sent yet.
+        """Reserve a place for a request that has been chosen and is not sent yet.
 
-        Connections take time. Counted only when they stand, a burst of requests
-        would all find the endpoint free, and arrive together.
+        Making a connection takes time. If requests were counted only once connected,
+        all requests of a burst would find the endpoint free and arrive together.
         """
         self._reserved += 1
 
     def release(self) -> None:
-        """Give a place back: its request is sent, or will not be."""
+        """Release a reserved place: its request is sent, or will not be."""
         self._reserved -= 1
 
     def count(self, now_s: float) -> None:
@@ -46,7 +46,7 @@
 def own_part(
     limit: float, endpoint: str, gateway: str, gateways: frozenset[str]
 ) -> int:
-    """Return how many requests a second ``gateway`` may send to ``endpoint``."""
+    """Return how many requests per second ``gateway`` may send to ``endpoint``."""
     everyone = gateways | {gateway}
     whole = int(limit // len(everyone))
     if whole >= 1:
--- a/acaciacove/gateway/choice/endpoint_health.py
+++ b/acaciacove/gateway/choice/endpoint_health.py
@@ -1,16 +1,17 @@
-"""What this gateway has learnt about one endpoint from its own traffic."""
+"""Health of one endpoint, as seen in this gateway's own traffic."""
 
 from attrs import define
 
-# An endpoint is left out after this many failures in a row: one may be chance (a
-# reset of a single connection), three are not.
+# An endpoint is ejected after this many consecutive failures: one may be chance, such
+# as the reset of a single connection, three are not.
 FAILURES_IN_A_ROW = 3
 FIRST_EJECTION_S = 0.5
 LONGEST_EJECTION_S = 4.0
-# Beyond this many in a row the pause grows no more.
+# Beyond this many ejections in a row the back-off grows no further: the power of two
+# would exceed the range of a float.
 MOST_EJECTIONS = 16
-# A share of failures over the last answers above which an endpoint that answers
-# some requests well is left out too; the memory fades with each answer.
+# Share of failures among recent responses above which an endpoint is ejected, even if
+# it answers some requests successfully. Older responses lose weight with each new one.
 BAD_SHARE = 0.35
 SHARE_MEMORY = 0.9
 SHARE_MINIMUM_WEIGHT = 4.0
@@ -18,9 +19,9 @@
 
 @define
 class EndpointHealth:
-    """Failures of one endpoint, and until when it is left out.
+    """Failures of one endpoint, and until when it is ejected.
 
-    ``broken_s`` is when a connection to it last broke or could not be made.
+    ``disconnected_s`` is when a connection to it last broke or could not be made.
     """
 
     failures_in_a_row: int = 0
@@ -31,13 +32,13 @@
     failures_weight: float = 0.0
 
     def count_success(self) -> None:
-        """Note an answer as it should be."""
+        """Record a success."""
         self.failures_in_a_row = 0
         self.ejections = max(0, self.ejections - 1)
         self._fade(0.0)
 
     def count_failure(self, now_s: float, broken: bool) -> bool:
-        """Note a failure; tells whether the endpoint is left out from now on."""
+        """Record a failure; return whether it ejects the endpoint."""
         self.failures_in_a_row += 1
         if broken:
             self.broken_s = now_s
@@ -59,5 +60,5 @@
         self.failures_weight = self.failures_weight * SHARE_MEMORY + failure
 
     def is_ejected(self, now_s: float) -> bool:
-        """Tell whether the endpoint is left out for now."""
+        """Return whether the endpoint is ejected now."""
         return now_s < self.ejected_until_s
--- a/acaciacove/gateway/choice/endpoint_load.py
+++ b/acaciacove/gateway/choice/endpoint_load.py
@@ -1,23 +1,23 @@
-"""How busy one endpoint is, as far as this gateway can tell."""
+"""Load of one endpoint, estimated from local requests and its reports."""
 
 from collections.abc import Iterable
 
 from attrs import define
 
-# A reported load counts in full when it has just come and not at all after this
-# long. Model requests last one to three seconds, so after this time the requests
-# that were reported have mostly ended.
+# A load report has full weight on arrival and none after this time. Model requests take
+# one to three seconds, so most of the reported ones have ended by then.
 REPORT_LIFE_S = 3.0
-# What an endpoint of unknown load counts for, as a share of the usual load. At 0 slow
-# endpoints look idle; at 1 gateways stay with those that they know.
+# Load of an endpoint without a recent report, as a share of the baseline. At 0 slow
+# endpoints look idle; at 1 gateways only use the endpoints that they know.
 UNKNOWN_SHARE = 0.75
 
 
 @define
 class EndpointLoad:
-    """Own requests under way and the endpoint's last report.
+    """Local requests in flight and the endpoint's last report.
 
-    ``reported`` is running plus waiting requests at the endpoint's last answer.
+    ``reported`` is the number of running and waiting requests at the last report, and
+    ``reported_local`` that of local requests in flight at that time.
     """
 
     in_flight: int = 0
@@ -26,26 +26,26 @@
     reported_s: float = -1e9
 
     def report(self, running: int, waiting: int, now_s: float) -> None:
-        """Take a report that came with an answer."""
+        """Apply a report that came with a response."""
         self.reported = running + waiting
         self.reported_own = self.in_flight
         self.reported_s = now_s
 
     def freshness(self, now_s: float) -> float:
-        """Return how far the last report still counts, from 0 to 1."""
+        """Return the weight of the last report, from 0 to 1."""
         return max(0.0, 1.0 - (now_s - self.reported_s) / REPORT_LIFE_S)
 
     @property
     def others(self) -> float:
-        """Requests of others at the last report."""
+        """Requests of other gateways at the last report."""
         return max(0.0, self.reported - self.reported_own)
 
     def estimate(self, now_s: float, usual: float = 0.0) -> float:
-        """Return requests at the endpoint: own ones, and others by the report.
+        """Return the estimated requests at the endpoint, local ones and those of peers.
 
-        As the report ages, others count as nearly as many as are ``usual`` at
-        endpoints. Slow endpoints answer seldom: taken for idle between reports, they
-        would get more requests the busier they are.
+        As the report ages, the requests of peers approach a share of the ``baseline``
+        of all endpoints. Slow endpoints respond seldom: if they counted as idle between
+        reports, they would get more requests the busier they are.
         """
         freshness = self.freshness(now_s)
         unknown = UNKNOWN_SHARE * usual * (1.0 - freshness)
@@ -53,7 +53,7 @@
 
 
 def usual_others(loads: Iterable[EndpointLoad], now_s: float) -> float:
-    """Return how many requests of others endpoints have, by the fresh reports."""
+    """Return the mean requests of peers per endpoint, weighted by report freshness."""
     weighed = [(load.freshness(now_s), load.others) for load in loads]
     weight = sum(freshness for freshness, _ in weighed)
     if weight <= 0.0:
--- a/acaciacove/gateway/choice/limit_share.py
+++ b/acaciacove/gateway/choice/limit_share.py
@@ -1,11 +1,15 @@
-"""This gateway's share of a bound on an endpoint, as it was last worked out."""
+"""This gateway's share of a limit on an endpoint, as last computed."""
 
 from attrs import define
 
 
 @define(eq=False)
 class LimitShare:
-    """``own`` of ``total`` requests among ``gateways``; last checked ``checked_s``."""
+    """The cached share of a limit.
+
+    Of ``total`` requests, ``allotted`` are this gateway's share among ``gateways``.
+    ``checked_s`` is when the list of gateways was last checked.
+    """
 
     total: int = -1
     own: int = 0
--- a/acaciacove/gateway/choice/prompt.py
+++ b/acaciacove/gateway/choice/prompt.py
@@ -5,10 +5,10 @@
 
 @frozen
 class Prompt:
-    """Parts of a prompt in order, as (id, tokens), and its token counts.
+    """A prompt's parts in order, as (id, tokens), and its token counts.
 
-    The last part belongs to the request or its session; those before it are
-    shared with other requests.
+    The last part belongs to the request or its session; those before it are shared with
+    other requests.
     """
 
     parts: tuple[tuple[str, int], ...]
@@ -17,7 +17,7 @@
 
     @property
     def shared_key(self) -> str | None:
-        """The id of the last part that other requests share, if any."""
+        """The id of the last part that is shared with other requests, if any."""
         if len(self.parts) >= 2:
             return self.parts[-2][0]
         return self.parts[0][0] if self.parts else None
--- a/acaciacove/gateway/choice/retry_budget.py
+++ b/acaciacove/gateway/choice/retry_budget.py
@@ -1,4 +1,4 @@
-"""How many requests may be sent a second time, summed over all gateways."""
+"""Limits the retries of all gateways together."""
 
 from acaciacove.gateway.choice.sliding_count import SlidingCount
 
@@ -6,37 +6,37 @@
 
 
 class RetryBudget:
-    """The repeats that one gateway may send to one service.
+    """Retries that one gateway may send to one service.
 
     All gateways together may send ``ratio`` times the requests of a window plus
-    ``extra``. Each keeps to its own requests times ``ratio`` and its part of
-    ``extra``, so the sum holds without asking anybody, also while gateways are
-    cut off from each other.
+    ``extra``. Each stays within ``ratio`` times its own requests plus its share of
+    ``extra``. The sum therefore holds without coordination, also while gateways are
+    disconnected from each other.
     """
 
     def __init__(self, ratio: float, extra: float, window_s: float) -> None:
-        """Begin without requests; ``ratio`` and ``extra`` are those to keep to."""
+        """Start with empty windows and the bounds ``ratio`` and ``extra``."""
         self._ratio = ratio
         self._extra = extra
         self._requests = SlidingCount(window_s, COUNT_STEP_S)
         self._repeats = SlidingCount(window_s, COUNT_STEP_S)
 
     def keep_to(self, ratio: float, extra: float) -> None:
-        """Take new bounds; what was counted stays counted."""
+        """Set new bounds; counted requests and retries stay counted."""
         self._ratio = ratio
         self._extra = extra
 
     def count_request(self, now_s: float) -> None:
-        """Count a caller's request for the service."""
+        """Count a caller's request to the service."""
         self._requests.add(now_s)
 
     def left(self, now_s: float, gateways: int) -> float:
-        """Return how many repeats may still be sent now."""
+        """Return how many retries may still be sent now."""
         allowed = self._ratio * self._requests.total(now_s) + self._extra / gateways
         return allowed - self._repeats.total(now_s)
 
     def take(self, now_s: float, gateways: int) -> bool:
-        """Use one repeat; false when there is none."""
+        """Use one retry; return false when none remains."""
         if self.left(now_s, gateways) < 1.0:
             return False
         self._repeats.add(now_s)
--- a/acaciacove/gateway/choice/session_versions.py
+++ b/acaciacove/gateway/choice/session_versions.py
@@ -1,37 +1,37 @@
-"""Which version each session is on."""
+"""Remembers the service version of each session."""
 
 from collections import OrderedDict
 
-# Sessions that one gateway remembers; the oldest is forgotten first. One costs
-# about 250 bytes, so the table stays under 3 MB.
+# Sessions that one gateway remembers; the oldest is evicted first. One takes about 250
+# bytes, so the table stays below 3 MB.
 MAX_SESSIONS = 10_000
 
 
 # A session's requests reach other gateways too, so one that has been idle here may
-# be alive: it is remembered for this many lives.
+# still be active. Its entry is retained for this many lifetimes.
 REMEMBERED_LIVES = 4.0
 
 
 class SessionVersions:
-    """Remembers the version of each session that may still be alive.
+    """Versions of sessions that may still be active.
 
-    ``life_s`` is how long a session is idle before it has ended.
+    ``lifetime_s`` is the idle time after which a session has ended.
     """
 
     def __init__(self, life_s: float) -> None:
-        """Begin without sessions."""
+        """Start without sessions."""
         self.life_s = life_s
         self._sessions: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
     def get(self, service: str, session: str, now_s: float) -> str | None:
-        """Return the version that the session is on."""
+        """Return the version that the session uses, None if unknown or expired."""
         known = self._sessions.get((service, session))
         if known is None or now_s - known[1] > REMEMBERED_LIVES * self.life_s:
             return None
         return known[0]
 
     def put(self, service: str, session: str, version: str, now_s: float) -> None:
-        """Note that the session has just used a version."""
+        """Record that the session has just used a version."""
         key = (service, session)
         self._sessions.pop(key, None)
         self._sessions[key] = (version, now_s)
--- a/acaciacove/gateway/choice/sliding_count.py
+++ b/acaciacove/gateway/choice/sliding_count.py
@@ -1,17 +1,18 @@
-"""How many things happened in the time just past."""
+"""Counts events in a sliding time window."""
 
 from collections import deque
 
 
 class SlidingCount:
-    """Counts over a window that slides with ``now_s``; exact, one entry a step.
+    """Counter over a window that ends at ``now_s``.
 
-    Entries within ``step_s`` of each other share one counter, which is dropped
-    only when all of it is older than the window: the count is never too low.
+    Events within ``bucket_s`` of each other share one bucket, which is dropped only
+    when all of it is older than the window. The count is therefore never too low. With
+    a ``bucket_s`` of 0 it is exact.
     """
 
     def __init__(self, window_s: float, step_s: float = 0.0) -> None:
-        """Begin empty."""
+        """Start with an empty window."""
         self._window_s = window_s
         self._step_s = step_s
         self._steps: deque[list[float]] = deque()
@@ -27,7 +28,7 @@
         self._steps.append([now_s, now_s, amount])
 
     def total(self, now_s: float) -> float:
-        """Return the sum of what was counted within the window."""
+        """Return the total within the window."""
         while self._steps and self._steps[0][1] <= now_s - self._window_s:
             self._total -= self._steps.popleft()[2]
         return self._total
--- a/acaciacove/gateway/choice/stable_hash.py
+++ b/acaciacove/gateway/choice/stable_hash.py
@@ -1,29 +1,29 @@
-"""A hash that is the same in every process."""
+"""Hashes that are the same in every process."""
 
 from hashlib import blake2b
 
 SIZE_BYTES = 8
 NUMBER_BYTES = 4
 MASK = 2**64 - 1
-# Odd multipliers of 64 bits without a pattern in their bits.
+# Odd 64-bit multipliers with irregular bit patterns.
 MIX_FIRST = 0x9E3779B97F4A7C15
 MIX_SECOND = 0xD6E8FEB86659FD93
 
 
 def stable_hash(text: str) -> bytes:
-    """Return eight bytes that depend on the text alone, to rank or draw by."""
+    """Return an eight-byte hash of a text, for ranking or drawing."""
     return blake2b(text.encode(), digest_size=SIZE_BYTES).digest()
 
 
 def stable_number(text: str) -> int:
-    """Return a number of 32 bits that stands for a text in messages."""
+    """Return a 32-bit hash of a text, used as an id in messages."""
     return int.from_bytes(blake2b(text.encode(), digest_size=NUMBER_BYTES).digest())
 
 
 def mixed(number: int) -> int:
-    """Return a number of 64 bits in which each bit of ``number`` changes half of them.
+    """Return a 64-bit number in which each bit of ``number`` flips half of the bits.
 
-    Far cheaper than a hash, for ranking what has been hashed before.
+    Far cheaper than a cryptographic hash, for ranking what has been hashed before.
     """
     number = number * MIX_FIRST & MASK
     number = (number ^ number >> 32) * MIX_SECOND & MASK
@@ -31,5 +31,5 @@
 
 
 def part_key(model: str | None, part: str) -> int:
-    """Return the number of a prompt's part as one model reads it."""
+    """Return the key of a prompt part as processed by one model."""
     return stable_number(f"{model}/{part}")
--- a/acaciacove/gateway/choice/stated_limit.py
+++ b/acaciacove/gateway/choice/stated_limit.py
@@ -1,28 +1,29 @@
-"""The rate that one endpoint says it takes from all gateways together."""
+"""The rate limit that one endpoint states for all gateways together."""
 
 from attrs import define, field
 
-# Over which time a gateway keeps to its share; longer for a rate so low that not even
-# one request falls into it.
+# Window over which a gateway stays within its share; longer for a rate at which the
+# shortest window holds less than one request.
 SHORTEST_WINDOW_S = 4.0
 LONGEST_WINDOW_S = 20.0
-# A request is counted where it arrives: some take longer on the way than others.
+# Sent requests are counted at sending, and the endpoint counts them at arrival: some
+# take longer on the way than others.
 WINDOW_MARGIN_S = 0.15
-# A limit that neither an answer nor another gateway has confirmed for this long is
-# forgotten: the endpoint may have lifted it while nobody asked.
+# A limit that neither a response nor a peer has confirmed for this long expires: the
+# endpoint may have lifted it while no request was sent to it.
 LIFE_S = 30.0
-# A change of the rate by less is no news.
+# A smaller relative change of the rate does not count as a change.
 NEWS_SHARE = 0.2
-# Rounding of a product must not cost a request.
+# Keeps rounding errors of the product from costing a request.
 ROUNDING = 1e-6
 
 
 @define(eq=False)
 class StatedLimit:
-    """The last word on an endpoint's limit, and what this gateway sent under it.
+    """The last stated limit of an endpoint, and the requests sent under it.
 
-    ``per_s`` is None without a limit. ``seen_s`` is when the answer came that said so,
-    here or at another gateway.
+    ``per_s`` is None without a limit. ``seen_s`` is when the response that stated it
+    arrived, here or at a peer.
     """
 
     per_s: float | None = None
@@ -31,17 +32,17 @@
     _reserved: int = 0
 
     def hear(self, per_s: float | None, asked_s: float, now_s: float) -> bool:
-        """Take what an answer says or leaves out; tells whether that is news.
+        """Apply a response's limit, None for no limit; return whether it changed.
 
-        An answer to what was asked before the limit was last seen may have been
-        made before it was set, and does not lift it.
+        A response to a request that was sent before the limit was last seen may have
+        been produced before the limit was set, and does not lift it.
         """
         if per_s is None and (self.per_s is None or asked_s < self.seen_s):
             return False
         return self._set(per_s, now_s)
 
     def hear_told(self, per_s: float | None, seen_s: float) -> bool:
-        """Take another gateway's word, if it is newer; tells whether that is news."""
+        """Apply a peer's update if it is newer; return whether the limit changed."""
         return seen_s > self.seen_s and self._set(per_s, seen_s)
 
     def _set(self, per_s: float | None, seen_s: float) -> bool:
@@ -51,30 +52,30 @@
         return abs(per_s - before) > NEWS_SHARE * before
 
     def is_set(self, now_s: float) -> bool:
-        """Tell whether the endpoint has a limit now."""
+        """Return whether the endpoint has a limit now."""
         if self.per_s is not None and now_s - self.seen_s > LIFE_S:
             self.per_s = None
         return self.per_s is not None
 
     @property
     def window_s(self) -> float:
-        """The time over which sent requests are counted."""
+        """The window over which sent requests are counted."""
         if not self.per_s:
             return LONGEST_WINDOW_S
         return min(LONGEST_WINDOW_S, max(SHORTEST_WINDOW_S, 1.0 / self.per_s))
 
     @property
     def per_window(self) -> int:
-        """How many requests all gateways together may send in a window."""
+        """The number of requests that all gateways together may send in a window."""
         return int((self.per_s or 0.0) * self.window_s + ROUNDING)
 
     def allows(self, now_s: float, share: int) -> bool:
-        """Tell whether one more of this gateway's ``share`` may be sent now."""
+        """Return whether this gateway's ``share`` allows one more request now."""
         self._forget(now_s)
         return len(self._sent) + self._reserved + 1 <= share
 
     def room_in_s(self, now_s: float, share: int) -> float | None:
-        """Return when the next request may be sent; None where none ever may."""
+        """Return the seconds until a request may be sent; None if it never may."""
         if share < 1:
             return None
         self._forget(now_s)
@@ -83,15 +84,15 @@
         return self._sent[-share] + self.window_s + WINDOW_MARGIN_S - now_s
 
     def reserve(self) -> None:
-        """Keep a place for a request whose connection is being made."""
+        """Reserve a place for a request whose connection is being made."""
         self._reserved += 1
 
     def release(self) -> None:
-        """Give a place back: its request is sent, or will not be."""
+        """Release a reserved place: its request is sent, or will not be."""
         self._reserved -= 1
 
     def count(self, now_s: float) -> None:
-        """Count a request that is sent, while there is a limit."""
+        """Count a sent request, if there is a limit."""
         if self.per_s is not None:
             self._sent.append(now_s)
 
--- a/acaciacove/gateway/choice/weigh_endpoint.py
+++ b/acaciacove/gateway/choice/weigh_endpoint.py
@@ -1,4 +1,4 @@
-"""What one endpoint would have to read for a request."""
+"""Prefix-cache affinity between prompts and endpoints."""
 
 from acaciacove.gateway.choice.prompt import Prompt
 from acaciacove.gateway.choice.stable_hash import mixed, part_key, stable_hash
@@ -6,17 +6,17 @@
 
 
 def shared_keys(prompt: Prompt, model: str | None) -> tuple[int, ...]:
-    """Return the keys of a prompt's shared parts, as a model reads them."""
+    """Return the keys of a prompt's shared parts for a model."""
     return tuple(part_key(model, part) for part, _ in prompt.parts[:-1])
 
 
 def unread_tokens(
     state: EndpointState, prompt: Prompt, keys: tuple[int, ...], home_share: float
 ) -> float:
-    """Return the tokens of a prompt that the endpoint does not hold.
+    """Return the tokens of a prompt that are not in the endpoint's cache.
 
-    A part counts as held only when all parts before it are. Of parts that are not
-    known to be held, ``home_share`` is expected to be.
+    A part counts as cached only if all parts before it are. Of a part that is not known
+    to be cached, the share ``home_share`` is expected to be.
     """
     unread = 0.0
     held = True
@@ -32,7 +32,7 @@
 def home_of(key: str, model: str | None, states: list[EndpointState]) -> EndpointState:
     """Return the endpoint that all gateways prefer for a shared part.
 
-    Rendezvous hashing: ``states`` may come in any order, and must not be empty.
+    Rendezvous hashing: the order of ``states`` does not matter; it must not be empty.
     """
     number = int.from_bytes(stable_hash(f"{key}/{model}"))
     return max(states, key=lambda state: mixed(state.rank ^ number))
--- a/acaciacove/gateway/choose_endpoint.py
+++ b/acaciacove/gateway/choose_endpoint.py
@@ -8,13 +8,14 @@
 from acaciacove.gateway.usable_endpoints import usable_endpoints
 from acaciacove.gateway.work import Work
 
-# Endpoints whose costs are compared for one prompt: more would take milliseconds of
-# each request, and the best of so many is hardly worse than the best of all.
+# Bound on the endpoints whose costs are compared for one prompt. Comparing more takes
+# milliseconds per request, and the best of a sample this large is hardly worse than the
+# best of all.
 MOST_COMPARED = 48
 
 
 def choose_endpoint(gateway: Gateway, work: Work, now_s: float) -> EndpointState | None:
-    """Return the endpoint with the least cost, or None where none may be used."""
+    """Return the endpoint of the lowest cost, or None where none may be used."""
     states = usable_endpoints(gateway, work, now_s)
     if not states:
         return None
@@ -31,7 +32,7 @@
     states: list[EndpointState],
     now_s: float,
 ) -> EndpointState:
-    """Return the endpoint whose first piece is expected soonest, other things equal."""
+    """Return the endpoint with the lowest prompt cost among those compared."""
     home = home_of(prompt.shared_key or "", work.model, states)
     compared = _compared(gateway, states, home)
     return min(compared, key=prompt_costs(gateway, work, prompt, compared, home, now_s))
@@ -40,7 +41,7 @@
 def _compared(
     gateway: Gateway, states: list[EndpointState], home: EndpointState
 ) -> list[EndpointState]:
-    """Return all endpoints of a small service, of a large one the home and a draw."""
+    """Return all endpoints of a small service, else a sample with the preferred one."""
     if len(states) <= MOST_COMPARED:
         return states
     drawn = gateway.random.sample(states, MOST_COMPARED)
--- a/acaciacove/gateway/choose_model.py
+++ b/acaciacove/gateway/choose_model.py
@@ -1,4 +1,4 @@
-"""Which model is asked for a request: the first one, and a larger one after it."""
+"""Choice of the model for a request: the first one, and a larger one to escalate to."""
 
 from math import sqrt
 
@@ -20,27 +20,28 @@
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.work import Work
 
-# How many times the dearest model's price its good answers are taken to be worth.
+# The value of a good response, as a multiple of the highest model price.
 PRICE_MULTIPLE = 5.0
-# Of a prompt's shared parts, what is taken to be unread at the endpoint that will be
-# chosen for it.
+# Share of a prompt's shared parts that is assumed not to be cached at the endpoint that
+# will be chosen for it.
 UNREAD_SHARE = 0.3
-# A larger model of which little is known is asked in place of the best one this often,
-# until this many pairs of answers have shown how good it is, and seldom from then on.
+# A larger model with fewer pairs of responses than this is explored in place of the
+# best one for ``EXPLORATION_SHARE`` of the requests. Once its quality is known, the
+# share is ``LATE_EXPLORATION_SHARE``.
 UNKNOWN_PAIRS = 6
 EXPLORED_SHARE = 0.15
 EXPLORED_LATER = 0.01
-# Nothing is asked to learn from it where a second of work delays more requests than
-# this: what is learnt would be paid for by those behind it.
+# Nothing is explored where one second of work delays more requests than this: the
+# requests behind it would pay for what is learnt.
 CALM_DELAYED_PER_S = 0.5
 
 
 def choose_first_model(gateway: Gateway, work: Work, now_s: float) -> str:
     """Return the model that a request is sent to first.
 
-    Queues are left out of this choice. To save a wait, a busy service would be asked
-    for its largest model at once, also for what the smallest answers well, and would
-    get the busier.
+    Queue waits are left out of this choice. Otherwise a busy service would be sent
+    requests for its largest model at once to save a wait, also those that the smallest
+    model serves well, and would become busier still.
     """
     options = _options(gateway, work, work.route.model_sizes, wait_s=0.0)
     may_go_on = work.route.may_repeat and work.route.max_attempts > 1
@@ -52,7 +53,7 @@
 def choose_next_model(
     gateway: Gateway, work: Work, confidence: float, now_s: float
 ) -> str | None:
-    """Return the model to ask after an answer, or None where the answer is to stay."""
+    """Return the model to escalate to, or None where the response is to be kept."""
     sizes = work.route.model_sizes
     asked = work.model
     if asked not in sizes or asked == sizes[-1]:
@@ -81,7 +82,7 @@
 def _explored(
     gateway: Gateway, beliefs: ConfidenceBeliefs, asked: str, larger: tuple[str, ...]
 ) -> str | None:
-    """Return a model that is asked to learn of it, most often none."""
+    """Return a larger model to explore, or None, which is most frequent."""
     for name in larger[:-1]:
         is_known = beliefs.offset(asked, name).pairs >= UNKNOWN_PAIRS
         share = EXPLORED_LATER if is_known else EXPLORED_SHARE
@@ -93,7 +94,7 @@
 def learn_confidence(
     gateway: Gateway, work: Work, state: EndpointState, head: AnswerHead
 ) -> float | None:
-    """Learn from the opinion that came with a head; returns it if it can be used."""
+    """Record the confidence of a response head; return it if it is usable."""
     told = head.confidence
     sizes = work.route.model_sizes
     if told is None or work.model not in sizes:
@@ -117,11 +118,11 @@
 
 
 def _answer_value(gateway: Gateway, service: Service) -> float:
-    """Return what a good answer is worth for 1,000 tokens, in the prices' unit.
+    """Return the value of a good response for 1,000 tokens, in the unit of prices.
 
-    Two estimates, each of them rough: the operator's setting, and the catalogue, since
-    nobody offers a model that costs about what its answers are worth. Their geometric
-    mean is never far off where one of them is.
+    It is the geometric mean of two rough estimates: the operator's setting, and a
+    multiple of the highest price, since nobody offers a model that costs about as much
+    as its responses are worth. The mean stays close where one of the two is close.
     """
     told = gateway.settings.answer_value_per_1k_tokens
     dearest = max(service.model_costs.values(), default=0.0)
@@ -132,7 +133,7 @@
 
 @frozen
 class _Queues:
-    """Queues before a service's endpoints: the mean wait and the least one."""
+    """Estimated queue waits of a service's endpoints: the mean and the minimum."""
 
     endpoints: int
     mean_s: float
@@ -181,7 +182,7 @@
     work_s = 0.0
     for name in models:
         pace = gateway.reading_pace(work.service.name, name)
-        # A larger model is never faster, whatever the last few answers say.
+        # A larger model is never faster, whatever the last few measurements say.
         work_s = max(work_s, pace.predict_s(unread))
         found.append(
             ModelOption(
--- a/acaciacove/gateway/choose_version.py
+++ b/acaciacove/gateway/choose_version.py
@@ -1,4 +1,4 @@
-"""Which versions of a service a request may meet while a roll-out is under way."""
+"""Filters a request's endpoints by service version during a roll-out."""
 
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.choice.stable_hash import SIZE_BYTES, stable_hash
@@ -18,7 +18,7 @@
 def admissible(
     gateway: Gateway, work: Work, endpoints: list[Endpoint], now_s: float
 ) -> list[Endpoint]:
-    """Leave the endpoints of the version that this request is to meet."""
+    """Return the endpoints whose version may serve this request."""
     service = work.service.name
     order = gateway.beliefs.orders.get(service)
     if order is None:
@@ -45,9 +45,9 @@
     target: list[Endpoint],
     now_s: float,
 ) -> list[Endpoint]:
-    """Let sessions stay where they are, and draw the version of new ones.
+    """Keep sessions on their version, and draw the version of other requests.
 
-    The draw is a hash of the session, so all gateways draw alike.
+    The draw is a hash of the session or request id, so all gateways draw alike.
     """
     if not target:
         return old
@@ -68,10 +68,11 @@
 def _without_old(
     gateway: Gateway, progress: RolloutProgress, target: list[Endpoint]
 ) -> list[Endpoint]:
-    """Return what may serve while no endpoint of the old version may.
+    """Return the endpoints to use while none of the old version may be used.
 
-    If none is left at all, the new version is all there is. If the old ones are
-    only kept from serving for now, the new one serves as far as its exposure goes.
+    If the old version has no endpoint left, the target version serves everything. If
+    its endpoints are only unusable for now, the target version serves up to its
+    exposure limit.
     """
     order = progress.order
     if not any(
@@ -88,7 +89,7 @@
 def _draws_target(
     gateway: Gateway, work: Work, progress: RolloutProgress, now_s: float
 ) -> bool:
-    """Tell whether a request that is not on the new version goes there now."""
+    """Return whether a request that is not on the target version is moved to it."""
     drawn = work.session or work.request.hints.request_id or ""
     has_session = work.session is not None
     share = target_share(progress, gateway.rollout_settings, has_session, now_s)
@@ -96,5 +97,5 @@
 
 
 def position(text: str) -> float:
-    """Return a number from 0 to 1 that is the same in every process."""
+    """Return a number from 0 to 1 that depends on the text alone."""
     return int.from_bytes(stable_hash(text)) / HASH_RANGE
--- a/acaciacove/gateway/endpoint_cost.py
+++ b/acaciacove/gateway/endpoint_cost.py
@@ -1,4 +1,4 @@
-"""What sending a request to an endpoint costs, by waits, reading and distance."""
+"""Cost of sending a request to an endpoint: waits, prefill, load and distance."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from acaciacove.gateway.usable_endpoints import was_just_broken
 from acaciacove.gateway.work import Work
 
-# What each failure in a row counts for beside requests under way.
+# Each consecutive failure counts as this many more requests in flight.
 FAILURE_REQUESTS = 2.0
 MS = 1000.0
 TOKENS_PER_1K = 1000.0
@@ -20,7 +20,7 @@
 def plain_cost(
     gateway: Gateway, state: EndpointState, now_s: float
 ) -> tuple[float, float]:
-    """Return the cost at a plain service, in requests, with a draw to settle ties."""
+    """Return the load cost at an endpoint in requests, and a random tie-breaker."""
     is_near = state.endpoint.availability_zone == gateway.settings.availability_zone
     zone = 0.0 if is_near else gateway.choice.other_zone_requests
     load = state.load.estimate(now_s) + _suspicion(gateway, state, now_s)
@@ -28,7 +28,7 @@
 
 
 def _suspicion(gateway: Gateway, state: EndpointState, now_s: float) -> float:
-    """Return how many requests an endpoint's doubtful health counts for."""
+    """Return the number of requests that an endpoint's poor health counts for."""
     failures = FAILURE_REQUESTS * state.health.failures_in_a_row
     if was_just_broken(state, now_s):
         return gateway.choice.suspect_requests + failures
@@ -43,9 +43,9 @@
     home: EndpointState,
     now_s: float,
 ) -> Callable[[EndpointState], float]:
-    """Return what a prompt costs at an endpoint, in seconds of waiting.
+    """Return a function for the cost of a prompt at an endpoint, in seconds.
 
-    ``home`` is the endpoint that all gateways prefer for the prompt's shared parts.
+    All gateways prefer the endpoint ``preferred`` for the prompt's shared parts.
     """
     choice = gateway.choice
     own_zone = gateway.settings.availability_zone
--- a/acaciacove/gateway/endpoint_state.py
+++ b/acaciacove/gateway/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What a gateway keeps for one life of an endpoint."""
+"""State that a gateway keeps for one incarnation of an endpoint."""
 
 from collections import OrderedDict
 from collections.abc import Iterable
@@ -15,17 +15,18 @@
 from acaciacove.gateway.choice.stated_limit import StatedLimit
 from acaciacove.gateway.http.connection_pool import ConnectionPool
 
-# Prompt parts that one gateway believes to be in an endpoint's memory; parts
-# that nobody has sent there lately are likely gone.
+# Prompt parts that one gateway assumes to be cached at an endpoint. Parts that nobody
+# has sent there lately have probably been evicted.
 MAX_KNOWN_PARTS = 512
 
 
 @define(eq=False)
 class EndpointState:
-    """Connections, load, queue, health and probable cache of an endpoint.
+    """Connections, load, backlog, health and probable cache of an endpoint.
 
-    ``crashed`` is set once this life of it is known to have ended without a word.
-    ``rank`` stands for it where all gateways are to prefer the same endpoint.
+    ``crashed`` is set once this incarnation is known to have ended without
+    deregistering. ``instance_hash`` ranks it where all gateways must prefer the same
+    endpoint.
     """
 
     endpoint: Endpoint
@@ -41,11 +42,11 @@
     rank: int = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Work out the rank once."""
+        """Compute the hash of the instance name once."""
         self.rank = int.from_bytes(stable_hash(self.endpoint.instance))
 
     def remember_parts(self, keys: Iterable[int]) -> None:
-        """Note by their keys that shared parts have just been read."""
+        """Record that the endpoint has just processed the parts with these keys."""
         for key in keys:
             self.parts.pop(key, None)
             self.parts[key] = None
@@ -53,5 +54,5 @@
             self.parts.popitem(last=False)
 
     def holds(self, key: int) -> bool:
-        """Tell whether a part is probably in the endpoint's memory."""
+        """Return whether a part is probably in the endpoint's cache."""
         return key in self.parts
--- a/acaciacove/gateway/endpoint_states.py
+++ b/acaciacove/gateway/endpoint_states.py
@@ -1,4 +1,4 @@
-"""States of all endpoints that are known or still at work."""
+"""States of all endpoints that are registered or still have requests in flight."""
 
 from collections.abc import Iterable
 
@@ -9,26 +9,26 @@
 
 
 def endpoint_id(instance: str) -> int:
-    """Return the number by which gateways name an endpoint to each other."""
+    """Return the id of an endpoint in gateways' messages."""
     return stable_number(instance)
 
 
 def life_number(endpoint: Endpoint) -> int:
-    """Return the number by which gateways name one life of an endpoint."""
+    """Return the id of one incarnation of an endpoint in gateways' messages."""
     return stable_number("/".join(endpoint.key))
 
 
 class EndpointStates:
-    """One state for each life of an endpoint."""
+    """The state of each incarnation of each endpoint."""
 
     def __init__(self) -> None:
-        """Begin without endpoints."""
+        """Start without endpoints."""
         self._states: dict[tuple[str, str], EndpointState] = {}
         self._by_id: dict[int, EndpointState] = {}
         self._by_life: dict[int, EndpointState] = {}
 
     def of(self, endpoint: Endpoint) -> EndpointState:
-        """Return the state of an endpoint, with its newest report."""
+        """Return the state of an endpoint, created if needed, and update its entry."""
         state = self._states.get(endpoint.key)
         if state is None:
             pool = ConnectionPool(endpoint.host, endpoint.port)
@@ -40,17 +40,18 @@
         return state
 
     def find(self, number: int) -> EndpointState | None:
-        """Return the newest life of the endpoint with an id, None if unknown."""
+        """Return the state of an endpoint's newest incarnation, None if unknown."""
         return self._by_id.get(number)
 
     def find_life(self, number: int) -> EndpointState | None:
-        """Return the one life of an endpoint with a number, None if unknown."""
+        """Return the state of the incarnation with this id, None if unknown."""
         return self._by_life.get(number)
 
     def keep_to(self, endpoints: Iterable[Endpoint]) -> None:
-        """Have a state for each known endpoint, and forget those that are gone.
+        """Create states of new endpoints, and remove those of removed endpoints.
 
-        Idle connections are ended with it.
+        The idle connections of removed endpoints are closed. A state is only removed
+        once no request is in flight at its endpoint.
         """
         known = {endpoint.key for endpoint in endpoints}
         for endpoint in endpoints:
@@ -71,5 +72,5 @@
         self._by_life.pop(life_number(state.endpoint), None)
 
     def all(self) -> Iterable[EndpointState]:
-        """Return every state."""
+        """Return all states."""
         return self._states.values()
--- a/acaciacove/gateway/exchange.py
+++ b/acaciacove/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Sends one request to one endpoint and reads the head of its answer."""
+"""Sends one request to one endpoint and reads its response."""
 
 import asyncio
 from typing import Any
@@ -18,20 +18,21 @@
 from acaciacove.gateway.work import Work
 from acaciacove.messages.work_sent import WorkSent
 
-# Answers to earlier requests that are passed over on one connection before it is
-# given up.
+# Responses to earlier requests that are skipped on one connection before it is
+# abandoned.
 MAX_FOREIGN_ANSWERS = 3
 
 
 @define(eq=False)
 class Exchange:
-    """One request on its way at an endpoint.
-
-    ``unread_tokens`` is what the endpoint has to read of the prompt, ``piece_number``
-    names its first piece in the endpoint's queue. ``rollout`` is the roll-out that its
-    answer is evidence for, and ``awaited`` its number there. ``connection`` is None
-    before one is made. ``sent`` is set with the first byte: from then on the endpoint
-    may run the request. ``complete`` is set when the whole answer has been read.
+    """One request in progress at an endpoint.
+
+    ``uncached_tokens`` is the part of the prompt that the endpoint has to process, and
+    ``backlog_id`` identifies the request in the endpoint's backlog. ``rollout`` is the
+    roll-out that the response is evidence for, and ``evidence_id`` identifies the
+    request there. ``connection`` is None before one is made. ``sent`` is set before the
+    first byte is sent: from then on the endpoint may run the request. ``complete`` is
+    set when the complete response has been read.
     """
 
     gateway: Gateway
@@ -48,7 +49,7 @@
     awaited: int = 0
 
     async def open(self, timeout_s: float) -> None:
-        """Take a connection; raises ConnectFailedError."""
+        """Acquire a connection; raises ConnectFailedError."""
         once = not self.work.route.may_repeat
         self.connection = await self.state.pool.take(once, timeout_s)
 
@@ -80,7 +81,7 @@
         )
 
     def _await_first_piece(self, now_s: float) -> None:
-        """Note the request in the endpoint's queue, with what it has to read."""
+        """Add the request to the endpoint's backlog and gossip it to the peers."""
         prompt = self.work.request.hints.prompt
         if prompt is None:
             return
@@ -97,7 +98,7 @@
         gateway.tell_work(WorkSent(endpoint, work_s, keys), now_s)
 
     def note_first_piece(self, now_s: float) -> None:
-        """Learn from the head of an answer how busy the endpoint is, and how fast."""
+        """Update backlog and prefill latency as the response head arrives."""
         took_s = self.state.backlog.answer(self.piece_number, now_s)
         if took_s is not None:
             work = self.work
@@ -116,15 +117,15 @@
             )
 
     def count_evidence(self, failed: bool, first_piece_s: float | None) -> None:
-        """Count the answer as evidence on the version of a roll-out."""
+        """Record the response as evidence for a roll-out."""
         if self.rollout is not None:
             self.rollout.take_answer(self.awaited, failed, first_piece_s)
 
     async def read_head(self) -> AnswerHead:
-        """Return the head of the answer to this request.
+        """Return the head of the response to this request.
 
-        An answer that bears another request's id is passed over: an endpoint may
-        send a second answer late, where the next one is expected.
+        A response with another request's id is skipped: an endpoint may send a second
+        response late, where the next one is expected.
         """
         assert self.connection is not None
         for _ in range(MAX_FOREIGN_ANSWERS + 1):
@@ -137,7 +138,10 @@
             if own is None or head.request_id in (own, None):
                 return head
             await self.connection.skip_answer()
-        raise BadAnswerError("only answers to other requests")
+        raise BadAnswerError(
+            f"expected a response to request {own} from {self.state.endpoint.instance},"
+            " got only responses to other requests"
+        )
 
     async def _next_final_event(self) -> h11.Response:
         assert self.connection is not None
@@ -146,11 +150,14 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ConnectionLostError("no answer")
+                raise ConnectionLostError(
+                    f"expected a response head from {self.state.endpoint.instance},"
+                    f" got {type(event).__name__}"
+                )
             return event
 
     async def next_event(self) -> Any:
-        """Return the next h11.Data, or None at the complete end."""
+        """Return the next body data, or None at the end of the response."""
         assert self.connection is not None
         while True:
             event = await self.connection.next_answer_event()
@@ -161,7 +168,7 @@
                 return bytes(event.data)
 
     async def read_whole(self, limit_bytes: int) -> bytes | None:
-        """Return the whole body, or None when it is over the limit."""
+        """Return the complete body, or None when it exceeds the limit."""
         pieces: list[bytes] = []
         size = 0
         while (data := await self.next_event()) is not None:
@@ -172,7 +179,7 @@
         return b"".join(pieces)
 
     def close(self) -> None:
-        """Give the connection back, or end it with whatever runs on it."""
+        """Release the connection, or close it if the response is not complete."""
         now_s = asyncio.get_running_loop().time()
         self.state.backlog.drop(self.piece_number, now_s)
         if self.rollout is not None:
@@ -183,5 +190,5 @@
 
 
 def _had_body(headers: tuple[tuple[bytes, bytes], ...]) -> bool:
-    """Tell whether the caller framed a body, if only an empty one."""
+    """Return whether the caller framed a body, even an empty one."""
     return any(n in (b"content-length", b"transfer-encoding") for n, _ in headers)
--- a/acaciacove/gateway/head_seen.py
+++ b/acaciacove/gateway/head_seen.py
@@ -1,13 +1,14 @@
-"""What the head of one answer told."""
+"""Summary of one response head."""
 
 from attrs import frozen
 
 
 @frozen
 class HeadSeen:
-    """``took_s`` from sending to the head; ``confidence`` 0 to 100, if told.
+    """Summary of a response head for the log.
 
-    ``predicted_s`` is when it was expected.
+    ``head_latency_s`` is the time from sending the request to the head, and
+    ``predicted_s`` its prediction. ``confidence`` is 0 to 100, if stated.
     """
 
     endpoint: str
--- a/acaciacove/gateway/refuse.py
+++ b/acaciacove/gateway/refuse.py
@@ -1,4 +1,4 @@
-"""Answers of the gateway's own: why a request is not served."""
+"""Refusals of the gateway itself: why a request is not served."""
 
 import orjson
 
@@ -19,17 +19,17 @@
     Reason.ENDPOINT_FAILED: 502,
     Reason.OUTCOME_UNKNOWN: 502,
 }
-# Statuses that promise that the request has not run and will not.
+# Statuses that promise that the request has not run and will not run.
 PROMISING = frozenset({408, 421, 429, 503})
 DEFAULT_RETRY_AFTER_S = 0.5
 
 
 async def refuse(front: FrontConnection, refusal: Refusal) -> int:
-    """Send a refusal as a complete answer; returns its status."""
+    """Send a refusal as a complete response; return its status."""
     status = STATUS[refusal.reason]
     if status in PROMISING and not refusal.not_run:
-        # A status that promises "not run" for a request that may have run would
-        # let its caller repeat a payment.
+        # With a status that promises "not run" for a request that may have run, the
+        # caller would repeat a payment.
         status = 502
     document = {
         "type": f"urn:acaciacove:problem:{refusal.reason.value}",
--- a/acaciacove/gateway/serve_request.py
+++ b/acaciacove/gateway/serve_request.py
@@ -1,4 +1,4 @@
-"""The story of one request, from its admission to its one log line."""
+"""Serves one request, from its admission to its log line."""
 
 import asyncio
 
@@ -21,11 +21,12 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# Endpoints that may refuse a request before it is given up, beside those that run
-# it: connections that cannot be made cost milliseconds, and nothing runs.
+# Bound on all attempts, including those that sent nothing. A connection that cannot be
+# made costs milliseconds and runs nothing, so it does not count against the route's
+# ``max_attempts``.
 MAX_TRIES = 6
-# When a caller that met only full endpoints may come back: a slot frees within
-# about a request's time.
+# Retry-After where all endpoints are full: a slot becomes free within about the
+# duration of a request.
 FULL_RETRY_S = 0.4
 NO_ENDPOINT_RETRY_S = 0.8
 SHORTEST_RETRY_S = 0.1
@@ -34,7 +35,7 @@
 async def serve_request(
     gateway: Gateway, request: CallerRequest, front: FrontConnection
 ) -> None:
-    """Answer one request, whatever becomes of it."""
+    """Respond to one request, whatever happens to it."""
     admitted = admit(gateway, request)
     if isinstance(admitted, Refusal):
         refused = await refuse(front, admitted)
@@ -51,7 +52,7 @@
 async def _serve_in_time(
     gateway: Gateway, work: Work, front: FrontConnection
 ) -> int | str:
-    """Serve until the request's time is up, and then say so at once."""
+    """Serve the request until its deadline; then respond with a failure at once."""
     try:
         async with asyncio.timeout_at(work.until_s):
             ending = await _serve(gateway, work, front)
@@ -73,7 +74,7 @@
 
 
 async def _serve(gateway: Gateway, work: Work, front: FrontConnection) -> Ending:
-    """Try endpoints in turn; None when the whole answer has been delivered."""
+    """Try one endpoint after another; return None once the response is delivered."""
     sizes = work.route.model_sizes
     if sizes and work.model is None:
         now_s = asyncio.get_running_loop().time()
@@ -113,7 +114,7 @@
 
 
 def _held_back(gateway: Gateway, work: Work, now_s: float) -> Refusal | None:
-    """Say why a request that crashes endpoints is not sent, None for any other."""
+    """Return the refusal of a request that crashes endpoints, None for any other."""
     guard = gateway.guard
     if guard.quarantine.is_empty:
         return None
@@ -128,7 +129,7 @@
 
 
 def _may_enlarge(gateway: Gateway, work: Work) -> bool:
-    """Tell whether a doubtful answer may be dropped for a larger model's."""
+    """Return whether a larger model may be asked if confidence is low."""
     sizes = work.route.model_sizes
     if not work.route.may_repeat or not sizes or work.model == sizes[-1]:
         return False
@@ -143,10 +144,10 @@
 
 
 def _may_go_on(work: Work, outcome: AttemptOutcome) -> bool:
-    """Tell whether another endpoint may be asked.
+    """Return whether another endpoint may be tried.
 
-    A request that may run once only goes on while it is certain that none has
-    begun it; everything else goes on within its attempts.
+    A request that may run only once is retried only while it is certain that no
+    endpoint has started it. Any other request is retried within its attempts.
     """
     if work.sent >= work.route.max_attempts or work.tries >= MAX_TRIES:
         return False
@@ -158,7 +159,7 @@
 
 
 def _ending(work: Work, budget_left: bool) -> Ending:
-    """Say truthfully how a request ended that nobody served."""
+    """Return the failure of a request that no endpoint served."""
     if work.kept_failure is not None and not _contradicts(work):
         return work.kept_failure
     if work.may_have_run:
@@ -172,7 +173,7 @@
 
 
 def _nobody(gateway: Gateway, work: Work, now_s: float) -> Ending:
-    """End a request that no endpoint may be sent now."""
+    """Return the failure of a request for which no endpoint may be used now."""
     wait_s = room_in_s(gateway, work, now_s)
     if work.tries or work.kept_failure is not None or wait_s is None:
         return _ending(work, budget_left=True)
@@ -181,14 +182,14 @@
 
 
 def _contradicts(work: Work) -> bool:
-    """Tell whether a kept failure promises "not run" of what may have run."""
+    """Return whether the last failure promises "not run", which may be untrue."""
     assert work.kept_failure is not None
     head, _ = work.kept_failure
     return head.status in PROMISING
 
 
 async def _pass_failure(front: FrontConnection, head: AnswerHead, body: bytes) -> int:
-    """Pass an endpoint's own failure on as it is."""
+    """Forward an endpoint's failure response unchanged."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
     headers.append((b"Content-Length", str(len(body)).encode()))
     front.start(head.status, head.reason, headers)
@@ -198,7 +199,7 @@
 
 
 def _head_line(head: HeadSeen) -> list[object]:
-    """Return model, confidence, seconds taken and seconds predicted."""
+    """Return endpoint, model, confidence, and actual and predicted head latency."""
     taken, predicted = round(head.took_s, 3), round(head.predicted_s, 3)
     return [head.endpoint, head.model, head.confidence, taken, predicted]
 
@@ -239,7 +240,7 @@
 
 
 def _fingerprint_of(work: Work, outcome: AttemptOutcome) -> str | None:
-    """Name what was asked where an endpoint may have crashed under it."""
+    """Return the request's fingerprint if the endpoint may have crashed under it."""
     if outcome not in (AttemptOutcome.LOST, AttemptOutcome.BROKEN):
         return None
     return written_fingerprint(work.fingerprint)
--- a/acaciacove/gateway/usable_endpoints.py
+++ b/acaciacove/gateway/usable_endpoints.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be sent a request at all."""
+"""Selects the endpoints that a request may be sent to."""
 
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.choice.cold_limiter import own_part
@@ -12,19 +12,19 @@
 )
 from acaciacove.gateway.work import Work
 
-# Of what a cold endpoint is promised to bear with the allowed overage, the share
-# that is planned with.
+# Share of a cold endpoint's allowed rate, with the permitted overage, that is used.
 COLD_MARGIN = 0.85
-# A cold endpoint dies of a rate well above its own; this much above is borne.
+# A cold endpoint crashes at a rate well above its own. It can serve this multiple of
+# its own rate.
 COLD_STEADY = 1.2
-# How long after a connection broke an endpoint may have started again without its
-# new record being read here: a restart, the record's way, and one pause between
-# two reads of heartbeats.
+# For this long after a connection broke, the endpoint may have restarted without its
+# new record being read here: the time of a restart, of the record's transmission, and
+# one interval between two reads of heartbeats.
 BROKEN_DOUBT_S = 2.1
 
 
 def usable_endpoints(gateway: Gateway, work: Work, now_s: float) -> list[EndpointState]:
-    """List endpoints that may be used, without those already tried if possible."""
+    """Return the usable endpoints, without those already tried if possible."""
     allowed = admissible(gateway, work, _allowed(gateway, work), now_s)
     states = [gateway.states.of(endpoint) for endpoint in allowed]
     usable = _with_room(gateway, work, states, now_s)
@@ -34,7 +34,7 @@
 
 
 def room_in_s(gateway: Gateway, work: Work, now_s: float) -> float | None:
-    """Return when a limited endpoint takes one more from here; None if none does."""
+    """Return the seconds until a limited endpoint has room; None if none will."""
     states = [gateway.states.of(each) for each in _allowed(gateway, work)]
     waits = [
         state.limit.room_in_s(now_s, own_share(gateway, state, now_s))
@@ -45,7 +45,7 @@
 
 
 def _allowed(gateway: Gateway, work: Work) -> list[Endpoint]:
-    """List the service's endpoints that the operator's decisions allow."""
+    """Return the service's endpoints that the operator's decisions allow."""
     service, zones_out = work.service.name, gateway.beliefs.zones_out
     endpoints = [
         endpoint
@@ -71,7 +71,7 @@
 def _with_room(
     gateway: Gateway, work: Work, states: list[EndpointState], now_s: float
 ) -> list[EndpointState]:
-    """Leave endpoints to which this gateway's parts of the limits let it send."""
+    """Return the endpoints at which this gateway's shares of the limits have room."""
     if work.service.connection_limit:
         states = with_free_connections(gateway, work.service.connection_limit, states)
     states = [
@@ -94,10 +94,10 @@
 def cold_part(
     gateway: Gateway, work: Work, state: EndpointState, now_s: float
 ) -> int | None:
-    """Return the requests a second for a cold endpoint; None when it is warm.
+    """Return this gateway's share of a cold endpoint's rate; None if it is warm.
 
-    An endpoint whose connections broke may have started again, cold, before its
-    next heartbeat says so; until then it counts as cold.
+    An endpoint whose connections broke may have restarted cold before its next
+    heartbeat reports it; until then it counts as cold.
     """
     service = work.service
     if service.cold_rate_per_s <= 0:
@@ -106,7 +106,7 @@
     if endpoint.cold_until_s <= now_s and not was_just_broken(state, now_s):
         return None
     if not gateway.members_known:
-        # Whose part is how large cannot be worked out yet; others may send theirs.
+        # The shares cannot be computed yet, and the peers may use theirs.
         return 0
     settings = gateway.settings
     promised = service.cold_rate_per_s * settings.cold_overage + settings.cold_extra
@@ -115,5 +115,5 @@
 
 
 def was_just_broken(state: EndpointState, now_s: float) -> bool:
-    """Tell whether a connection broke so lately that a restart may not be known."""
+    """Return whether a connection broke so recently that a restart may be unknown."""
     return now_s - state.health.broken_s < BROKEN_DOUBT_S
--- a/acaciacove/gateway/work.py
+++ b/acaciacove/gateway/work.py
@@ -15,16 +15,17 @@
 
 @define(eq=False)
 class Work:
-    """The request, where it may go, and what its attempts have brought.
+    """A request, its route, and the state of its attempts.
 
-    ``until_s`` is when its answer must be complete. ``sent`` counts endpoints
-    that were handed the request. ``may_have_run`` is set once an endpoint may
-    have begun it. ``kept_failure`` is the last complete failure of an endpoint.
-    ``refused_by`` are endpoints that said "not run", which no model is asked of again.
-    ``told`` holds models' opinions of their answers to it, ``next_model`` which model
-    is asked after one that was unsure. ``heads`` are those of answers that came.
-    ``on_trial`` is set for a request that is suspected of crashing endpoints, and that
-    this gateway alone may try.
+    ``deadline_s`` is when the response must be complete. ``sent`` counts the attempts
+    that sent the request, ``attempt_count`` all of them. ``may_have_run`` is set once
+    an endpoint may have started it. ``last_failure`` is the last complete failure
+    response. ``tried_instances`` are the endpoints that it was sent to. ``refused_by``
+    are those that answered "not run"; they stay excluded for the next model.
+    ``confidences`` maps models to their confidence in their responses, and
+    ``next_model`` is the model to escalate to. ``trail`` lists the attempts as instance
+    and version, ``responses`` the heads that came. ``on_trial`` is set for a request
+    that is suspected of crashing endpoints while this gateway alone may try it.
     """
 
     request: CallerRequest
@@ -51,13 +52,13 @@
 
     @cached_property
     def fingerprint(self) -> int:
-        """The same number each time that the caller sends this request."""
+        """A number that is the same each time that the caller sends this request."""
         caller = self.organisation.name if self.organisation else ""
         return request_fingerprint(self.request, caller)
 
     @property
     def priority(self) -> int:
-        """The urgency that engines are told, 0 first."""
+        """The priority that engines are given; 0 is the most urgent."""
         own = self.organisation.priority if self.organisation else None
         wanted = self.route.priority if own is None else own
         return max(0, min(LEAST_URGENT, wanted))
