--- a/tests/test_gateway_heavy_load.py
+++ b/tests/test_gateway_heavy_load.py
@@ -1,4 +1,4 @@
-"""Where work goes under heavy load, without a network."""
+"""Choice of endpoints under heavy load, without a network."""
 
 from heapq import heappop, heappush
 from random import Random
@@ -27,12 +27,12 @@
 from acaciacove.wire.codec import decode
 from tests.gateway_world import catalogue
 
-# The largest deployment that was measured: 29 gateways before 24 engines, each of
-# which a gateway asks only every other second.
+# The largest deployment that was measured: 29 gateways and 24 engines. Each gateway
+# sends to each engine only every other second.
 GATEWAYS = 29
 ENGINES = 24
 REQUESTS_PER_S = 340.0
-# An engine's requests take this long each, so the fleet is busy for 85 in 100.
+# Duration of each request at an engine, so the fleet is 85 % utilised.
 SERVICE_S = 0.06
 BACKLOG = 50
 
@@ -49,7 +49,7 @@
 
 
 class Engine:
-    """Runs requests in turn; each answer begins when its request's turn comes."""
+    """Runs requests one after the other; a response begins when its request does."""
 
     def __init__(self):
         self.free_s = 0.0
@@ -64,7 +64,7 @@
 
 
 def gateways_before(names):
-    """Gateways that believe in the same endpoints."""
+    """Return gateways that have the same endpoints in view."""
     made = []
     for number in range(GATEWAYS):
         settings = gateway_settings(f"gateway-{number}", "10.0.1.1", "a")
@@ -92,7 +92,7 @@
 
 
 def play(seconds, backlog):
-    """Let callers come for some seconds; returns the engines by name."""
+    """Simulate callers for some seconds; return the engines by name."""
     random = Random(7)
     names = [f"engine-{number}" for number in range(ENGINES)]
     engines = {name: Engine() for name in names}
@@ -123,11 +123,13 @@
 
 
 def test_an_engine_with_a_backlog_is_spared_until_it_is_through():
-    """An engine has three seconds of work before it, from a burst or a long prompt.
-    It answers seldom, so it reports seldom. Gateways that took it for idle between
-    reports sent it almost twice its share (77 requests of 43): its queue did not end,
-    and its callers waited two to three seconds long after the burst. Each gateway has
-    to ask it once to learn of it, and none asks again before it is through.
+    """An engine has three seconds of backlog from a burst or a long prompt.
+
+    It responds seldom and therefore reports seldom. Gateways that took it for idle
+    between reports sent it almost twice its share (77 requests instead of 43): its
+    queue did not drain, and callers waited two to three seconds long after the burst.
+    Each gateway has to send it one request to learn of the backlog, and none sends
+    another before it has drained.
     """
     engines = play(seconds=3.0, backlog=BACKLOG)
     fair = sum(engine.arrivals for engine in engines.values()) / ENGINES
@@ -136,8 +138,10 @@
 
 
 def test_no_engine_is_left_idle_while_others_queue():
-    """Where a load that nobody knows counts for more than the known ones, gateways
-    stay with the engines that they know, and the others stand idle beside queues.
+    """Guards against an unknown load that counts for more than a known one.
+
+    Gateways would then keep to the engines that they know, and the others would idle
+    next to queues.
     """
     engines = play(seconds=9.0, backlog=0)
     fair = sum(engine.arrivals for engine in engines.values()) / ENGINES
@@ -145,7 +149,7 @@
         assert 0.5 * fair < engine.arrivals < 1.3 * fair
 
 
-# One prompt in five is long, and the fleet reads for 60 seconds in a hundred.
+# One prompt in five is long, and the fleet is 60 % utilised by prefill.
 LONG_S = 0.8
 SHORT_S = 0.05
 PROMPTS_PER_S = 70.0
@@ -153,7 +157,7 @@
 
 
 def tell_each_other(gateways):
-    """Carry word of prompts between gateways as datagrams are."""
+    """Deliver gossip on sent prompts between gateways as datagrams would."""
     now_s = [0.0]
     news = {}
     for gateway in gateways:
@@ -170,7 +174,7 @@
 
 
 def play_long_prompts(seconds, told):
-    """Return, for each second, how long prompts waited at each engine."""
+    """Return, for each second, the waits of prompts at their engines."""
     random = Random(11)
     names = [f"engine-{number}" for number in range(ENGINES)]
     free_s = dict.fromkeys(names, 0.0)
@@ -205,12 +209,12 @@
 
 
 def test_long_prompts_of_many_gateways_do_not_meet_at_one_engine():
-    """Guards against seconds of queue at one engine while the one beside it is free."""
+    """Guards against seconds of queue at one engine while another is free."""
     for second in play_long_prompts(20, told=True)[1:]:
         assert max(second) <= median(second) + 1.0
 
 
 def test_without_word_of_each_other_long_prompts_meet():
-    """Shows that the load above is one that gateways cannot spread alone."""
+    """Shows that gateways cannot spread the load above without gossip."""
     alone = play_long_prompts(20, told=False)[1:]
     assert any(max(second) > median(second) + 1.0 for second in alone)
--- a/tests/test_gateway_large_service.py
+++ b/tests/test_gateway_large_service.py
@@ -1,4 +1,4 @@
-"""Choices among the hundreds of endpoints of a large service, without a network."""
+"""Choices among hundreds of endpoints of a large service, without a network."""
 
 from collections import Counter
 from random import Random
@@ -26,7 +26,7 @@
 
 
 class CountedBacklog(EndpointBacklog):
-    """Counts how often its wait is looked up."""
+    """Counts the calls of ``wait_s``."""
 
     looked_up = 0
 
@@ -65,7 +65,7 @@
 
 
 def test_homes_of_prompts_are_spread_evenly_and_alike_for_all():
-    """Guards against gateways that read shared parts in different places."""
+    """Guards against gateways that send the same prefix to different endpoints."""
     states = states_of(a_gateway(40))
     homes = Counter()
     for key in range(KEYS):
@@ -77,7 +77,7 @@
 
 
 def test_an_endpoint_that_leaves_moves_no_other_home():
-    """Guards against reading all prompts again whenever one endpoint goes."""
+    """Guards against recomputing all prompts whenever one endpoint is removed."""
     states = states_of(a_gateway(40))
     left, rest = states[0], states[1:]
     for key in range(KEYS // 10):
@@ -99,7 +99,7 @@
 
 
 def test_gateways_of_a_large_service_meet_at_the_homes_of_prompts():
-    """Guards against a draw of few endpoints that leaves the prompt's home out."""
+    """Guards against a sample of endpoints that omits the preferred one."""
     gateways = [a_gateway(600, f"gateway-{number}") for number in range(20)]
     chosen = {
         choose_endpoint(gateway, a_work(gateway), 1.0).endpoint.instance
@@ -111,7 +111,7 @@
 @pytest.mark.parametrize("gateways", [1, 5, 28, 68, 380])
 @pytest.mark.parametrize("limit", [96, 360])
 def test_all_gateways_together_keep_to_an_endpoints_connections(gateways, limit):
-    """Guards against many gateways whose least parts add up to more than there are."""
+    """Guards against minimum shares of many gateways that exceed the limit in sum."""
     everyone = [f"gateway-{number}" for number in range(gateways)]
     parts = []
     for name in everyone:
@@ -126,7 +126,7 @@
 
 
 def test_a_gateway_without_a_part_of_any_connections_still_serves():
-    """Guards against gateways that refuse everything since their part is none."""
+    """Guards against gateways that refuse all requests because their share is zero."""
     for number in range(380):
         gateway = a_gateway(3, f"gateway-{number}")
         gateway.members = {f"gateway-{n}": None for n in range(380) if n != number}
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -1,4 +1,4 @@
-"""Limits that hold over all gateways together, whatever each of them knows."""
+"""Limits that hold over all gateways together, whatever each of them has in view."""
 
 import pytest
 from hypothesis import given, settings
@@ -42,8 +42,9 @@
 )
 @settings(max_examples=150, derandomize=True)
 def test_repeats_of_all_gateways_keep_to_the_promise(gateways, events, ratio, extra):
-    """Gateways that know nothing of each other each keep to their part; summed up,
-    no window holds more repeats than were promised.
+    """Gateways that do not know of each other each stay within their share.
+
+    In sum, no window holds more retries than the budget.
     """
     budgets = [RetryBudget(ratio, extra, 10.0) for _ in range(gateways)]
     requests = repeats = 0
@@ -74,8 +75,9 @@
 @given(st.lists(st.tuples(st.floats(0, 0.4), st.floats(0, 0.4)), max_size=120))
 @settings(max_examples=100, derandomize=True)
 def test_a_cold_endpoint_gets_no_burst_while_connections_are_made(steps):
-    """Many requests choose the same cold endpoint before any connection stands. Each
-    keeps its place from the choice on, so they do not arrive together.
+    """Many requests choose one cold endpoint before any connection is made.
+
+    Each has its place reserved from the choice on, so they do not arrive together.
     """
     limiter, part = ColdLimiter(), 5
     now_s, opening, sent = 0.0, [], []
@@ -130,7 +132,7 @@
 
 
 def test_an_endpoint_that_fails_for_ever_is_left_out_for_the_longest_pause():
-    """Guards against a pause that grows beyond what a number holds."""
+    """Guards against an ejection time that overflows a float."""
     health = EndpointHealth()
     for number in range(10_000):
         health.count_failure(float(number), True)
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a gateway on the stand-in platform: answers and repeats."""
+"""Requests through a gateway on the stand-in platform: responses and retries."""
 
 import asyncio
 
@@ -39,10 +39,10 @@
 
 
 def test_the_gateway_speaks_for_itself_to_endpoints():
-    """A caller that sets the gateway's own fields would speak in its name.
+    """Guards against callers that set headers reserved for the gateway.
 
-    It could take another organisation's place, or memory that another request
-    left behind; its holder would read somebody else's draft.
+    With such headers a caller could pass as another organisation, or take over cache
+    entries that another request left behind and so read another caller's draft.
     """
 
     async def story(fleet):
@@ -68,10 +68,10 @@
 
 
 def test_a_booking_whose_answer_was_lost_is_not_sent_again():
-    """An endpoint runs a booking and its connection breaks before the answer.
+    """An endpoint runs a booking and its connection breaks before the response.
 
-    Sent again, a driver would come twice. The caller is told 502, which promises
-    nothing, and never 503, which says that it has not run.
+    Retried, the booking would be made twice. The caller gets 502, which promises
+    nothing, and never 503, which promises that the request has not run.
     """
 
     async def story(fleet):
@@ -129,9 +129,9 @@
 
 
 def test_an_answer_to_another_request_is_passed_over():
-    """An endpoint sends a second answer late, where the next one is expected.
+    """An endpoint sends a second response late, where the next one is expected.
 
-    Passed on, a caller would read somebody else's booking.
+    If it were forwarded, a caller would read another caller's booking.
     """
 
     async def story(fleet):
@@ -168,7 +168,8 @@
 def test_a_reused_address_runs_nothing():
     """An endpoint is gone and another service answers at its address.
 
-    It says 421, having run nothing, and the request goes to the next endpoint.
+    That service answers 421 without running anything, and the request goes to the next
+    endpoint.
     """
 
     async def story(fleet):
@@ -196,8 +197,9 @@
 
 
 def test_a_request_ends_at_its_routes_timeout():
-    """An endpoint never answers. The caller is told at the route's timeout, and the
-    endpoint stops working for it.
+    """An endpoint never responds.
+
+    The caller gets 504 at the route's timeout, and the endpoint's work is cancelled.
     """
 
     async def story(fleet):
@@ -214,9 +216,10 @@
 
 
 def test_an_endpoint_stops_when_the_caller_leaves():
-    """A caller closes its connection while an engine works for it.
+    """A caller closes its connection while an engine works on its request.
 
-    Left alone, the engine would go on for nobody, and others would wait.
+    Without cancellation, the engine would finish a response that nobody reads, and
+    other requests would wait.
     """
 
     async def story(fleet):
@@ -257,8 +260,9 @@
 
 
 def test_a_stream_that_may_run_once_is_asked_of_the_large_model_alone():
-    """A stream that may not be resumed may not be run twice either, so a doubtful
-    answer could not be dropped for a better one.
+    """A stream that may not be resumed may not run twice.
+
+    A response of low confidence could therefore not be replaced by a larger model's.
     """
 
     async def story(fleet):
@@ -272,8 +276,9 @@
 
 
 def test_a_broken_stream_goes_on_at_the_next_event():
-    """An engine dies in the middle of an event. The caller reads every event once
-    and in order, as if nothing had happened.
+    """An engine crashes in the middle of an event.
+
+    The caller receives every event once and in order.
     """
 
     async def story(fleet):
@@ -302,8 +307,9 @@
 
 
 def test_models_without_a_price_are_asked_all_the_same():
-    """An operator's catalogue leaves out what a model costs. Callers are served as if
-    it cost nothing, and the log names the model.
+    """The operator's catalogue has no price for a model.
+
+    Requests are served as if the model cost nothing, and the log names the model.
     """
     service = evolve(catalogue().services["model"], model_costs={"small": 0.02})
     published = catalogue(services=catalogue().services | {"model": service})
@@ -318,8 +324,9 @@
 
 
 def test_a_confidence_out_of_range_is_passed_over():
-    """An endpoint tells a confidence that is none. The answer stays, nothing is
-    learnt from it, and the log says so.
+    """An endpoint states a confidence outside 0 to 100.
+
+    The response is kept, nothing is learnt from it, and the log reports it.
     """
 
     async def story(fleet):
@@ -335,9 +342,11 @@
 
 
 def test_an_endpoint_that_refused_is_not_asked_again_for_the_larger_model():
-    """An endpoint refuses at once, because it is full or leaves. Another one's small
-    model doubts its answer, and the larger model is asked for: at the endpoint that
-    refused, which looked idle, its last attempt was lost, and its caller got a 502.
+    """One endpoint refuses at once because it is full or draining.
+
+    Another endpoint's small model has low confidence, and the request escalates. The
+    endpoint that refused looks idle. If it were tried again, the last attempt would be
+    lost and the caller would get a 502.
     """
 
     async def story(fleet):
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that state how many requests they take from all gateways together."""
+"""Endpoints that state a rate limit for all gateways together."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from acaciacove.wire.codec import decode, encode
 from tests.gateway_world import call, lines, run_fleet
 
-# What endpoints are promised, from this long after they first stated a limit.
+# The bound that holds at an endpoint from this long after it first stated a limit.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
 OVERAGE, EXTRA = 1.5, 5
@@ -23,7 +23,7 @@
 
 
 def test_a_stated_limit_and_its_end_are_logged():
-    """Guards against nobody being able to tell what an endpoint has asked for."""
+    """Guards against stated limits that leave no trace in the log."""
 
     async def story(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
@@ -39,7 +39,7 @@
 
 
 def test_an_answer_that_was_under_way_does_not_lift_a_limit():
-    """Guards against answers that overtake each other lifting a limit by turns."""
+    """Guards against responses out of order that lift and restore a limit in turns."""
     limit = StatedLimit()
     assert limit.hear(2.0, asked_s=1.0, now_s=1.5)
     assert not limit.hear(None, asked_s=1.2, now_s=1.6)
@@ -55,7 +55,7 @@
 
 
 async def ask_for(fleet, seconds, per_s, gateways, number=0):
-    """Send lookups to all gateways by turns; returns the answers."""
+    """Send lookups to all gateways in turn; return the responses."""
     asked = []
     for _ in range(int(seconds * per_s)):
         number += 1
@@ -68,7 +68,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_all_gateways_together_keep_to_a_stated_limit(gateways):
-    """Guards against an endpoint in need being sent as much as any other."""
+    """Guards against an overloaded endpoint being sent as much as any other."""
 
     async def story(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
@@ -92,7 +92,7 @@
 
 
 def test_a_request_that_no_limit_leaves_room_for_is_refused_at_once():
-    """Guards against callers waiting in vain, or coming back too early or too late."""
+    """Guards against callers that wait in vain or retry too early or too late."""
 
     async def story(fleet):
         for server in fleet.endpoints.values():
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_endpoints_with_limits_still_get_most_of_what_they_take(gateways):
-    """Guards against gateways that leave limited endpoints idle beside refusals."""
+    """Guards against gateways that refuse requests while limited endpoints idle."""
 
     async def story(fleet):
         names = list(fleet.endpoints)
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("gateways", [5, 28])
 def test_a_lifted_limit_is_lifted_at_gateways_without_a_share_too(gateways):
-    """Guards against gateways that never ask an endpoint again."""
+    """Guards against gateways that never send to a limited endpoint again."""
 
     async def story(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
@@ -143,7 +143,7 @@
 
 
 def test_a_gateway_that_starts_anew_keeps_to_limits_that_others_know():
-    """Guards against a start sending a burst to an endpoint in need."""
+    """Guards against a restarted gateway sending a burst to a limited endpoint."""
 
     async def story(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("upset", ["log", "cut"])
 def test_a_limit_holds_while_the_log_is_away_or_gateways_are_cut_off(upset):
-    """Guards against a bound that needs the log, or word from every other gateway."""
+    """Guards against a limit that needs the log or gossip from every gateway."""
 
     async def story(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
@@ -209,7 +209,7 @@
 
 
 def test_a_limit_that_nobody_confirms_is_forgotten():
-    """Guards against an endpoint left out for good because its last word was lost."""
+    """Guards against excluding an endpoint for ever when a lifting response is lost."""
     limit = StatedLimit()
     limit.hear(0.0, 0.0, 0.0)
     assert limit.is_set(LIFE_S)
