--- a/acaciacove/gateway/attempt_outcome.py
+++ b/acaciacove/gateway/attempt_outcome.py
@@ -20,6 +20,6 @@
     NOT_RUN = "not_run"
     FAILED = "failed"
     LOST = "lost"
-    UNSURE = "unsure"
+    LOW_CONFIDENCE = "unsure"
     BROKEN = "broken"
-    SILENT = "silent"
+    TIMED_OUT = "silent"
--- a/acaciacove/gateway/catalogue/endpoint.py
+++ b/acaciacove/gateway/catalogue/endpoint.py
@@ -7,22 +7,22 @@
 class Endpoint:
     """A running instance of a service.
 
-    ``generation`` identifies the incarnation of the endpoint: a restart creates a new
+    ``incarnation`` identifies the incarnation of the endpoint: a restart creates a new
     one, also under the same ``instance``. ``cold_until_s`` is on the runtime's clock.
     """
 
     instance: str
-    generation: str
+    incarnation: str
     service: str
     host: str
     port: int
     availability_zone: str
     version: str
     slots: int
-    leaving: bool
+    draining: bool
     cold_until_s: float
 
     @property
     def key(self) -> tuple[str, str]:
         """The identity of this incarnation of the endpoint."""
-        return (self.instance, self.generation)
+        return (self.instance, self.incarnation)
--- a/acaciacove/gateway/choice/limit_share.py
+++ b/acaciacove/gateway/choice/limit_share.py
@@ -12,6 +12,6 @@
     """
 
     total: int = -1
-    own: int = 0
+    allotted: int = 0
     gateways: frozenset[str] = frozenset()
     checked_s: float = float("-inf")
--- a/acaciacove/gateway/choice/session_versions.py
+++ b/acaciacove/gateway/choice/session_versions.py
@@ -9,7 +9,7 @@
 
 # A session's requests reach other gateways too, so one that has been idle here may
 # still be active. Its entry is retained for this many lifetimes.
-REMEMBERED_LIVES = 4.0
+RETAINED_LIFETIMES = 4.0
 
 
 class SessionVersions:
@@ -18,15 +18,15 @@
     ``lifetime_s`` is the idle time after which a session has ended.
     """
 
-    def __init__(self, life_s: float) -> None:
+    def __init__(self, lifetime_s: float) -> None:
         """Start without sessions."""
-        self.life_s = life_s
+        self.lifetime_s = lifetime_s
         self._sessions: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
     def get(self, service: str, session: str, now_s: float) -> str | None:
         """Return the version that the session uses, None if unknown or expired."""
         known = self._sessions.get((service, session))
-        if known is None or now_s - known[1] > REMEMBERED_LIVES * self.life_s:
+        if known is None or now_s - known[1] > RETAINED_LIFETIMES * self.lifetime_s:
             return None
         return known[0]
 
--- a/acaciacove/gateway/work.py
+++ b/acaciacove/gateway/request_context.py
@@ -7,14 +7,14 @@
 from acaciacove.gateway.catalogue.organisation import Organisation
 from acaciacove.gateway.catalogue.route import Route
 from acaciacove.gateway.catalogue.service import Service
-from acaciacove.gateway.head_seen import HeadSeen
-from acaciacove.gateway.http.answer_head import AnswerHead
 from acaciacove.gateway.http.caller_request import CallerRequest
+from acaciacove.gateway.http.response_head import ResponseHead
 from acaciacove.gateway.quarantine.request_fingerprint import request_fingerprint
+from acaciacove.gateway.response_summary import ResponseSummary
 
 
 @define(eq=False)
-class Work:
+class RequestContext:
     """A request, its route, and the state of its attempts.
 
     ``deadline_s`` is when the response must be complete. ``sent`` counts the attempts
@@ -33,22 +33,22 @@
     service: Service
     organisation: Organisation | None
     session: str | None
-    until_s: float
+    deadline_s: float
     model: str | None
     sent: int = 0
-    tries: int = 0
+    attempt_count: int = 0
     may_have_run: bool = False
-    kept_failure: tuple[AnswerHead, bytes] | None = None
-    tried: set[str] = field(factory=set)
+    last_failure: tuple[ResponseHead, bytes] | None = None
+    tried_instances: set[str] = field(factory=set)
     refused_by: set[str] = field(factory=set)
     last_event_id: str | None = None
     events_delivered: bool = False
-    first_piece_s: float | None = None
+    first_chunk_s: float | None = None
     on_trial: bool = False
     next_model: str | None = None
-    told: dict[str, float] = field(factory=dict)
+    confidences: dict[str, float] = field(factory=dict)
     trail: list[str] = field(factory=list)
-    heads: list[HeadSeen] = field(factory=list)
+    responses: list[ResponseSummary] = field(factory=list)
 
     @cached_property
     def fingerprint(self) -> int:
@@ -61,7 +61,7 @@
         """The priority that engines are given; 0 is the most urgent."""
         own = self.organisation.priority if self.organisation else None
         wanted = self.route.priority if own is None else own
-        return max(0, min(LEAST_URGENT, wanted))
+        return max(0, min(LOWEST_PRIORITY, wanted))
 
 
-LEAST_URGENT = 9
+LOWEST_PRIORITY = 9
--- a/acaciacove/gateway/head_seen.py
+++ b/acaciacove/gateway/response_summary.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class HeadSeen:
+class ResponseSummary:
     """Summary of a response head for the log.
 
     ``head_latency_s`` is the time from sending the request to the head, and
@@ -15,5 +15,5 @@
     model: str | None
     status: int
     confidence: float | None
-    took_s: float
+    head_latency_s: float
     predicted_s: float
