--- a/acaciacove/gateway/admit.py
+++ b/acaciacove/gateway/admit.py
@@ -17,8 +17,8 @@
 # A view is stale when its age exceeds this share of the time within which a decision
 # must take effect. An unknown route or key may then be one that the view lacks.
 STALE_AGE_SHARE = 0.9
-# Retry-After of a refusal: after a start the first response of the log is due; during a
-# log outage, its recovery.
+# Retry-After of a refusal. After a start, the first read of the log is about to
+# complete; while the view is stale, the log is expected to recover.
 STARTING_RETRY_AFTER_S = 0.5
 STALE_RETRY_AFTER_S = 1.0
 
--- a/acaciacove/gateway/choice/cold_limiter.py
+++ b/acaciacove/gateway/choice/cold_limiter.py
@@ -6,7 +6,7 @@
 WINDOW_S = 1.0
 # Sent requests are counted at sending, but the endpoint counts them at arrival. A
 # request sent at the end of one window and one sent over a second later can arrive
-# within the same second; the margin keeps them apart.
+# within the same second; the longer window here keeps them apart.
 WINDOW_MARGIN_S = 0.15
 
 
--- a/acaciacove/gateway/choice/endpoint_load.py
+++ b/acaciacove/gateway/choice/endpoint_load.py
@@ -7,8 +7,8 @@
 # A load report has full weight on arrival and none after this time. Model requests take
 # one to three seconds, so most of the reported ones have ended by then.
 MAX_REPORT_AGE_S = 3.0
-# Load of an endpoint without a recent report, as a share of the baseline. At 0 slow
-# endpoints look idle; at 1 gateways only use the endpoints that they know.
+# Assumed load from peers at an endpoint without a recent report, as a share of the
+# baseline. At 0 slow endpoints look idle; at 1 gateways keep to those that they know.
 UNKNOWN_LOAD_SHARE = 0.75
 
 
--- a/acaciacove/gateway/serve_request.py
+++ b/acaciacove/gateway/serve_request.py
@@ -70,6 +70,7 @@
     return await _forward_failure(front, *failure)
 
 
+# What the caller gets instead of a delivered response; None once one is delivered.
 Failure = Refusal | tuple[ResponseHead, bytes] | None
 
 
