--- a/acaciacove/gateway/attempt.py
+++ b/acaciacove/gateway/attempt.py
@@ -38,7 +38,7 @@
 MIN_HEAD_TIMEOUT_S = 0.35
 # Timeout between two events of a stream that may be resumed.
 EVENT_TIMEOUT_S = 2.5
-SERVER_ERROR = 500
+SERVER_ERROR_STATUS = 500
 
 
 async def attempt(
@@ -132,7 +132,7 @@
     gateway: Gateway, context: RequestContext, state: EndpointState
 ) -> None:
     now_s = asyncio.get_running_loop().time()
-    context.sent += 1
+    context.sent_count += 1
     context.tried_instances.add(state.endpoint.instance)
     context.trail.append(f"{state.endpoint.instance}@{state.endpoint.version}")
     service = context.service.name
@@ -202,9 +202,9 @@
         return AttemptOutcome.NOT_RUN
     if not head.is_success or not head.has_receipt or head.encoded:
         return await _read_failure(gateway, context, exchange, head)
-    told = learn_confidence(gateway, context, state, head)
-    if told is not None and may_escalate:
-        context.next_model = choose_next_model(gateway, context, told, now_s)
+    confidence = learn_confidence(gateway, context, state, head)
+    if confidence is not None and may_escalate:
+        context.next_model = choose_next_model(gateway, context, confidence, now_s)
     if context.next_model is not None:
         _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
         gateway.metrics.count(Metric.CASCADE, _size_label(context), "no")
@@ -264,7 +264,7 @@
     gateway: Gateway, context: RequestContext, exchange: Exchange, head: ResponseHead
 ) -> AttemptOutcome:
     """Read a complete failure response; it may become the final response."""
-    is_endpoint_failure = head.status >= SERVER_ERROR or head.is_success
+    is_endpoint_failure = head.status >= SERVER_ERROR_STATUS or head.is_success
     if is_endpoint_failure:
         _record_result(gateway, exchange, True, None)
     body = await exchange.read_body(MAX_BUFFERED_BYTES)
@@ -318,8 +318,8 @@
             data = await exchange.next_data()
         if data is None:
             break
-        whole = splitter.push(data)
-        if not whole:
+        events = splitter.push(data)
+        if not events:
             continue
         if not context.events_delivered:
             now_s = asyncio.get_running_loop().time()
@@ -331,7 +331,7 @@
             _count_model_size(gateway, context)
             _start_stream(front, head)
             context.events_delivered = True
-        await front.write(whole)
+        await front.write(events)
         context.last_event_id = splitter.last_id or context.last_event_id
     if not context.events_delivered:
         _start_stream(front, head)
--- a/acaciacove/gateway/choice/cold_limiter.py
+++ b/acaciacove/gateway/choice/cold_limiter.py
@@ -48,8 +48,8 @@
 ) -> int:
     """Return how many requests per second ``gateway`` may send to ``endpoint``."""
     all_gateways = gateways | {gateway}
-    whole = int(limit // len(all_gateways))
-    if whole >= 1:
-        return whole
+    share = int(limit // len(all_gateways))
+    if share >= 1:
+        return share
     ranked = sorted(all_gateways, key=lambda name: stable_hash(f"{endpoint}/{name}"))
     return 1 if ranked.index(gateway) < int(limit) else 0
--- a/acaciacove/gateway/choice/endpoint_health.py
+++ b/acaciacove/gateway/choice/endpoint_health.py
@@ -43,16 +43,16 @@
         if disconnected:
             self.disconnected_s = now_s
         self._decay(1.0)
-        is_bad = (
+        is_failing = (
             self.responses_weight >= MIN_RESPONSES_WEIGHT
             and self.failures_weight > MAX_FAILURE_SHARE * self.responses_weight
         )
-        if self.consecutive_failures < MAX_CONSECUTIVE_FAILURES and not is_bad:
+        if self.consecutive_failures < MAX_CONSECUTIVE_FAILURES and not is_failing:
             return False
-        pause_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
+        ejection_s = min(MAX_EJECTION_S, BASE_EJECTION_S * 2**self.ejections)
         self.ejections = min(self.ejections + 1, MAX_BACKOFF_EXPONENT)
         self.consecutive_failures = 0
-        self.ejected_until_s = now_s + pause_s
+        self.ejected_until_s = now_s + ejection_s
         return True
 
     def _decay(self, failure: float) -> None:
--- a/acaciacove/gateway/choice/endpoint_load.py
+++ b/acaciacove/gateway/choice/endpoint_load.py
@@ -54,10 +54,11 @@
 
 def baseline_peer_requests(loads: Iterable[EndpointLoad], now_s: float) -> float:
     """Return the mean requests of peers per endpoint, weighted by report freshness."""
-    weighed = [(load.freshness(now_s), load.peer_requests) for load in loads]
-    weight = sum(freshness for freshness, _ in weighed)
-    if weight <= 0.0:
+    reports = [(load.freshness(now_s), load.peer_requests) for load in loads]
+    total_weight = sum(freshness for freshness, _ in reports)
+    if total_weight <= 0.0:
         return 0.0
     return (
-        sum(freshness * peer_requests for freshness, peer_requests in weighed) / weight
+        sum(freshness * peer_requests for freshness, peer_requests in reports)
+        / total_weight
     )
--- a/acaciacove/gateway/choice/prefix_affinity.py
+++ b/acaciacove/gateway/choice/prefix_affinity.py
@@ -11,22 +11,22 @@
 
 
 def uncached_tokens(
-    state: EndpointState, prompt: Prompt, keys: tuple[int, ...], home_share: float
+    state: EndpointState, prompt: Prompt, keys: tuple[int, ...], expected_share: float
 ) -> float:
     """Return the tokens of a prompt that are not in the endpoint's cache.
 
     A part counts as cached only if all parts before it are. Of a part that is not known
-    to be cached, the share ``home_share`` is expected to be.
+    to be cached, the share ``expected_share`` is expected to be.
     """
-    unread = 0.0
-    held = True
+    uncached = 0.0
+    cached = True
     for key, (_, tokens) in zip(keys, prompt.parts, strict=False):
-        held = held and state.is_cached(key)
-        if not held:
-            unread += tokens * (1.0 - home_share)
+        cached = cached and state.is_cached(key)
+        if not cached:
+            uncached += tokens * (1.0 - expected_share)
     if prompt.parts:
-        unread += prompt.parts[-1][1]
-    return unread
+        uncached += prompt.parts[-1][1]
+    return uncached
 
 
 def preferred_endpoint(
@@ -36,5 +36,5 @@
 
     Rendezvous hashing: the order of ``states`` does not matter; it must not be empty.
     """
-    number = int.from_bytes(stable_hash(f"{key}/{model}"))
-    return max(states, key=lambda state: mix_bits(state.instance_hash ^ number))
+    prefix_hash = int.from_bytes(stable_hash(f"{key}/{model}"))
+    return max(states, key=lambda state: mix_bits(state.instance_hash ^ prefix_hash))
--- a/acaciacove/gateway/choice/session_versions.py
+++ b/acaciacove/gateway/choice/session_versions.py
@@ -25,10 +25,10 @@
 
     def get(self, service: str, session: str, now_s: float) -> str | None:
         """Return the version that the session uses, None if unknown or expired."""
-        known = self._sessions.get((service, session))
-        if known is None or now_s - known[1] > RETAINED_LIFETIMES * self.lifetime_s:
+        entry = self._sessions.get((service, session))
+        if entry is None or now_s - entry[1] > RETAINED_LIFETIMES * self.lifetime_s:
             return None
-        return known[0]
+        return entry[0]
 
     def put(self, service: str, session: str, version: str, now_s: float) -> None:
         """Record that the session has just used a version."""
--- a/acaciacove/gateway/choice/share_of.py
+++ b/acaciacove/gateway/choice/share_of.py
@@ -19,19 +19,19 @@
     others.
     """
     all_gateways = gateways | {gateway}
-    whole, rest = divmod(total, len(all_gateways))
-    if not rest:
-        return whole
-    own = mix_bits(subject_hash ^ name_hash(gateway))
-    before = sum(
-        mix_bits(subject_hash ^ name_hash(name)) < own for name in all_gateways
+    share, remainder = divmod(total, len(all_gateways))
+    if not remainder:
+        return share
+    local_hash = mix_bits(subject_hash ^ name_hash(gateway))
+    rank = sum(
+        mix_bits(subject_hash ^ name_hash(name)) < local_hash for name in all_gateways
     )
-    return whole + (before < rest)
+    return share + (rank < remainder)
 
 
-def is_drawn(rest: int, count: int, pair: int) -> bool:
-    """Return whether a pair is among the ``rest`` of ``count`` that get one more."""
-    return mix_bits(pair) * count < rest << HASH_BITS
+def is_drawn(remainder: int, count: int, pair: int) -> bool:
+    """Return whether a pair is among the ``remainder`` of ``count`` with one more."""
+    return mix_bits(pair) * count < remainder << HASH_BITS
 
 
 @lru_cache(MAX_CACHED_NAMES)
--- a/acaciacove/gateway/choice/stated_limit.py
+++ b/acaciacove/gateway/choice/stated_limit.py
@@ -46,10 +46,10 @@
         return seen_s > self.seen_s and self._set(per_s, seen_s)
 
     def _set(self, per_s: float | None, seen_s: float) -> bool:
-        before, self.per_s, self.seen_s = self.per_s, per_s, seen_s
-        if before is None or per_s is None:
-            return before is not per_s
-        return abs(per_s - before) > MIN_CHANGE_SHARE * before
+        previous, self.per_s, self.seen_s = self.per_s, per_s, seen_s
+        if previous is None or per_s is None:
+            return previous is not per_s
+        return abs(per_s - previous) > MIN_CHANGE_SHARE * previous
 
     def is_set(self, now_s: float) -> bool:
         """Return whether the endpoint has a limit now."""
@@ -97,6 +97,6 @@
             self._sent.append(now_s)
 
     def _expire(self, now_s: float) -> None:
-        since_s = now_s - self.window_s - WINDOW_MARGIN_S
-        while self._sent and self._sent[0] <= since_s:
+        window_start_s = now_s - self.window_s - WINDOW_MARGIN_S
+        while self._sent and self._sent[0] <= window_start_s:
             del self._sent[0]
--- a/acaciacove/gateway/choose_model.py
+++ b/acaciacove/gateway/choose_model.py
@@ -48,12 +48,12 @@
     model serves well, and would become busier still.
     """
     options = _model_options(gateway, context, context.route.model_sizes, wait_s=0.0)
-    may_go_on = context.route.may_repeat and context.route.max_attempts > 1
-    beliefs = gateway.confidences(context.service.name)
-    moment = LatencyContext(
+    may_escalate = context.route.may_repeat and context.route.max_attempts > 1
+    calibration = gateway.confidences(context.service.name)
+    latency = LatencyContext(
         now_s - context.request.arrived_s, context.route.latency_target_s
     )
-    return first_model(options, beliefs, moment, may_go_on)
+    return first_model(options, calibration, latency, may_escalate)
 
 
 def choose_next_model(
@@ -68,32 +68,32 @@
     larger = sizes[sizes.index(model) + 1 :]
     queues = _queue_waits(gateway, context, now_s)
     options = _model_options(gateway, context, larger, queues.min_s)
-    beliefs = gateway.confidences(context.service.name)
+    calibration = gateway.confidences(context.service.name)
     for option in options:
-        beliefs.offset(model, option.name, option.is_largest)
-    moment = _moment(gateway, context, queues, now_s)
+        calibration.offset(model, option.name, option.is_largest)
+    latency = _latency_context(gateway, context, queues, now_s)
     chosen = next_model(
         model,
         confidence,
         options,
-        beliefs,
-        moment,
-        may_escalate_twice=context.sent + 2 <= context.route.max_attempts,
+        calibration,
+        latency,
+        may_escalate_twice=context.sent_count + 2 <= context.route.max_attempts,
     )
-    if chosen is None or moment.delayed_per_s > MAX_EXPLORATION_DELAYED_PER_S:
+    if chosen is None or latency.delayed_per_s > MAX_EXPLORATION_DELAYED_PER_S:
         return chosen
-    return _explore(gateway, beliefs, model, larger) or chosen
+    return _explore(gateway, calibration, model, larger) or chosen
 
 
 def _explore(
     gateway: Gateway,
-    beliefs: ConfidenceCalibration,
+    calibration: ConfidenceCalibration,
     model: str,
     larger: tuple[str, ...],
 ) -> str | None:
     """Return a larger model to explore, or None, which is most frequent."""
     for name in larger[:-1]:
-        is_known = beliefs.offset(model, name).pairs >= MIN_EXPLORED_PAIRS
+        is_known = calibration.offset(model, name).pairs >= MIN_EXPLORED_PAIRS
         share = LATE_EXPLORATION_SHARE if is_known else EXPLORATION_SHARE
         if gateway.random.random() < share:
             return name
@@ -104,40 +104,40 @@
     gateway: Gateway, context: RequestContext, state: EndpointState, head: ResponseHead
 ) -> float | None:
     """Record the confidence of a response head; return it if it is usable."""
-    told = head.confidence
+    confidence = head.confidence
     sizes = context.route.model_sizes
-    if told is None or context.model not in sizes:
+    if confidence is None or context.model not in sizes:
         return None
-    if not MIN_CONFIDENCE <= told <= MAX_CONFIDENCE:
+    if not MIN_CONFIDENCE <= confidence <= MAX_CONFIDENCE:
         gateway.log.write(
             Event.CONFIDENCE_UNREADABLE,
             endpoint=state.endpoint.instance,
-            confidence=told,
+            confidence=confidence,
         )
         return None
     assert context.model is not None
-    beliefs = gateway.confidences(context.service.name)
+    calibration = gateway.confidences(context.service.name)
     if not context.confidences:
-        beliefs.learn_answer(context.model, context.model == sizes[-1], told)
-    for model, earlier in context.confidences.items():
+        calibration.learn_answer(context.model, context.model == sizes[-1], confidence)
+    for model, earlier_confidence in context.confidences.items():
         if sizes.index(model) < sizes.index(context.model):
-            beliefs.learn_pair(model, earlier, context.model, told)
-    context.confidences[context.model] = told
-    return told
+            calibration.learn_pair(model, earlier_confidence, context.model, confidence)
+    context.confidences[context.model] = confidence
+    return confidence
 
 
-def _answer_value(gateway: Gateway, service: Service) -> float:
+def _response_value(gateway: Gateway, service: Service) -> float:
     """Return the value of a good response for 1,000 tokens, in the unit of prices.
 
     It is the geometric mean of two rough estimates: the operator's setting, and a
     multiple of the highest price, since nobody offers a model that costs about as much
     as its responses are worth. The mean stays close where one of the two is close.
     """
-    told = gateway.settings.answer_value_per_1k_tokens
-    dearest = max(service.model_costs.values(), default=0.0)
-    if dearest <= 0.0:
-        return told
-    return sqrt(told * VALUE_PER_MAX_PRICE * dearest)
+    setting = gateway.settings.answer_value_per_1k_tokens
+    max_price = max(service.model_costs.values(), default=0.0)
+    if max_price <= 0.0:
+        return setting
+    return sqrt(setting * VALUE_PER_MAX_PRICE * max_price)
 
 
 @frozen
@@ -169,7 +169,7 @@
     return _QueueWaits(len(endpoints), sum(waits_s) / len(waits_s), min(waits_s))
 
 
-def _moment(
+def _latency_context(
     gateway: Gateway, context: RequestContext, queues: _QueueWaits, now_s: float
 ) -> LatencyContext:
     sent_per_s = gateway.sent_per_s(context.service.name, now_s) * gateway.gateway_count
@@ -185,25 +185,25 @@
     gateway: Gateway, context: RequestContext, models: tuple[str, ...], wait_s: float
 ) -> list[ModelOption]:
     prompt = context.request.hints.prompt
-    unread = 0.0
+    uncached = 0.0
     if prompt is not None:
-        own = prompt.parts[-1][1] if prompt.parts else prompt.input_tokens
-        shared = max(0, prompt.input_tokens - own)
-        unread = own + UNCACHED_SHARE * shared
-    value = _answer_value(gateway, context.service)
-    found = []
-    work_s = 0.0
+        own_tokens = prompt.parts[-1][1] if prompt.parts else prompt.input_tokens
+        shared_tokens = max(0, prompt.input_tokens - own_tokens)
+        uncached = own_tokens + UNCACHED_SHARE * shared_tokens
+    value = _response_value(gateway, context.service)
+    options = []
+    prefill_s = 0.0
     for name in models:
-        pace = gateway.prefill_latency(context.service.name, name)
+        prefill = gateway.prefill_latency(context.service.name, name)
         # A larger model is never faster, whatever the last few measurements say.
-        work_s = max(work_s, pace.predict_s(unread))
-        found.append(
+        prefill_s = max(prefill_s, prefill.predict_s(uncached))
+        options.append(
             ModelOption(
                 name=name,
                 is_largest=name == context.route.model_sizes[-1],
                 price=context.service.model_costs.get(name, 0.0) / value,
-                first_chunk_s=wait_s + work_s,
-                work_s=work_s,
+                first_chunk_s=wait_s + prefill_s,
+                work_s=prefill_s,
             )
         )
-    return found
+    return options
--- a/acaciacove/gateway/choose_version.py
+++ b/acaciacove/gateway/choose_version.py
@@ -34,10 +34,10 @@
     progress = gateway.rollouts.get(service)
     if progress is None or progress.phase is RolloutPhase.STOPPED:
         return old
-    return _by_share(gateway, context, progress, old, target, now_s)
+    return _split_by_share(gateway, context, progress, old, target, now_s)
 
 
-def _by_share(
+def _split_by_share(
     gateway: Gateway,
     context: RequestContext,
     progress: RolloutProgress,
@@ -53,14 +53,14 @@
         return old
     if not old:
         return _without_old_endpoints(gateway, progress, target)
-    known = None
+    version = None
     if context.session is not None:
-        known = gateway.sessions.get(context.service.name, context.session, now_s)
-    is_known = known == progress.order.target
-    if not is_known and not _is_drawn_for_target(gateway, context, progress, now_s):
+        version = gateway.sessions.get(context.service.name, context.session, now_s)
+    is_on_target = version == progress.order.target
+    if not is_on_target and not _is_drawn_for_target(gateway, context, progress, now_s):
         return old
     allowed = may_send_to_target(
-        progress, gateway.rollout_settings, gateway.gateway_count, is_known
+        progress, gateway.rollout_settings, gateway.gateway_count, is_on_target
     )
     return target if allowed else old
 
@@ -90,10 +90,10 @@
     gateway: Gateway, context: RequestContext, progress: RolloutProgress, now_s: float
 ) -> bool:
     """Return whether a request that is not on the target version is moved to it."""
-    drawn = context.session or context.request.hints.request_id or ""
+    subject = context.session or context.request.hints.request_id or ""
     has_session = context.session is not None
     share = target_share(progress, gateway.rollout_settings, has_session, now_s)
-    return unit_hash(f"{progress.order.revision}/{drawn}") < share
+    return unit_hash(f"{progress.order.revision}/{subject}") < share
 
 
 def unit_hash(text: str) -> float:
--- a/acaciacove/gateway/endpoint_cost.py
+++ b/acaciacove/gateway/endpoint_cost.py
@@ -21,8 +21,10 @@
     gateway: Gateway, state: EndpointState, now_s: float
 ) -> tuple[float, float]:
     """Return the load cost at an endpoint in requests, and a random tie-breaker."""
-    is_near = state.endpoint.availability_zone == gateway.settings.availability_zone
-    zone = 0.0 if is_near else gateway.choice.other_zone_requests
+    in_local_zone = (
+        state.endpoint.availability_zone == gateway.settings.availability_zone
+    )
+    zone = 0.0 if in_local_zone else gateway.choice.other_zone_requests
     load = state.load.estimate(now_s) + _health_penalty(gateway, state, now_s)
     return (load + zone, gateway.random.random())
 
@@ -48,22 +50,25 @@
     All gateways prefer the endpoint ``preferred`` for the prompt's shared parts.
     """
     choice = gateway.choice
-    own_zone = gateway.settings.availability_zone
+    local_zone = gateway.settings.availability_zone
     baseline_load = baseline_peer_requests((state.load for state in states), now_s)
     baseline_s = baseline_wait_s((state.backlog for state in states), now_s)
     keys = prefix_keys(prompt, context.model)
-    pace = gateway.prefill_latency(context.service.name, context.model)
-    memory_s = choice.memory_ms_per_1k / MS / TOKENS_PER_1K
+    prefill = gateway.prefill_latency(context.service.name, context.model)
+    displacement_s_per_token = choice.memory_ms_per_1k / MS / TOKENS_PER_1K
 
     def cost_s(state: EndpointState) -> float:
-        home_share = choice.home_share if state is preferred else 0.0
-        tokens = uncached_tokens(state, prompt, keys, home_share)
-        reading_s = choice.reading_weight * pace.predict_s(tokens) + tokens * memory_s
+        expected_share = choice.home_share if state is preferred else 0.0
+        tokens = uncached_tokens(state, prompt, keys, expected_share)
+        prefill_s = (
+            choice.reading_weight * prefill.predict_s(tokens)
+            + tokens * displacement_s_per_token
+        )
         load = state.load.estimate(now_s, baseline_load)
         load += _health_penalty(gateway, state, now_s)
-        is_near = state.endpoint.availability_zone == own_zone
-        zone_ms = 0.0 if is_near else choice.other_zone_ms
+        in_local_zone = state.endpoint.availability_zone == local_zone
+        zone_ms = 0.0 if in_local_zone else choice.other_zone_ms
         other_s = (zone_ms + load * choice.request_ms) / MS
-        return state.backlog.wait_s(now_s, baseline_s) + reading_s + other_s
+        return state.backlog.wait_s(now_s, baseline_s) + prefill_s + other_s
 
     return cost_s
--- a/acaciacove/gateway/endpoint_states.py
+++ b/acaciacove/gateway/endpoint_states.py
@@ -53,11 +53,11 @@
         The idle connections of removed endpoints are closed. A state is only removed
         once no request is in flight at its endpoint.
         """
-        known = {endpoint.key for endpoint in endpoints}
+        registered = {endpoint.key for endpoint in endpoints}
         for endpoint in endpoints:
             self.of(endpoint)
         for key, state in list(self._states.items()):
-            if key in known:
+            if key in registered:
                 state.pool.close_expired()
                 continue
             state.pool.close()
--- a/acaciacove/gateway/exchange.py
+++ b/acaciacove/gateway/exchange.py
@@ -50,8 +50,8 @@
 
     async def open(self, timeout_s: float) -> None:
         """Acquire a connection; raises ConnectFailedError."""
-        once = not self.context.route.may_repeat
-        self.connection = await self.state.pool.acquire(once, timeout_s)
+        non_idempotent = not self.context.route.may_repeat
+        self.connection = await self.state.pool.acquire(non_idempotent, timeout_s)
 
     def send(self) -> None:
         """Write the request; raises ConnectionLostError."""
@@ -88,9 +88,9 @@
         gateway, context, state = self.gateway, self.context, self.state
         keys = prefix_keys(prompt, context.model)
         self.uncached_tokens = uncached_tokens(state, prompt, keys, 0.0)
-        pace = gateway.prefill_latency(context.service.name, context.model)
+        prefill = gateway.prefill_latency(context.service.name, context.model)
         self.backlog_id = gateway.next_exchange_number()
-        work_s = pace.predict_s(self.uncached_tokens)
+        work_s = prefill.predict_s(self.uncached_tokens)
         self.predicted_s = state.backlog.wait_s(now_s, 0.0) + work_s
         state.backlog.send(self.backlog_id, work_s, now_s)
         state.record_cached(keys)
@@ -99,11 +99,11 @@
 
     def record_first_chunk(self, now_s: float) -> None:
         """Update backlog and prefill latency as the response head arrives."""
-        took_s = self.state.backlog.record_first_chunk(self.backlog_id, now_s)
-        if took_s is not None:
+        latency_s = self.state.backlog.record_first_chunk(self.backlog_id, now_s)
+        if latency_s is not None:
             context = self.context
-            pace = self.gateway.prefill_latency(context.service.name, context.model)
-            pace.learn(self.uncached_tokens, took_s)
+            prefill = self.gateway.prefill_latency(context.service.name, context.model)
+            prefill.learn(self.uncached_tokens, latency_s)
 
     def _register_evidence(self, now_s: float) -> None:
         context, endpoint = self.context, self.state.endpoint
@@ -134,12 +134,13 @@
             head = self.gateway.dialect.read_response(
                 event.status_code, bytes(event.reason), headers
             )
-            own = self.context.request.hints.request_id
-            if own is None or head.request_id in (own, None):
+            request_id = self.context.request.hints.request_id
+            if request_id is None or head.request_id in (request_id, None):
                 return head
             await self.connection.skip_response()
         raise InvalidResponseError(
-            f"expected a response to request {own} from {self.state.endpoint.instance},"
+            f"expected a response to request {request_id}"
+            f" from {self.state.endpoint.instance},"
             " got only responses to other requests"
         )
 
@@ -169,14 +170,14 @@
 
     async def read_body(self, limit_bytes: int) -> bytes | None:
         """Return the complete body, or None when it exceeds the limit."""
-        pieces: list[bytes] = []
+        chunks: list[bytes] = []
         size = 0
         while (data := await self.next_data()) is not None:
-            pieces.append(data)
+            chunks.append(data)
             size += len(data)
             if size > limit_bytes:
                 return None
-        return b"".join(pieces)
+        return b"".join(chunks)
 
     def close(self) -> None:
         """Release the connection, or close it if the response is not complete."""
--- a/acaciacove/gateway/request_context.py
+++ b/acaciacove/gateway/request_context.py
@@ -17,15 +17,16 @@
 class RequestContext:
     """A request, its route, and the state of its attempts.
 
-    ``deadline_s`` is when the response must be complete. ``sent`` counts the attempts
-    that sent the request, ``attempt_count`` all of them. ``may_have_run`` is set once
-    an endpoint may have started it. ``last_failure`` is the last complete failure
-    response. ``tried_instances`` are the endpoints that it was sent to. ``refused_by``
-    are those that answered "not run"; they stay excluded for the next model.
-    ``confidences`` maps models to their confidence in their responses, and
-    ``next_model`` is the model to escalate to. ``trail`` lists the attempts as instance
-    and version, ``responses`` the heads that came. ``on_trial`` is set for a request
-    that is suspected of crashing endpoints while this gateway alone may try it.
+    ``deadline_s`` is when the response must be complete. ``sent_count`` counts the
+    attempts that sent the request, ``attempt_count`` all of them. ``may_have_run`` is
+    set once an endpoint may have started it. ``last_failure`` is the last complete
+    failure response. ``tried_instances`` are the endpoints that it was sent to.
+    ``refused_by`` are those that answered "not run"; they stay excluded for the next
+    model. ``confidences`` maps models to the confidence that they stated in their
+    responses, and ``next_model`` is the model to escalate to. ``trail`` lists the
+    attempts as instance and version, and ``responses`` the response heads. ``on_trial``
+    is set for a request that is suspected of crashing endpoints; only this gateway may
+    try it.
     """
 
     request: CallerRequest
@@ -35,7 +36,7 @@
     session: str | None
     deadline_s: float
     model: str | None
-    sent: int = 0
+    sent_count: int = 0
     attempt_count: int = 0
     may_have_run: bool = False
     last_failure: tuple[ResponseHead, bytes] | None = None
@@ -59,9 +60,9 @@
     @property
     def priority(self) -> int:
         """The priority that engines are given; 0 is the most urgent."""
-        own = self.organisation.priority if self.organisation else None
-        wanted = self.route.priority if own is None else own
-        return max(0, min(LOWEST_PRIORITY, wanted))
+        override = self.organisation.priority if self.organisation else None
+        priority = self.route.priority if override is None else override
+        return max(0, min(LOWEST_PRIORITY, priority))
 
 
 LOWEST_PRIORITY = 9
--- a/acaciacove/gateway/serve_request.py
+++ b/acaciacove/gateway/serve_request.py
@@ -38,8 +38,8 @@
     """Respond to one request, whatever happens to it."""
     admitted = admit(gateway, request)
     if isinstance(admitted, Refusal):
-        refused = await refuse(front, admitted)
-        _log_refused(gateway, request, admitted, refused)
+        refusal_status = await refuse(front, admitted)
+        _log_refused(gateway, request, admitted, refusal_status)
         return
     context = admitted
     status: int | str = "caller_left"
@@ -84,7 +84,7 @@
         context.model = choose_first_model(gateway, context, now_s)
     while True:
         now_s = asyncio.get_running_loop().time()
-        if context.sent and not _has_retry_budget(gateway, context, now_s):
+        if context.sent_count and not _has_retry_budget(gateway, context, now_s):
             return _final_failure(context, budget_left=False)
         refusal = _quarantine_refusal(gateway, context, now_s)
         if refusal is not None:
@@ -96,17 +96,19 @@
         state = choose_endpoint(gateway, context, now_s)
         if state is None:
             return _no_endpoint(gateway, context, now_s)
-        if context.sent:
+        if context.sent_count:
             gateway.budget(context.service.name).consume(now_s, gateway.gateway_count)
         context.attempt_count += 1
-        follows = context.sent + 1 < context.route.max_attempts and not context.on_trial
+        may_retry = (
+            context.sent_count + 1 < context.route.max_attempts and not context.on_trial
+        )
         outcome = await attempt(
             gateway,
             context,
             state,
             front,
-            follows,
-            follows and _may_escalate(gateway, context),
+            may_retry,
+            may_retry and _may_escalate(gateway, context),
         )
         _log_attempt(gateway, context, outcome)
         if outcome is AttemptOutcome.DELIVERED:
@@ -159,7 +161,7 @@
     endpoint has started it. Any other request is retried within its attempts.
     """
     if (
-        context.sent >= context.route.max_attempts
+        context.sent_count >= context.route.max_attempts
         or context.attempt_count >= MAX_ATTEMPTS
     ):
         return False
@@ -215,10 +217,10 @@
     return head.status
 
 
-def _response_fields(head: ResponseSummary) -> list[object]:
+def _response_fields(summary: ResponseSummary) -> list[object]:
     """Return endpoint, model, confidence, and actual and predicted head latency."""
-    taken, predicted = round(head.head_latency_s, 3), round(head.predicted_s, 3)
-    return [head.endpoint, head.model, head.confidence, taken, predicted]
+    taken, predicted = round(summary.head_latency_s, 3), round(summary.predicted_s, 3)
+    return [summary.endpoint, summary.model, summary.confidence, taken, predicted]
 
 
 def _log_refused(
@@ -250,7 +252,7 @@
         Event.ATTEMPT,
         routine=outcome is AttemptOutcome.LOW_CONFIDENCE,
         request_id=context.request.hints.request_id,
-        number=context.sent,
+        number=context.sent_count,
         endpoint=context.trail[-1] if context.trail else None,
         model=context.model,
         outcome=outcome.value,
@@ -288,7 +290,7 @@
         status=status,
         model=context.model,
         trail=context.trail,
-        heads=[_response_fields(head) for head in context.responses],
+        heads=[_response_fields(summary) for summary in context.responses],
         input_tokens=prompt.input_tokens if prompt else None,
         target_s=context.route.latency_target_s,
         tries=context.attempt_count,
--- a/acaciacove/gateway/usable_endpoints.py
+++ b/acaciacove/gateway/usable_endpoints.py
@@ -32,16 +32,18 @@
     )
     states = [gateway.states.of(endpoint) for endpoint in allowed]
     usable = _within_limits(gateway, context, states, now_s)
-    fresh = [s for s in usable if s.endpoint.instance not in context.tried_instances]
-    sound = [s for s in fresh or usable if not s.health.is_ejected(now_s)]
-    return sound or fresh or usable
+    untried = [s for s in usable if s.endpoint.instance not in context.tried_instances]
+    healthy = [s for s in untried or usable if not s.health.is_ejected(now_s)]
+    return healthy or untried or usable
 
 
 def next_slot_in_s(
     gateway: Gateway, context: RequestContext, now_s: float
 ) -> float | None:
     """Return the seconds until a limited endpoint has room; None if none will."""
-    states = [gateway.states.of(each) for each in _allowed_endpoints(gateway, context)]
+    states = [
+        gateway.states.of(endpoint) for endpoint in _allowed_endpoints(gateway, context)
+    ]
     waits = [
         state.stated_limit.next_slot_in_s(now_s, local_share(gateway, state, now_s))
         for state in states
@@ -60,16 +62,16 @@
         and not endpoint.draining
         and endpoint.availability_zone not in zones_out
     ]
-    homes = [context.route.allowed_regions]
+    region_sets = [context.route.allowed_regions]
     if context.organisation is not None:
-        homes.append(context.organisation.allowed_regions)
+        region_sets.append(context.organisation.allowed_regions)
     region_of = gateway.settings.region_of_zone
-    for home in homes:
-        if home:
+    for regions in region_sets:
+        if regions:
             endpoints = [
                 endpoint
                 for endpoint in endpoints
-                if region_of.get(endpoint.availability_zone, "") in home
+                if region_of.get(endpoint.availability_zone, "") in regions
             ]
     return endpoints
 
@@ -119,9 +121,13 @@
         # The shares cannot be computed yet, and the peers may use theirs.
         return 0
     settings = gateway.settings
-    promised = service.cold_rate_per_s * settings.cold_overage + settings.cold_extra
-    limit = min(promised * COLD_MARGIN, service.cold_rate_per_s * MAX_COLD_RATE_FACTOR)
-    return gateway_share(limit, endpoint.instance, settings.name, gateway.peers)
+    allowed_per_s = (
+        service.cold_rate_per_s * settings.cold_overage + settings.cold_extra
+    )
+    limit_per_s = min(
+        allowed_per_s * COLD_MARGIN, service.cold_rate_per_s * MAX_COLD_RATE_FACTOR
+    )
+    return gateway_share(limit_per_s, endpoint.instance, settings.name, gateway.peers)
 
 
 def is_suspect(state: EndpointState, now_s: float) -> bool:
--- a/tests/test_gateway_heavy_load.py
+++ b/tests/test_gateway_heavy_load.py
@@ -58,7 +58,7 @@
         self.free_s = 0.0
         self.arrivals = 0
 
-    def take(self, now_s):
+    def serve(self, now_s):
         self.free_s = max(now_s, self.free_s) + SERVICE_S
         return self.free_s
 
@@ -68,7 +68,7 @@
 
 def make_gateways(names):
     """Return gateways that have the same endpoints in view."""
-    made = []
+    gateways = []
     for number in range(GATEWAYS):
         settings = gateway_settings(f"gateway-{number}", "10.0.1.1", "a")
         view = RoutingView(lambda: 0.0)
@@ -80,17 +80,17 @@
         log = EventLog(settings.name, descriptor=None)
         gateway = Gateway(settings, DIALECT, view, log)
         gateway.random = Random(number)
-        made.append(gateway)
-    return made
+        gateways.append(gateway)
+    return gateways
 
 
 def make_context(gateway, number, now_s, tokens=500):
     prompt = Prompt((("own", tokens),), tokens, 40)
     hints = CallerHints(str(number), None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "h", (), b"", hints, now_s)
-    current = gateway.view.catalogue
-    route = next(r for r in current.routes if r.name == "draft")
-    service = current.services["model"]
+    published = gateway.view.catalogue
+    route = next(r for r in published.routes if r.name == "draft")
+    service = published.services["model"]
     return RequestContext(
         request, route, service, None, None, now_s + 5.0, "small", None
     )
@@ -120,8 +120,8 @@
         engine = engines[state.endpoint.instance]
         engine.arrivals += 1
         state.load.in_flight += 1
-        answer = (engine.take(now_s), number, receiver, state.endpoint.instance)
-        heappush(events, answer)
+        response = (engine.serve(now_s), number, receiver, state.endpoint.instance)
+        heappush(events, response)
         gap_s = random.expovariate(REQUESTS_PER_S)
         heappush(events, (now_s + gap_s, -number, None, None))
     return engines
@@ -164,17 +164,17 @@
 def connect_gossip(gateways):
     """Deliver gossip on sent prompts between gateways as datagrams would."""
     now_s = [0.0]
-    news = {}
+    gossip = {}
     for gateway in gateways:
         name = gateway.settings.name
-        others = [g.settings.name for g in gateways if g is not gateway]
-        news[name] = WorkGossip(
-            lambda others=others: others,
-            lambda data, name: news[name].apply(decode(data), now_s[0]),
+        peers = [g.settings.name for g in gateways if g is not gateway]
+        gossip[name] = WorkGossip(
+            lambda peers=peers: peers,
+            lambda data, name: gossip[name].apply(decode(data), now_s[0]),
             gateway.states,
             gateway.log,
         )
-        gateway.gossip_work = news[name].send_update
+        gateway.gossip_work = gossip[name].send_update
     return now_s
 
 
@@ -192,16 +192,16 @@
     events, number, now_s = [], 0, 0.0
     while now_s < seconds:
         while events and events[0][0] <= now_s:
-            at_s, asked, gateway, name = heappop(events)
+            at_s, backlog_id, gateway, name = heappop(events)
             state = gateway.states.of(gateway.view.endpoints[name])
             state.load.in_flight -= 1
-            state.backlog.record_first_chunk(asked, at_s)
+            state.backlog.record_first_chunk(backlog_id, at_s)
         number += 1
         clock[0] = now_s
         receiver = random.choice(gateways)
         work_s = LONG_S if random.random() < 0.2 else SHORT_S
-        work = make_context(receiver, number, now_s, round(work_s * TOKENS_PER_S))
-        state = choose_endpoint(receiver, work, now_s)
+        context = make_context(receiver, number, now_s, round(work_s * TOKENS_PER_S))
+        state = choose_endpoint(receiver, context, now_s)
         name = state.endpoint.instance
         state.load.in_flight += 1
         state.backlog.send(number, work_s, now_s)
@@ -221,5 +221,5 @@
 
 def test_long_prompts_collide_without_gossip():
     """Shows that gateways cannot spread the load above without gossip."""
-    alone = simulate_long_prompts(20, with_gossip=False)[1:]
-    assert any(max(second) > median(second) + 1.0 for second in alone)
+    waits = simulate_long_prompts(20, with_gossip=False)[1:]
+    assert any(max(second) > median(second) + 1.0 for second in waits)
--- a/tests/test_gateway_large_service.py
+++ b/tests/test_gateway_large_service.py
@@ -58,9 +58,9 @@
     prompt = Prompt((("all", 2000), (subject, 4000), ("own", 500)), 6500, 40)
     hints = CallerHints("1", None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "h", (), b"", hints, 0.0)
-    current = gateway.view.catalogue
-    route = next(r for r in current.routes if r.name == "draft")
-    service = current.services["model"]
+    published = gateway.view.catalogue
+    route = next(r for r in published.routes if r.name == "draft")
+    service = published.services["model"]
     return RequestContext(request, route, service, None, None, 5.0, "small")
 
 
@@ -82,11 +82,11 @@
 def test_removed_endpoint_moves_only_its_own_prefixes():
     """Guards against recomputing all prompts whenever one endpoint is removed."""
     states = states_of(make_gateway(40))
-    left, rest = states[0], states[1:]
+    removed, remaining = states[0], states[1:]
     for key in range(KEYS // 10):
         preferred = preferred_endpoint(f"{key:x}", "small", states)
-        assert preferred is left or preferred is preferred_endpoint(
-            f"{key:x}", "small", rest
+        assert preferred is removed or preferred is preferred_endpoint(
+            f"{key:x}", "small", remaining
         )
 
 
--- a/tests/test_gateway_limits.py
+++ b/tests/test_gateway_limits.py
@@ -24,13 +24,13 @@
 @given(times, st.floats(0.0, 0.2))
 @settings(max_examples=100, derandomize=True)
 def test_sliding_window_never_undercounts(times_s, bucket_s):
-    count = SlidingWindowCounter(10.0, bucket_s)
-    for place, now_s in enumerate(times_s):
-        count.add(now_s)
-        exact = sum(now_s - 10.0 < m <= now_s for m in times_s[: place + 1])
-        assert count.total(now_s) >= exact
-        assert count.total(now_s) <= sum(
-            now_s - 10.0 - bucket_s - 1e-9 <= m <= now_s for m in times_s[: place + 1]
+    counter = SlidingWindowCounter(10.0, bucket_s)
+    for index, now_s in enumerate(times_s):
+        counter.add(now_s)
+        exact = sum(now_s - 10.0 < m <= now_s for m in times_s[: index + 1])
+        assert counter.total(now_s) >= exact
+        assert counter.total(now_s) <= sum(
+            now_s - 10.0 - bucket_s - 1e-9 <= m <= now_s for m in times_s[: index + 1]
         )
 
 
@@ -47,16 +47,16 @@
     In sum, no window holds more retries than the budget.
     """
     budgets = [RetryBudget(ratio, extra, 10.0) for _ in range(gateways)]
-    requests = repeats = 0
-    for number, (who, is_repeat) in enumerate(events):
-        budget = budgets[who % gateways]
+    requests = retries = 0
+    for number, (gateway, is_retry) in enumerate(events):
+        budget = budgets[gateway % gateways]
         now_s = number * 0.01
-        if is_repeat:
-            repeats += budget.consume(now_s, gateways)
+        if is_retry:
+            retries += budget.consume(now_s, gateways)
         else:
             budget.count_request(now_s)
             requests += 1
-        assert repeats <= ratio * requests + extra + 1e-6
+        assert retries <= ratio * requests + extra + 1e-6
 
 
 @given(
@@ -81,7 +81,7 @@
 
     Each has its place reserved from the choice on, so they do not arrive together.
     """
-    limiter, part = ColdLimiter(), 5
+    limiter, share = ColdLimiter(), 5
     now_s, opening, sent = 0.0, [], []
     for pause_s, connect_s in steps:
         now_s += pause_s
@@ -90,27 +90,29 @@
             limiter.count(ready_s)
             sent.append(ready_s)
         opening = [r for r in opening if r > now_s]
-        if limiter.allows(now_s, part):
+        if limiter.allows(now_s, share):
             limiter.reserve()
             opening.append(now_s + connect_s)
-    for moment in sent:
-        assert sum(moment - 1.0 < s <= moment for s in sent) <= part
+    for at_s in sent:
+        assert sum(at_s - 1.0 < s <= at_s for s in sent) <= share
 
 
 @given(st.lists(st.booleans(), max_size=500), st.integers(1, 8))
 @settings(max_examples=100, derandomize=True)
-def test_rollout_exposure_of_all_gateways_stays_within_its_share(wishes, gateways):
+def test_rollout_exposure_of_all_gateways_stays_within_its_share(
+    target_draws, gateways
+):
     order = RolloutOrder("model", "v2", 20.0, 1, 0.0)
     bounds = RolloutSettings(exposure_share=0.15, exposure_extra=30.0)
     fleet = [RolloutProgress(order) for _ in range(gateways)]
-    for number, wants in enumerate(wishes):
+    for number, is_drawn in enumerate(target_draws):
         progress = fleet[number % gateways]
-        if wants and may_send_to_target(progress, bounds, gateways, number % 2 == 0):
+        if is_drawn and may_send_to_target(progress, bounds, gateways, number % 2 == 0):
             progress.sent_target += 1
         progress.sent_all += 1
         target = sum(p.sent_target for p in fleet)
-        everything = sum(p.sent_all for p in fleet)
-        assert target <= 0.15 * everything + 30
+        total = sum(p.sent_all for p in fleet)
+        assert target <= 0.15 * total + 30
 
 
 def test_endpoint_is_ejected_after_failures_and_readmitted():
@@ -123,11 +125,11 @@
 
 def test_ejections_back_off_and_recover():
     health = EndpointHealth()
-    pauses = []
+    ejections_s = []
     for number in range(12):
         if health.count_failure(float(number), disconnected=False):
-            pauses.append(health.ejected_until_s - number)
-    assert pauses == sorted(pauses) and pauses[-1] == 4.0
+            ejections_s.append(health.ejected_until_s - number)
+    assert ejections_s == sorted(ejections_s) and ejections_s[-1] == 4.0
     for _ in range(20):
         health.count_success()
     assert health.ejections == 0
@@ -143,13 +145,13 @@
 
 def test_endpoint_failing_every_other_request_is_ejected():
     health = EndpointHealth()
-    left_out = 0
+    ejections = 0
     for number in range(20):
         if number % 2:
-            left_out += health.count_failure(float(number), disconnected=False)
+            ejections += health.count_failure(float(number), disconnected=False)
         else:
             health.count_success()
-    assert left_out
+    assert ejections
 
 
 def test_reported_load_decays_with_age():
--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -158,8 +158,8 @@
         fleet.endpoints["app-0"].behaviour.early_end = True
         answers = [await call("/look/1", f"r-{n}", method="GET") for n in range(4)]
         assert all(a.status == 200 and b"served r-" in a.body for a in answers)
-        booked = [await call("/book/1", f"b-{n}") for n in range(4)]
-        assert {a.status for a in booked} <= {200, 502}
+        bookings = [await call("/book/1", f"b-{n}") for n in range(4)]
+        assert {a.status for a in bookings} <= {200, 502}
         assert all(len(runs_of(fleet, f"b-{n}")) == 1 for n in range(4))
 
     run_fleet(scenario)
@@ -190,8 +190,8 @@
     async def scenario(fleet):
         await call("/look/inner/1", "r-1", method="GET")
         await call("/look/outer/1", "r-2", method="GET")
-        left = [time_left_ms(fleet, request) for request in ("r-1", "r-2")]
-        assert left[0] <= 2_000 < left[1]
+        remaining_ms = [time_left_ms(fleet, request) for request in ("r-1", "r-2")]
+        assert remaining_ms[0] <= 2_000 < remaining_ms[1]
 
     run_fleet(scenario, published=catalogue(routes=(*base.routes, inner)))
 
@@ -317,8 +317,8 @@
     async def scenario(fleet):
         answer = await draft("r-1")
         assert answer.status == 200
-        told = lines(fleet, "model_without_price")
-        assert told[0]["models"] == ["large"]
+        log_lines = lines(fleet, "model_without_price")
+        assert log_lines[0]["models"] == ["large"]
 
     run_fleet(scenario, published=published)
 
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -56,14 +56,14 @@
 
 async def send_lookups(fleet, seconds, per_s, gateways, number=0):
     """Send lookups to all gateways in turn; return the responses."""
-    asked = []
+    tasks = []
     for _ in range(int(seconds * per_s)):
         number += 1
         host = f"10.0.1.{number % gateways + 1}"
         path = f"/look/{number}"
-        asked.append(asyncio.create_task(call(path, f"r-{number}", host=host)))
+        tasks.append(asyncio.create_task(call(path, f"r-{number}", host=host)))
         await asyncio.sleep(1.0 / per_s)
-    return [await each for each in asked]
+    return [await each for each in tasks]
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
@@ -239,8 +239,8 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_limit_gossip_round_trips(news):
-    assert decode(encode(news)) == news
+def test_limit_gossip_round_trips(gossip):
+    assert decode(encode(gossip)) == gossip
 
 
 @pytest.mark.parametrize("text", ["-1", "nan", "inf", "many", ""])
