--- a/tests/test_gateway_requests.py
+++ b/tests/test_gateway_requests.py
@@ -24,11 +24,13 @@
 
 def test_response_is_complete_with_signature_and_request_id():
     async def scenario(fleet):
-        answer = await call("/book/7?x=1", "r-1", body=b"two seats")
+        response = await call("/book/7?x=1", "r-1", body=b"two seats")
         (run,) = runs_of(fleet, "r-1")
-        assert answer.status == 200 and answer.complete
-        assert answer.headers["acaciacove-response-signature"] == f"{run.instance}/r-1"
-        assert answer.body == f"{run.instance} served r-1".encode()
+        assert response.status == 200 and response.complete
+        assert (
+            response.headers["acaciacove-response-signature"] == f"{run.instance}/r-1"
+        )
+        assert response.body == f"{run.instance} served r-1".encode()
         assert (run.method, run.target, run.body) == (
             "POST",
             "/book/7?x=1",
@@ -54,9 +56,9 @@
             "Acaciacove-Kv-Backup": "10.0.0.9:1",
             "Acaciacove-Expected-Instance": "nobody",
         }
-        answer = await call("/look/1", "r-1", fields=forged)
+        response = await call("/look/1", "r-1", fields=forged)
         (run,) = runs_of(fleet, "r-1")
-        assert answer.status == 200
+        assert response.status == 200
         assert run.fields["acaciacove-tenant"] == "ozark"
         assert run.fields["acaciacove-expected-instance"] == run.instance
         assert "authorization" not in run.fields
@@ -77,9 +79,9 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.lost_answers = 5
-        answer = await call("/book/1", "r-1")
-        assert answer.status == 502
-        assert b'"not_run":false' in answer.body
+        response = await call("/book/1", "r-1")
+        assert response.status == 502
+        assert b'"not_run":false' in response.body
         assert len(runs_of(fleet, "r-1")) == 1
 
     run_fleet(scenario)
@@ -88,8 +90,8 @@
 def test_run_once_request_is_retried_after_a_refusal():
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.full = True
-        answers = [await call("/book/1", f"r-{n}") for n in range(6)]
-        assert [a.status for a in answers] == [200] * 6
+        responses = [await call("/book/1", f"r-{n}") for n in range(6)]
+        assert [a.status for a in responses] == [200] * 6
         assert all(len(runs_of(fleet, f"r-{n}")) == 1 for n in range(6))
 
     run_fleet(scenario)
@@ -99,10 +101,10 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.full = True
-        answer = await call("/book/1", "r-1")
-        assert answer.status == 503
-        assert float(answer.headers["retry-after"]) > 0
-        assert b'"not_run":true' in answer.body
+        response = await call("/book/1", "r-1")
+        assert response.status == 503
+        assert float(response.headers["retry-after"]) > 0
+        assert b'"not_run":true' in response.body
         assert runs_of(fleet, "r-1") == []
 
     run_fleet(scenario)
@@ -111,8 +113,8 @@
 def test_repeatable_request_is_retried_after_an_endpoint_failure():
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.failing = True
-        answers = [await call("/look/1", f"r-{n}", method="GET") for n in range(6)]
-        assert [a.status for a in answers] == [200] * 6
+        responses = [await call("/look/1", f"r-{n}", method="GET") for n in range(6)]
+        assert [a.status for a in responses] == [200] * 6
 
     run_fleet(scenario)
 
@@ -121,9 +123,9 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.failing = True
-        answer = await call("/look/1", "r-1", method="GET")
-        assert answer.status == 500 and answer.body == b"failed"
-        assert answer.headers["acaciacove-response-signature"].endswith("/r-1")
+        response = await call("/look/1", "r-1", method="GET")
+        assert response.status == 500 and response.body == b"failed"
+        assert response.headers["acaciacove-response-signature"].endswith("/r-1")
 
     run_fleet(scenario)
 
@@ -137,8 +139,8 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.late_answer = True
-        answer = await call("/book/1", "r-1", body=b"some bytes")
-        assert answer.status == 200 and answer.body.endswith(b"served r-1")
+        response = await call("/book/1", "r-1", body=b"some bytes")
+        assert response.status == 200 and response.body.endswith(b"served r-1")
 
     run_fleet(scenario)
 
@@ -147,8 +149,8 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.unsigned = True
-        answer = await call("/look/1", "r-1", method="GET")
-        assert answer.status == 502
+        response = await call("/look/1", "r-1", method="GET")
+        assert response.status == 502
 
     run_fleet(scenario)
 
@@ -156,8 +158,8 @@
 def test_truncated_body_is_not_forwarded_as_complete():
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.early_end = True
-        answers = [await call("/look/1", f"r-{n}", method="GET") for n in range(4)]
-        assert all(a.status == 200 and b"served r-" in a.body for a in answers)
+        responses = [await call("/look/1", f"r-{n}", method="GET") for n in range(4)]
+        assert all(a.status == 200 and b"served r-" in a.body for a in responses)
         bookings = [await call("/book/1", f"b-{n}") for n in range(4)]
         assert {a.status for a in bookings} <= {200, 502}
         assert all(len(runs_of(fleet, f"b-{n}")) == 1 for n in range(4))
@@ -175,8 +177,8 @@
     async def scenario(fleet):
         server = fleet.endpoints["app-0"]
         server.report = evolve(server.report, instance="stranger")
-        answers = [await call("/book/1", f"r-{n}") for n in range(4)]
-        assert [a.status for a in answers] == [200] * 4
+        responses = [await call("/book/1", f"r-{n}") for n in range(4)]
+        assert [a.status for a in responses] == [200] * 4
         assert {a.instance for a in fleet.arrivals if a.ran} == {"app-1"}
 
     run_fleet(scenario)
@@ -205,10 +207,10 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.mute = True
-        answer = await call("/book/1", "r-1")
-        assert answer.status == 504
+        response = await call("/book/1", "r-1")
+        assert response.status == 504
         (run,) = runs_of(fleet, "r-1")
-        assert 4.9 < answer.at_s - run.at_s < 5.2
+        assert 4.9 < response.at_s - run.at_s < 5.2
         await asyncio.sleep(0.2)
         assert run.ended == "cut"
 
@@ -240,9 +242,9 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.confidence = {"small": 90, "large": 90}
-        answer = await draft("r-1")
+        response = await draft("r-1")
         models = [a.fields["acaciacove-model"] for a in runs_of(fleet, "r-1")]
-        assert answer.status == 200 and models == ["small"]
+        assert response.status == 200 and models == ["small"]
 
     run_fleet(scenario)
 
@@ -251,10 +253,10 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.confidence = {"small": 20, "large": 70}
-        answer = await draft("r-1")
+        response = await draft("r-1")
         models = [a.fields["acaciacove-model"] for a in runs_of(fleet, "r-1")]
         assert models == ["small", "large"]
-        assert b"small" not in answer.body and answer.body.count(b"large") == 4
+        assert b"small" not in response.body and response.body.count(b"large") == 4
 
     run_fleet(scenario)
 
@@ -285,9 +287,9 @@
         fleet.endpoints["model-0"].behaviour.cut_after = 2
         fleet.endpoints["model-1"].behaviour.cut_after = None
         for number in range(4):
-            answer = await draft(f"r-{number}", key=f"k{number}")
-            ids = [w for w in answer.body.decode().split("\n") if w.startswith("id:")]
-            assert answer.complete
+            response = await draft(f"r-{number}", key=f"k{number}")
+            ids = [w for w in response.body.decode().split("\n") if w.startswith("id:")]
+            assert response.complete
             assert ids == ["id: 1", "id: 2", "id: 3", "id: 4"]
         resumed = [a for a in fleet.arrivals if a.fields.get("last-event-id") == "2"]
         assert resumed and {a.instance for a in resumed} == {"model-1"}
@@ -299,8 +301,8 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.cut_after = 2
-        answer = await call("/once/1", "r-1", fields=model_fields())
-        assert not answer.complete
+        response = await call("/once/1", "r-1", fields=model_fields())
+        assert not response.complete
         assert len(runs_of(fleet, "r-1")) == 1
 
     run_fleet(scenario)
@@ -315,8 +317,8 @@
     published = catalogue(services=catalogue().services | {"model": service})
 
     async def scenario(fleet):
-        answer = await draft("r-1")
-        assert answer.status == 200
+        response = await draft("r-1")
+        assert response.status == 200
         log_lines = lines(fleet, "model_without_price")
         assert log_lines[0]["models"] == ["large"]
 
@@ -332,8 +334,8 @@
     async def scenario(fleet):
         for server in fleet.endpoints.values():
             server.behaviour.confidence = {"small": 4000, "large": -3}
-        answer = await draft("r-1")
-        assert answer.status == 200
+        response = await draft("r-1")
+        assert response.status == 200
         assert lines(fleet, "confidence_unreadable")
         beliefs = fleet.gateways["gateway-0"].gateway.confidences("model")
         assert beliefs.qualities == {}
@@ -353,8 +355,8 @@
         fleet.endpoints["model-0"].behaviour.full = True
         fleet.endpoints["model-1"].behaviour.confidence = {"small": 5, "large": 95}
         for number in range(6):
-            answer = await draft(f"r-{number}", key=f"k{number}")
-            assert answer.status == 200
+            response = await draft(f"r-{number}", key=f"k{number}")
+            assert response.status == 200
             arrivals = [a for a in fleet.arrivals if a.request_id == f"r-{number}"]
             refused = [a for a in arrivals if a.instance == "model-0"]
             assert len(refused) <= 1
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -74,13 +74,13 @@
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
         await send_lookups(fleet, CONTACT_S, 60, gateways)
         now_s = asyncio.get_running_loop().time()
-        answers = await send_lookups(fleet, 12.0, 60, gateways, number=1000)
+        responses = await send_lookups(fleet, 12.0, 60, gateways, number=1000)
         arrivals = [
             a.at_s for a in fleet.arrivals if a.instance == "app-0" and a.at_s > now_s
         ]
         allowed = OVERAGE * LIMIT_PER_S * WINDOW_S + EXTRA
         assert max_in_window(arrivals) <= allowed
-        assert {answer.status for answer in answers} == {200}
+        assert {response.status for response in responses} == {200}
 
     run_fleet(scenario, gateways=gateways, apps=4, models=0)
 
