--- a/acaciacove/gateway/attempt_outcome.py
+++ b/acaciacove/gateway/attempt_outcome.py
@@ -4,7 +4,7 @@
 
 
 class AttemptOutcome(Enum):
-    """Outcomes, told apart by whether the endpoint may have run the request.
+    """Outcomes, distinguished by whether the endpoint may have run the request.
 
     ``DELIVERED``: the caller has the complete response. ``NOT_SENT``: no byte was sent.
     ``NOT_RUN``: the endpoint refused the request without running it. ``FAILED``: a
--- a/acaciacove/gateway/choice/endpoint_health.py
+++ b/acaciacove/gateway/choice/endpoint_health.py
@@ -1,4 +1,4 @@
-"""Health of one endpoint, as seen in this gateway's own traffic."""
+"""Health of one endpoint, as seen in this gateway's traffic to it."""
 
 from attrs import define
 
--- a/acaciacove/gateway/choice/share_of.py
+++ b/acaciacove/gateway/choice/share_of.py
@@ -14,9 +14,9 @@
 ) -> int:
     """Return a gateway's share of ``total``; all shares add up to exactly ``total``.
 
-    A hash with ``subject_hash``, a 64-bit number, decides which gateways get the
-    remainder. With many gateways, each has a share at some endpoints and none at most
-    others.
+    The hash of a gateway's name, combined with the 64-bit ``subject_hash``, decides
+    which gateways get the remainder. With many gateways, each has a share at some
+    endpoints and none at most others.
     """
     all_gateways = gateways | {gateway}
     share, remainder = divmod(total, len(all_gateways))
--- a/acaciacove/gateway/choose_model.py
+++ b/acaciacove/gateway/choose_model.py
@@ -91,7 +91,7 @@
     model: str,
     larger: tuple[str, ...],
 ) -> str | None:
-    """Return a larger model to explore, or None, which is most frequent."""
+    """Return a larger model to explore, or None, as in most cases."""
     for name in larger[:-1]:
         is_known = calibration.offset(model, name).pairs >= MIN_EXPLORED_PAIRS
         share = LATE_EXPLORATION_SHARE if is_known else EXPLORATION_SHARE
@@ -131,7 +131,7 @@
 
     It is the geometric mean of two rough estimates: the operator's setting, and a
     multiple of the highest price, since nobody offers a model that costs about as much
-    as its responses are worth. The mean stays close where one of the two is close.
+    as its responses are worth. The mean is not far off even where one of the two is.
     """
     setting = gateway.settings.answer_value_per_1k_tokens
     max_price = max(service.model_costs.values(), default=0.0)
