--- a/acaciacove/gateway/attempt.py
+++ b/acaciacove/gateway/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a request at one endpoint."""
+"""One attempt to serve a request at one endpoint."""
 
 import asyncio
 from collections.abc import Iterator
@@ -26,19 +26,19 @@
 from acaciacove.gateway.response_summary import ResponseSummary
 from acaciacove.gateway.usable_endpoints import cold_share
 
-# Connections within a region are made in a few milliseconds; one that takes this
-# long goes to a machine that is gone.
+# Connections within a region are made in a few milliseconds. One that takes this long
+# goes to a machine that no longer exists.
 CONNECT_TIMEOUT_S = 0.4
-# Whole answers up to this size are read before they are passed on, which lets a
-# broken one be asked for again unnoticed; larger ones flow through.
+# Responses up to this size that are not streamed are buffered, so that a broken one can
+# be retried without the caller seeing it. Larger ones fail.
 MAX_BUFFERED_BYTES = 65_536
-# A first attempt that may be followed by another waits this many latency targets,
-# and at least this long, for the head of its answer.
+# While a retry is possible, the response head must arrive within this many latency
+# targets. The timeout is never below ``MIN_HEAD_TIMEOUT_S``.
 HEAD_TIMEOUT_TARGETS = 1.5
 MIN_HEAD_TIMEOUT_S = 0.35
-# The same for the pause between two events of a stream that may be resumed.
+# Timeout between two events of a stream that may be resumed.
 EVENT_TIMEOUT_S = 2.5
-SERVER_ERROR = 500
+SERVER_ERROR_STATUS = 500
 
 
 async def attempt(
@@ -49,10 +49,10 @@
     may_retry: bool,
     may_escalate: bool,
 ) -> AttemptOutcome:
-    """Send the request to an endpoint and pass its answer on.
+    """Send the request to an endpoint and forward its response.
 
-    ``may_retry`` tells that another attempt could follow, ``may_escalate`` that
-    a doubtful answer could be asked of a larger model.
+    ``may_retry`` means that another attempt may follow, ``may_escalate`` that a
+    response of low confidence may be replaced by one of a larger model.
     """
     exchange = Exchange(gateway, context, state)
     try:
@@ -94,7 +94,7 @@
 def _track_in_flight(
     gateway: Gateway, context: RequestContext, state: EndpointState
 ) -> Iterator[None]:
-    """Count the request at the endpoint, and at the old version of a roll-out."""
+    """Count the request in flight, at the endpoint and for a roll-out's old version."""
     progress = gateway.rollouts.get(context.service.name)
     is_old = progress is not None and state.endpoint.version != progress.order.target
     state.load.in_flight += 1
@@ -112,7 +112,7 @@
 def _reserve_limits(
     gateway: Gateway, context: RequestContext, state: EndpointState
 ) -> Iterator[None]:
-    """Keep the request's place in the limits while its connection is made."""
+    """Reserve a place in the limits for the request while its connection is made."""
     progress = gateway.rollouts.get(context.service.name)
     is_target = progress is not None and state.endpoint.version == progress.order.target
     state.cold_limiter.reserve()
@@ -132,7 +132,7 @@
     gateway: Gateway, context: RequestContext, state: EndpointState
 ) -> None:
     now_s = asyncio.get_running_loop().time()
-    context.sent += 1
+    context.sent_count += 1
     context.tried_instances.add(state.endpoint.instance)
     context.trail.append(f"{state.endpoint.instance}@{state.endpoint.version}")
     service = context.service.name
@@ -177,7 +177,7 @@
     may_retry: bool,
     may_escalate: bool,
 ) -> AttemptOutcome:
-    """Read the head and decide what becomes of the answer."""
+    """Read the response head and decide how the response is processed."""
     async with asyncio.timeout(_head_timeout_s(context, may_retry)):
         head = await exchange.read_head()
     state = exchange.state
@@ -195,16 +195,16 @@
         exchange.record_first_chunk(now_s)
     if head.not_run:
         await exchange.read_body(MAX_BUFFERED_BYTES)
-        # Refusals come at once and leave nothing under way: an endpoint that refuses
-        # everything would look idle, and get every request first.
+        # Refusals come at once and leave no request in flight. An endpoint that refuses
+        # everything would look idle and be chosen first each time.
         context.refused_by.add(state.endpoint.instance)
         _record_failure(gateway, state, AttemptOutcome.NOT_RUN, "refused")
         return AttemptOutcome.NOT_RUN
     if not head.is_success or not head.has_receipt or head.encoded:
         return await _read_failure(gateway, context, exchange, head)
-    told = learn_confidence(gateway, context, state, head)
-    if told is not None and may_escalate:
-        context.next_model = choose_next_model(gateway, context, told, now_s)
+    confidence = learn_confidence(gateway, context, state, head)
+    if confidence is not None and may_escalate:
+        context.next_model = choose_next_model(gateway, context, confidence, now_s)
     if context.next_model is not None:
         _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
         gateway.metrics.count(Metric.CASCADE, _size_label(context), "no")
@@ -217,7 +217,7 @@
 def _update_limit(
     gateway: Gateway, exchange: Exchange, head: ResponseHead, now_s: float
 ) -> None:
-    """Take the endpoint's word on how many requests it takes."""
+    """Apply the rate limit that the response states, or its absence."""
     state = exchange.state
     if state.stated_limit.apply_response(
         head.rate_limit_per_s, exchange.sent_at_s, now_s
@@ -240,7 +240,7 @@
 
 
 def _head_timeout_s(context: RequestContext, may_retry: bool) -> float | None:
-    """Bound the silence of an endpoint when another could still serve."""
+    """Return the timeout for the response head, None where no retry is possible."""
     if not may_retry or not context.route.may_repeat:
         return None
     return max(
@@ -251,7 +251,7 @@
 def _record_result(
     gateway: Gateway, exchange: Exchange, failed: bool, first_chunk_s: float | None
 ) -> None:
-    """Count an answer for the endpoint's health and for a roll-out's evidence."""
+    """Record a result for the endpoint's health and as evidence for a roll-out."""
     state = exchange.state
     if failed:
         _record_failure(gateway, state, AttemptOutcome.FAILED, "failure answer")
@@ -263,8 +263,8 @@
 async def _read_failure(
     gateway: Gateway, context: RequestContext, exchange: Exchange, head: ResponseHead
 ) -> AttemptOutcome:
-    """Keep a complete failure of an endpoint; it may become the final answer."""
-    is_endpoint_failure = head.status >= SERVER_ERROR or head.is_success
+    """Read a complete failure response; it may become the final response."""
+    is_endpoint_failure = head.status >= SERVER_ERROR_STATUS or head.is_success
     if is_endpoint_failure:
         _record_result(gateway, exchange, True, None)
     body = await exchange.read_body(MAX_BUFFERED_BYTES)
@@ -281,11 +281,14 @@
     head: ResponseHead,
     front: FrontConnection,
 ) -> AttemptOutcome:
-    """Pass a whole answer on once all of it is here."""
+    """Forward a response once it has been read completely."""
     body = await exchange.read_body(MAX_BUFFERED_BYTES)
     now_s = asyncio.get_running_loop().time()
     if body is None:
-        raise InvalidResponseError("the answer is larger than this gateway passes on")
+        raise InvalidResponseError(
+            f"response from {exchange.state.endpoint.instance} is not streamed"
+            f" and exceeds {MAX_BUFFERED_BYTES} bytes"
+        )
     _record_result(gateway, exchange, False, now_s - exchange.sent_at_s)
     context.first_chunk_s = now_s
     exchange.close()
@@ -303,10 +306,10 @@
     front: FrontConnection,
     may_retry: bool,
 ) -> AttemptOutcome:
-    """Pass events on as they come, whole ones only.
+    """Forward complete events as they arrive.
 
-    The caller's head goes out with the first event, so that an answer which
-    breaks before it can still be asked for elsewhere unnoticed.
+    The response head is sent with the first event, so that a stream that breaks before
+    it can be retried at another endpoint without the caller seeing it.
     """
     splitter = EventSplitter()
     may_resume = may_retry and context.route.may_repeat
@@ -315,8 +318,8 @@
             data = await exchange.next_data()
         if data is None:
             break
-        whole = splitter.push(data)
-        if not whole:
+        events = splitter.push(data)
+        if not events:
             continue
         if not context.events_delivered:
             now_s = asyncio.get_running_loop().time()
@@ -328,7 +331,7 @@
             _count_model_size(gateway, context)
             _start_stream(front, head)
             context.events_delivered = True
-        await front.write(whole)
+        await front.write(events)
         context.last_event_id = splitter.last_id or context.last_event_id
     if not context.events_delivered:
         _start_stream(front, head)
@@ -340,18 +343,18 @@
 
 
 def _count_model_size(gateway: Gateway, context: RequestContext) -> None:
-    """Count an answer of a model size that its caller gets."""
+    """Count a delivered response by its model size."""
     if context.route.model_sizes:
         gateway.metrics.count(Metric.CASCADE, _size_label(context), "yes")
 
 
 def _size_label(context: RequestContext) -> str:
-    """Return the place of the model among the route's sizes, 0 the smallest."""
+    """Return the index of the model among the route's sizes, 0 being the smallest."""
     sizes = context.route.model_sizes
     return str(sizes.index(context.model)) if context.model in sizes else "caller's"
 
 
 def _start_stream(front: FrontConnection, head: ResponseHead) -> None:
-    """Send the head; the stream's length is left open, as it may be resumed."""
+    """Send the head without a content length, since the stream may be resumed."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
     front.start_response(head.status, head.reason, headers)
--- a/acaciacove/gateway/choice/session_versions.py
+++ b/acaciacove/gateway/choice/session_versions.py
@@ -1,37 +1,37 @@
-"""Which version each session is on."""
+"""Remembers the service version of each session."""
 
 from collections import OrderedDict
 
-# Sessions that one gateway remembers; the oldest is forgotten first. One costs
-# about 250 bytes, so the table stays under 3 MB.
+# Sessions that one gateway remembers; the oldest is evicted first. One takes about 250
+# bytes, so the table stays below 3 MB.
 MAX_SESSIONS = 10_000
 
 
 # A session's requests reach other gateways too, so one that has been idle here may
-# be alive: it is remembered for this many lives.
+# still be active. Its entry is retained for this many lifetimes.
 RETAINED_LIFETIMES = 4.0
 
 
 class SessionVersions:
-    """Remembers the version of each session that may still be alive.
+    """Versions of sessions that may still be active.
 
-    ``lifetime_s`` is how long a session is idle before it has ended.
+    ``lifetime_s`` is the idle time after which a session has ended.
     """
 
     def __init__(self, lifetime_s: float) -> None:
-        """Begin without sessions."""
+        """Start without sessions."""
         self.lifetime_s = lifetime_s
         self._sessions: OrderedDict[tuple[str, str], tuple[str, float]] = OrderedDict()
 
     def get(self, service: str, session: str, now_s: float) -> str | None:
-        """Return the version that the session is on."""
-        known = self._sessions.get((service, session))
-        if known is None or now_s - known[1] > RETAINED_LIFETIMES * self.lifetime_s:
+        """Return the version that the session uses, None if unknown or expired."""
+        entry = self._sessions.get((service, session))
+        if entry is None or now_s - entry[1] > RETAINED_LIFETIMES * self.lifetime_s:
             return None
-        return known[0]
+        return entry[0]
 
     def put(self, service: str, session: str, version: str, now_s: float) -> None:
-        """Note that the session has just used a version."""
+        """Record that the session has just used a version."""
         key = (service, session)
         self._sessions.pop(key, None)
         self._sessions[key] = (version, now_s)
--- a/acaciacove/gateway/choice/share_of.py
+++ b/acaciacove/gateway/choice/share_of.py
@@ -1,10 +1,10 @@
-"""Splits a bound that holds over all gateways into whole requests of each."""
+"""Splits a limit that holds for all gateways into whole requests per gateway."""
 
 from functools import lru_cache
 
 from acaciacove.gateway.choice.stable_hash import mix_bits, stable_hash
 
-# Names whose hash is kept.
+# Bound on cached name hashes.
 MAX_CACHED_NAMES = 4096
 HASH_BITS = 64
 
@@ -12,29 +12,29 @@
 def share_of(
     total: int, subject_hash: int, gateway: str, gateways: frozenset[str]
 ) -> int:
-    """Return a gateway's part of ``total``; the parts of all add up to just that.
+    """Return a gateway's share of ``total``; all shares add up to exactly ``total``.
 
-    A hash with the ``subject_hash``, a number of 64 bits, decides who gets those that
-    do not split evenly: with many gateways most have none at one endpoint, and some at
-    another.
+    The hash of a gateway's name, combined with the 64-bit ``subject_hash``, decides
+    which gateways get the remainder. With many gateways, each has a share at some
+    endpoints and none at most others.
     """
     all_gateways = gateways | {gateway}
-    whole, rest = divmod(total, len(all_gateways))
-    if not rest:
-        return whole
-    own = mix_bits(subject_hash ^ name_hash(gateway))
-    before = sum(
-        mix_bits(subject_hash ^ name_hash(name)) < own for name in all_gateways
+    share, remainder = divmod(total, len(all_gateways))
+    if not remainder:
+        return share
+    local_hash = mix_bits(subject_hash ^ name_hash(gateway))
+    rank = sum(
+        mix_bits(subject_hash ^ name_hash(name)) < local_hash for name in all_gateways
     )
-    return whole + (before < rest)
+    return share + (rank < remainder)
 
 
-def is_drawn(rest: int, count: int, pair: int) -> bool:
-    """Tell whether a pair is among the ``rest`` of ``count`` that get one more."""
-    return mix_bits(pair) * count < rest << HASH_BITS
+def is_drawn(remainder: int, count: int, pair: int) -> bool:
+    """Return whether a pair is among the ``remainder`` of ``count`` with one more."""
+    return mix_bits(pair) * count < remainder << HASH_BITS
 
 
 @lru_cache(MAX_CACHED_NAMES)
 def name_hash(name: str) -> int:
-    """Return a number of 64 bits that stands for a gateway's name."""
+    """Return a 64-bit hash of a gateway's name."""
     return int.from_bytes(stable_hash(name))
--- a/acaciacove/gateway/choose_endpoint.py
+++ b/acaciacove/gateway/choose_endpoint.py
@@ -8,15 +8,16 @@
 from acaciacove.gateway.request_context import RequestContext
 from acaciacove.gateway.usable_endpoints import usable_endpoints
 
-# Endpoints whose costs are compared for one prompt: more would take milliseconds of
-# each request, and the best of so many is hardly worse than the best of all.
+# Bound on the endpoints whose costs are compared for one prompt. Comparing more takes
+# milliseconds per request, and the best of a sample this large is hardly worse than the
+# best of all.
 MAX_COMPARED = 48
 
 
 def choose_endpoint(
     gateway: Gateway, context: RequestContext, now_s: float
 ) -> EndpointState | None:
-    """Return the endpoint with the least cost, or None where none may be used."""
+    """Return the endpoint of the lowest cost, or None where none may be used."""
     states = usable_endpoints(gateway, context, now_s)
     if not states:
         return None
@@ -33,7 +34,7 @@
     states: list[EndpointState],
     now_s: float,
 ) -> EndpointState:
-    """Return the endpoint whose first piece is expected soonest, other things equal."""
+    """Return the endpoint with the lowest prompt cost among those compared."""
     preferred = preferred_endpoint(prompt.shared_key or "", context.model, states)
     compared = _sample(gateway, states, preferred)
     return min(
@@ -44,7 +45,7 @@
 def _sample(
     gateway: Gateway, states: list[EndpointState], preferred: EndpointState
 ) -> list[EndpointState]:
-    """Return all endpoints of a small service, of a large one the home and a draw."""
+    """Return all endpoints of a small service, else a sample with the preferred one."""
     if len(states) <= MAX_COMPARED:
         return states
     drawn = gateway.random.sample(states, MAX_COMPARED)
--- a/acaciacove/gateway/choose_model.py
+++ b/acaciacove/gateway/choose_model.py
@@ -1,4 +1,4 @@
-"""Which model is asked for a request: the first one, and a larger one after it."""
+"""Choice of the model for a request: the first one, and a larger one to escalate to."""
 
 from math import sqrt
 
@@ -24,41 +24,42 @@
 from acaciacove.gateway.log_events import Event
 from acaciacove.gateway.request_context import RequestContext
 
-# How many times the dearest model's price its good answers are taken to be worth.
+# The value of a good response, as a multiple of the highest model price.
 VALUE_PER_MAX_PRICE = 5.0
-# Of a prompt's shared parts, what is taken to be unread at the endpoint that will be
-# chosen for it.
+# Share of a prompt's shared parts that is assumed not to be cached at the endpoint that
+# will be chosen for it.
 UNCACHED_SHARE = 0.3
-# A larger model of which little is known is asked in place of the best one this often,
-# until this many pairs of answers have shown how good it is, and seldom from then on.
+# A larger model with fewer pairs of responses than this is explored in place of the
+# best one for ``EXPLORATION_SHARE`` of the requests. Once its quality is known, the
+# share is ``LATE_EXPLORATION_SHARE``.
 MIN_EXPLORED_PAIRS = 6
 EXPLORATION_SHARE = 0.15
 LATE_EXPLORATION_SHARE = 0.01
-# Nothing is asked to learn from it where a second of work delays more requests than
-# this: what is learnt would be paid for by those behind it.
+# Nothing is explored where one second of work delays more requests than this: the
+# requests behind it would pay for what is learnt.
 MAX_EXPLORATION_DELAYED_PER_S = 0.5
 
 
 def choose_first_model(gateway: Gateway, context: RequestContext, now_s: float) -> str:
     """Return the model that a request is sent to first.
 
-    Queues are left out of this choice. To save a wait, a busy service would be asked
-    for its largest model at once, also for what the smallest answers well, and would
-    get the busier.
+    Queue waits are left out of this choice. Otherwise a busy service would be sent
+    requests for its largest model at once to save a wait, also those that the smallest
+    model serves well, and would become busier still.
     """
     options = _model_options(gateway, context, context.route.model_sizes, wait_s=0.0)
-    may_go_on = context.route.may_repeat and context.route.max_attempts > 1
-    beliefs = gateway.confidences(context.service.name)
-    moment = LatencyContext(
+    may_escalate = context.route.may_repeat and context.route.max_attempts > 1
+    calibration = gateway.confidences(context.service.name)
+    latency = LatencyContext(
         now_s - context.request.arrived_s, context.route.latency_target_s
     )
-    return first_model(options, beliefs, moment, may_go_on)
+    return first_model(options, calibration, latency, may_escalate)
 
 
 def choose_next_model(
     gateway: Gateway, context: RequestContext, confidence: float, now_s: float
 ) -> str | None:
-    """Return the model to ask after an answer, or None where the answer is to stay."""
+    """Return the model to escalate to, or None where the response is to be kept."""
     sizes = context.route.model_sizes
     model = context.model
     if model not in sizes or model == sizes[-1]:
@@ -67,32 +68,32 @@
     larger = sizes[sizes.index(model) + 1 :]
     queues = _queue_waits(gateway, context, now_s)
     options = _model_options(gateway, context, larger, queues.min_s)
-    beliefs = gateway.confidences(context.service.name)
+    calibration = gateway.confidences(context.service.name)
     for option in options:
-        beliefs.offset(model, option.name, option.is_largest)
-    moment = _moment(gateway, context, queues, now_s)
+        calibration.offset(model, option.name, option.is_largest)
+    latency = _latency_context(gateway, context, queues, now_s)
     chosen = next_model(
         model,
         confidence,
         options,
-        beliefs,
-        moment,
-        may_escalate_twice=context.sent + 2 <= context.route.max_attempts,
+        calibration,
+        latency,
+        may_escalate_twice=context.sent_count + 2 <= context.route.max_attempts,
     )
-    if chosen is None or moment.delayed_per_s > MAX_EXPLORATION_DELAYED_PER_S:
+    if chosen is None or latency.delayed_per_s > MAX_EXPLORATION_DELAYED_PER_S:
         return chosen
-    return _explore(gateway, beliefs, model, larger) or chosen
+    return _explore(gateway, calibration, model, larger) or chosen
 
 
 def _explore(
     gateway: Gateway,
-    beliefs: ConfidenceCalibration,
+    calibration: ConfidenceCalibration,
     model: str,
     larger: tuple[str, ...],
 ) -> str | None:
-    """Return a model that is asked to learn of it, most often none."""
+    """Return a larger model to explore, or None, as in most cases."""
     for name in larger[:-1]:
-        is_known = beliefs.offset(model, name).pairs >= MIN_EXPLORED_PAIRS
+        is_known = calibration.offset(model, name).pairs >= MIN_EXPLORED_PAIRS
         share = LATE_EXPLORATION_SHARE if is_known else EXPLORATION_SHARE
         if gateway.random.random() < share:
             return name
@@ -102,46 +103,46 @@
 def learn_confidence(
     gateway: Gateway, context: RequestContext, state: EndpointState, head: ResponseHead
 ) -> float | None:
-    """Learn from the opinion that came with a head; returns it if it can be used."""
-    told = head.confidence
+    """Record the confidence of a response head; return it if it is usable."""
+    confidence = head.confidence
     sizes = context.route.model_sizes
-    if told is None or context.model not in sizes:
+    if confidence is None or context.model not in sizes:
         return None
-    if not MIN_CONFIDENCE <= told <= MAX_CONFIDENCE:
+    if not MIN_CONFIDENCE <= confidence <= MAX_CONFIDENCE:
         gateway.log.write(
             Event.CONFIDENCE_UNREADABLE,
             endpoint=state.endpoint.instance,
-            confidence=told,
+            confidence=confidence,
         )
         return None
     assert context.model is not None
-    beliefs = gateway.confidences(context.service.name)
+    calibration = gateway.confidences(context.service.name)
     if not context.confidences:
-        beliefs.learn_answer(context.model, context.model == sizes[-1], told)
-    for model, earlier in context.confidences.items():
+        calibration.learn_answer(context.model, context.model == sizes[-1], confidence)
+    for model, earlier_confidence in context.confidences.items():
         if sizes.index(model) < sizes.index(context.model):
-            beliefs.learn_pair(model, earlier, context.model, told)
-    context.confidences[context.model] = told
-    return told
+            calibration.learn_pair(model, earlier_confidence, context.model, confidence)
+    context.confidences[context.model] = confidence
+    return confidence
 
 
-def _answer_value(gateway: Gateway, service: Service) -> float:
-    """Return what a good answer is worth for 1,000 tokens, in the prices' unit.
+def _response_value(gateway: Gateway, service: Service) -> float:
+    """Return the value of a good response for 1,000 tokens, in the unit of prices.
 
-    Two estimates, each of them rough: the operator's setting, and the catalogue, since
-    nobody offers a model that costs about what its answers are worth. Their geometric
-    mean is never far off where one of them is.
+    It is the geometric mean of two rough estimates: the operator's setting, and a
+    multiple of the highest price, since nobody offers a model that costs about as much
+    as its responses are worth. The mean is not far off even where one of the two is.
     """
-    told = gateway.settings.answer_value_per_1k_tokens
-    dearest = max(service.model_costs.values(), default=0.0)
-    if dearest <= 0.0:
-        return told
-    return sqrt(told * VALUE_PER_MAX_PRICE * dearest)
+    setting = gateway.settings.answer_value_per_1k_tokens
+    max_price = max(service.model_costs.values(), default=0.0)
+    if max_price <= 0.0:
+        return setting
+    return sqrt(setting * VALUE_PER_MAX_PRICE * max_price)
 
 
 @frozen
 class _QueueWaits:
-    """Queues before a service's endpoints: the mean wait and the least one."""
+    """Estimated queue waits of a service's endpoints: the mean and the minimum."""
 
     endpoints: int
     mean_s: float
@@ -168,7 +169,7 @@
     return _QueueWaits(len(endpoints), sum(waits_s) / len(waits_s), min(waits_s))
 
 
-def _moment(
+def _latency_context(
     gateway: Gateway, context: RequestContext, queues: _QueueWaits, now_s: float
 ) -> LatencyContext:
     sent_per_s = gateway.sent_per_s(context.service.name, now_s) * gateway.gateway_count
@@ -184,25 +185,25 @@
     gateway: Gateway, context: RequestContext, models: tuple[str, ...], wait_s: float
 ) -> list[ModelOption]:
     prompt = context.request.hints.prompt
-    unread = 0.0
+    uncached = 0.0
     if prompt is not None:
-        own = prompt.parts[-1][1] if prompt.parts else prompt.input_tokens
-        shared = max(0, prompt.input_tokens - own)
-        unread = own + UNCACHED_SHARE * shared
-    value = _answer_value(gateway, context.service)
-    found = []
-    work_s = 0.0
+        own_tokens = prompt.parts[-1][1] if prompt.parts else prompt.input_tokens
+        shared_tokens = max(0, prompt.input_tokens - own_tokens)
+        uncached = own_tokens + UNCACHED_SHARE * shared_tokens
+    value = _response_value(gateway, context.service)
+    options = []
+    prefill_s = 0.0
     for name in models:
-        pace = gateway.prefill_latency(context.service.name, name)
-        # A larger model is never faster, whatever the last few answers say.
-        work_s = max(work_s, pace.predict_s(unread))
-        found.append(
+        prefill = gateway.prefill_latency(context.service.name, name)
+        # A larger model is never faster, whatever the last few measurements say.
+        prefill_s = max(prefill_s, prefill.predict_s(uncached))
+        options.append(
             ModelOption(
                 name=name,
                 is_largest=name == context.route.model_sizes[-1],
                 price=context.service.model_costs.get(name, 0.0) / value,
-                first_chunk_s=wait_s + work_s,
-                work_s=work_s,
+                first_chunk_s=wait_s + prefill_s,
+                work_s=prefill_s,
             )
         )
-    return found
+    return options
--- a/acaciacove/gateway/choose_version.py
+++ b/acaciacove/gateway/choose_version.py
@@ -1,4 +1,4 @@
-"""Which versions of a service a request may meet while a roll-out is under way."""
+"""Filters a request's endpoints by service version during a roll-out."""
 
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.choice.stable_hash import SIZE_BYTES, stable_hash
@@ -18,7 +18,7 @@
 def filter_by_version(
     gateway: Gateway, context: RequestContext, endpoints: list[Endpoint], now_s: float
 ) -> list[Endpoint]:
-    """Leave the endpoints of the version that this request is to meet."""
+    """Return the endpoints whose version may serve this request."""
     service = context.service.name
     order = gateway.view.orders.get(service)
     if order is None:
@@ -34,10 +34,10 @@
     progress = gateway.rollouts.get(service)
     if progress is None or progress.phase is RolloutPhase.STOPPED:
         return old
-    return _by_share(gateway, context, progress, old, target, now_s)
+    return _split_by_share(gateway, context, progress, old, target, now_s)
 
 
-def _by_share(
+def _split_by_share(
     gateway: Gateway,
     context: RequestContext,
     progress: RolloutProgress,
@@ -45,22 +45,22 @@
     target: list[Endpoint],
     now_s: float,
 ) -> list[Endpoint]:
-    """Let sessions stay where they are, and draw the version of new ones.
+    """Keep sessions on their version, and draw the version of other requests.
 
-    The draw is a hash of the session, so all gateways draw alike.
+    The draw is a hash of the session or request id, so all gateways draw alike.
     """
     if not target:
         return old
     if not old:
         return _without_old_endpoints(gateway, progress, target)
-    known = None
+    version = None
     if context.session is not None:
-        known = gateway.sessions.get(context.service.name, context.session, now_s)
-    is_known = known == progress.order.target
-    if not is_known and not _is_drawn_for_target(gateway, context, progress, now_s):
+        version = gateway.sessions.get(context.service.name, context.session, now_s)
+    is_on_target = version == progress.order.target
+    if not is_on_target and not _is_drawn_for_target(gateway, context, progress, now_s):
         return old
     allowed = may_send_to_target(
-        progress, gateway.rollout_settings, gateway.gateway_count, is_known
+        progress, gateway.rollout_settings, gateway.gateway_count, is_on_target
     )
     return target if allowed else old
 
@@ -68,10 +68,11 @@
 def _without_old_endpoints(
     gateway: Gateway, progress: RolloutProgress, target: list[Endpoint]
 ) -> list[Endpoint]:
-    """Return what may serve while no endpoint of the old version may.
+    """Return the endpoints to use while none of the old version may be used.
 
-    If none is left at all, the new version is all there is. If the old ones are
-    only kept from serving for now, the new one serves as far as its exposure goes.
+    If the old version has no endpoint left, the target version serves everything. If
+    its endpoints are only unusable for now, the target version serves up to its
+    exposure limit.
     """
     order = progress.order
     if not any(
@@ -88,13 +89,13 @@
 def _is_drawn_for_target(
     gateway: Gateway, context: RequestContext, progress: RolloutProgress, now_s: float
 ) -> bool:
-    """Tell whether a request that is not on the new version goes there now."""
-    drawn = context.session or context.request.hints.request_id or ""
+    """Return whether a request that is not on the target version is moved to it."""
+    subject = context.session or context.request.hints.request_id or ""
     has_session = context.session is not None
     share = target_share(progress, gateway.rollout_settings, has_session, now_s)
-    return unit_hash(f"{progress.order.revision}/{drawn}") < share
+    return unit_hash(f"{progress.order.revision}/{subject}") < share
 
 
 def unit_hash(text: str) -> float:
-    """Return a number from 0 to 1 that is the same in every process."""
+    """Return a number from 0 to 1 that depends on the text alone."""
     return int.from_bytes(stable_hash(text)) / HASH_RANGE
--- a/acaciacove/gateway/endpoint_cost.py
+++ b/acaciacove/gateway/endpoint_cost.py
@@ -1,4 +1,4 @@
-"""What sending a request to an endpoint costs, by waits, reading and distance."""
+"""Cost of sending a request to an endpoint: waits, prefill, load and distance."""
 
 from collections.abc import Callable
 
@@ -11,7 +11,7 @@
 from acaciacove.gateway.request_context import RequestContext
 from acaciacove.gateway.usable_endpoints import is_suspect
 
-# What each failure in a row counts for beside requests under way.
+# Each consecutive failure counts as this many more requests in flight.
 REQUESTS_PER_FAILURE = 2.0
 MS = 1000.0
 TOKENS_PER_1K = 1000.0
@@ -20,15 +20,17 @@
 def load_cost(
     gateway: Gateway, state: EndpointState, now_s: float
 ) -> tuple[float, float]:
-    """Return the cost at a plain service, in requests, with a draw to settle ties."""
-    is_near = state.endpoint.availability_zone == gateway.settings.availability_zone
-    zone = 0.0 if is_near else gateway.choice.other_zone_requests
+    """Return the load cost at an endpoint in requests, and a random tie-breaker."""
+    in_local_zone = (
+        state.endpoint.availability_zone == gateway.settings.availability_zone
+    )
+    zone = 0.0 if in_local_zone else gateway.choice.other_zone_requests
     load = state.load.estimate(now_s) + _health_penalty(gateway, state, now_s)
     return (load + zone, gateway.random.random())
 
 
 def _health_penalty(gateway: Gateway, state: EndpointState, now_s: float) -> float:
-    """Return how many requests an endpoint's doubtful health counts for."""
+    """Return the number of requests that an endpoint's poor health counts for."""
     failures = REQUESTS_PER_FAILURE * state.health.consecutive_failures
     if is_suspect(state, now_s):
         return gateway.choice.suspect_requests + failures
@@ -43,28 +45,30 @@
     preferred: EndpointState,
     now_s: float,
 ) -> Callable[[EndpointState], float]:
-    """Return what a prompt costs at an endpoint, in seconds of waiting.
+    """Return a function for the cost of a prompt at an endpoint, in seconds.
 
-    ``preferred`` is the endpoint that all gateways prefer for the prompt's shared
-    parts.
+    All gateways prefer the endpoint ``preferred`` for the prompt's shared parts.
     """
     choice = gateway.choice
-    own_zone = gateway.settings.availability_zone
+    local_zone = gateway.settings.availability_zone
     baseline_load = baseline_peer_requests((state.load for state in states), now_s)
     baseline_s = baseline_wait_s((state.backlog for state in states), now_s)
     keys = prefix_keys(prompt, context.model)
-    pace = gateway.prefill_latency(context.service.name, context.model)
-    memory_s = choice.memory_ms_per_1k / MS / TOKENS_PER_1K
+    prefill = gateway.prefill_latency(context.service.name, context.model)
+    displacement_s_per_token = choice.memory_ms_per_1k / MS / TOKENS_PER_1K
 
     def cost_s(state: EndpointState) -> float:
-        home_share = choice.home_share if state is preferred else 0.0
-        tokens = uncached_tokens(state, prompt, keys, home_share)
-        reading_s = choice.reading_weight * pace.predict_s(tokens) + tokens * memory_s
+        expected_share = choice.home_share if state is preferred else 0.0
+        tokens = uncached_tokens(state, prompt, keys, expected_share)
+        prefill_s = (
+            choice.reading_weight * prefill.predict_s(tokens)
+            + tokens * displacement_s_per_token
+        )
         load = state.load.estimate(now_s, baseline_load)
         load += _health_penalty(gateway, state, now_s)
-        is_near = state.endpoint.availability_zone == own_zone
-        zone_ms = 0.0 if is_near else choice.other_zone_ms
+        in_local_zone = state.endpoint.availability_zone == local_zone
+        zone_ms = 0.0 if in_local_zone else choice.other_zone_ms
         other_s = (zone_ms + load * choice.request_ms) / MS
-        return state.backlog.wait_s(now_s, baseline_s) + reading_s + other_s
+        return state.backlog.wait_s(now_s, baseline_s) + prefill_s + other_s
 
     return cost_s
--- a/acaciacove/gateway/exchange.py
+++ b/acaciacove/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Sends one request to one endpoint and reads the head of its answer."""
+"""Sends one request to one endpoint and reads its response."""
 
 import asyncio
 from typing import Any
@@ -18,20 +18,21 @@
 from acaciacove.gateway.rollout.rollout_progress import RolloutProgress, kind_cell_name
 from acaciacove.messages.work_sent import WorkSent
 
-# Answers to earlier requests that are passed over on one connection before it is
-# given up.
+# Responses to earlier requests that are skipped on one connection before it is
+# abandoned.
 MAX_SKIPPED_RESPONSES = 3
 
 
 @define(eq=False)
 class Exchange:
-    """One request on its way at an endpoint.
-
-    ``uncached_tokens`` is what the endpoint has to read of the prompt, ``backlog_id``
-    names its first piece in the endpoint's queue. ``rollout`` is the roll-out that its
-    answer is evidence for, and ``evidence_id`` its number there. ``connection`` is None
-    before one is made. ``sent`` is set with the first byte: from then on the endpoint
-    may run the request. ``complete`` is set when the whole answer has been read.
+    """One request in progress at an endpoint.
+
+    ``uncached_tokens`` is the part of the prompt that the endpoint has to process, and
+    ``backlog_id`` identifies the request in the endpoint's backlog. ``rollout`` is the
+    roll-out that the response is evidence for, and ``evidence_id`` identifies the
+    request there. ``connection`` is None before one is made. ``sent`` is set before the
+    first byte is sent: from then on the endpoint may run the request. ``complete`` is
+    set when the complete response has been read.
     """
 
     gateway: Gateway
@@ -48,9 +49,9 @@
     evidence_id: int = 0
 
     async def open(self, timeout_s: float) -> None:
-        """Take a connection; raises ConnectFailedError."""
-        once = not self.context.route.may_repeat
-        self.connection = await self.state.pool.acquire(once, timeout_s)
+        """Acquire a connection; raises ConnectFailedError."""
+        non_idempotent = not self.context.route.may_repeat
+        self.connection = await self.state.pool.acquire(non_idempotent, timeout_s)
 
     def send(self) -> None:
         """Write the request; raises ConnectionLostError."""
@@ -80,16 +81,16 @@
         )
 
     def _enqueue(self, now_s: float) -> None:
-        """Note the request in the endpoint's queue, with what it has to read."""
+        """Add the request to the endpoint's backlog and gossip it to the peers."""
         prompt = self.context.request.hints.prompt
         if prompt is None:
             return
         gateway, context, state = self.gateway, self.context, self.state
         keys = prefix_keys(prompt, context.model)
         self.uncached_tokens = uncached_tokens(state, prompt, keys, 0.0)
-        pace = gateway.prefill_latency(context.service.name, context.model)
+        prefill = gateway.prefill_latency(context.service.name, context.model)
         self.backlog_id = gateway.next_exchange_number()
-        work_s = pace.predict_s(self.uncached_tokens)
+        work_s = prefill.predict_s(self.uncached_tokens)
         self.predicted_s = state.backlog.wait_s(now_s, 0.0) + work_s
         state.backlog.send(self.backlog_id, work_s, now_s)
         state.record_cached(keys)
@@ -97,12 +98,12 @@
         gateway.gossip_work(WorkSent(endpoint, work_s, keys), now_s)
 
     def record_first_chunk(self, now_s: float) -> None:
-        """Learn from the head of an answer how busy the endpoint is, and how fast."""
-        took_s = self.state.backlog.record_first_chunk(self.backlog_id, now_s)
-        if took_s is not None:
+        """Update backlog and prefill latency as the response head arrives."""
+        latency_s = self.state.backlog.record_first_chunk(self.backlog_id, now_s)
+        if latency_s is not None:
             context = self.context
-            pace = self.gateway.prefill_latency(context.service.name, context.model)
-            pace.learn(self.uncached_tokens, took_s)
+            prefill = self.gateway.prefill_latency(context.service.name, context.model)
+            prefill.learn(self.uncached_tokens, latency_s)
 
     def _register_evidence(self, now_s: float) -> None:
         context, endpoint = self.context, self.state.endpoint
@@ -116,15 +117,15 @@
             )
 
     def record_evidence(self, failed: bool, first_chunk_s: float | None) -> None:
-        """Count the answer as evidence on the version of a roll-out."""
+        """Record the response as evidence for a roll-out."""
         if self.rollout is not None:
             self.rollout.record_answer(self.evidence_id, failed, first_chunk_s)
 
     async def read_head(self) -> ResponseHead:
-        """Return the head of the answer to this request.
+        """Return the head of the response to this request.
 
-        An answer that bears another request's id is passed over: an endpoint may
-        send a second answer late, where the next one is expected.
+        A response with another request's id is skipped: an endpoint may send a second
+        response late, where the next one is expected.
         """
         assert self.connection is not None
         for _ in range(MAX_SKIPPED_RESPONSES + 1):
@@ -133,11 +134,15 @@
             head = self.gateway.dialect.read_response(
                 event.status_code, bytes(event.reason), headers
             )
-            own = self.context.request.hints.request_id
-            if own is None or head.request_id in (own, None):
+            request_id = self.context.request.hints.request_id
+            if request_id is None or head.request_id in (request_id, None):
                 return head
             await self.connection.skip_response()
-        raise InvalidResponseError("only answers to other requests")
+        raise InvalidResponseError(
+            f"expected a response to request {request_id}"
+            f" from {self.state.endpoint.instance},"
+            " got only responses to other requests"
+        )
 
     async def _next_final_response(self) -> h11.Response:
         assert self.connection is not None
@@ -146,11 +151,14 @@
             if isinstance(event, h11.InformationalResponse):
                 continue
             if not isinstance(event, h11.Response):
-                raise ConnectionLostError("no answer")
+                raise ConnectionLostError(
+                    f"expected a response head from {self.state.endpoint.instance},"
+                    f" got {type(event).__name__}"
+                )
             return event
 
     async def next_data(self) -> Any:
-        """Return the next h11.Data, or None at the complete end."""
+        """Return the next body data, or None at the end of the response."""
         assert self.connection is not None
         while True:
             event = await self.connection.next_response_event()
@@ -161,18 +169,18 @@
                 return bytes(event.data)
 
     async def read_body(self, limit_bytes: int) -> bytes | None:
-        """Return the whole body, or None when it is over the limit."""
-        pieces: list[bytes] = []
+        """Return the complete body, or None when it exceeds the limit."""
+        chunks: list[bytes] = []
         size = 0
         while (data := await self.next_data()) is not None:
-            pieces.append(data)
+            chunks.append(data)
             size += len(data)
             if size > limit_bytes:
                 return None
-        return b"".join(pieces)
+        return b"".join(chunks)
 
     def close(self) -> None:
-        """Give the connection back, or end it with whatever runs on it."""
+        """Release the connection, or close it if the response is not complete."""
         now_s = asyncio.get_running_loop().time()
         self.state.backlog.discard(self.backlog_id, now_s)
         if self.rollout is not None:
@@ -183,5 +191,5 @@
 
 
 def _has_body_framing(headers: tuple[tuple[bytes, bytes], ...]) -> bool:
-    """Tell whether the caller framed a body, if only an empty one."""
+    """Return whether the caller framed a body, even an empty one."""
     return any(n in (b"content-length", b"transfer-encoding") for n, _ in headers)
--- a/acaciacove/gateway/serve_request.py
+++ b/acaciacove/gateway/serve_request.py
@@ -1,4 +1,4 @@
-"""The story of one request, from its admission to its one log line."""
+"""Serves one request, from its admission to its log line."""
 
 import asyncio
 
@@ -21,11 +21,12 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# Endpoints that may refuse a request before it is given up, beside those that run
-# it: connections that cannot be made cost milliseconds, and nothing runs.
+# Bound on all attempts, including those that sent nothing. A connection that cannot be
+# made costs milliseconds and runs nothing, so it does not count against the route's
+# ``max_attempts``.
 MAX_ATTEMPTS = 6
-# When a caller that met only full endpoints may come back: a slot frees within
-# about a request's time.
+# Retry-After where all endpoints are full: a slot becomes free within about the
+# duration of a request.
 FULL_RETRY_AFTER_S = 0.4
 NO_ENDPOINT_RETRY_AFTER_S = 0.8
 MIN_RETRY_AFTER_S = 0.1
@@ -34,11 +35,11 @@
 async def serve_request(
     gateway: Gateway, request: CallerRequest, front: FrontConnection
 ) -> None:
-    """Answer one request, whatever becomes of it."""
+    """Respond to one request, whatever happens to it."""
     admitted = admit(gateway, request)
     if isinstance(admitted, Refusal):
-        refused = await refuse(front, admitted)
-        _log_refused(gateway, request, admitted, refused)
+        refusal_status = await refuse(front, admitted)
+        _log_refused(gateway, request, admitted, refusal_status)
         return
     context = admitted
     status: int | str = "caller_left"
@@ -51,7 +52,7 @@
 async def _serve_with_deadline(
     gateway: Gateway, context: RequestContext, front: FrontConnection
 ) -> int | str:
-    """Serve until the request's time is up, and then say so at once."""
+    """Serve the request until its deadline; then respond with a failure at once."""
     try:
         async with asyncio.timeout_at(context.deadline_s):
             failure = await _serve(gateway, context, front)
@@ -69,20 +70,21 @@
     return await _forward_failure(front, *failure)
 
 
+# What the caller gets instead of a delivered response; None once one is delivered.
 Failure = Refusal | tuple[ResponseHead, bytes] | None
 
 
 async def _serve(
     gateway: Gateway, context: RequestContext, front: FrontConnection
 ) -> Failure:
-    """Try endpoints in turn; None when the whole answer has been delivered."""
+    """Try one endpoint after another; return None once the response is delivered."""
     sizes = context.route.model_sizes
     if sizes and context.model is None:
         now_s = asyncio.get_running_loop().time()
         context.model = choose_first_model(gateway, context, now_s)
     while True:
         now_s = asyncio.get_running_loop().time()
-        if context.sent and not _has_retry_budget(gateway, context, now_s):
+        if context.sent_count and not _has_retry_budget(gateway, context, now_s):
             return _final_failure(context, budget_left=False)
         refusal = _quarantine_refusal(gateway, context, now_s)
         if refusal is not None:
@@ -94,17 +96,19 @@
         state = choose_endpoint(gateway, context, now_s)
         if state is None:
             return _no_endpoint(gateway, context, now_s)
-        if context.sent:
+        if context.sent_count:
             gateway.budget(context.service.name).consume(now_s, gateway.gateway_count)
         context.attempt_count += 1
-        follows = context.sent + 1 < context.route.max_attempts and not context.on_trial
+        may_retry = (
+            context.sent_count + 1 < context.route.max_attempts and not context.on_trial
+        )
         outcome = await attempt(
             gateway,
             context,
             state,
             front,
-            follows,
-            follows and _may_escalate(gateway, context),
+            may_retry,
+            may_retry and _may_escalate(gateway, context),
         )
         _log_attempt(gateway, context, outcome)
         if outcome is AttemptOutcome.DELIVERED:
@@ -121,7 +125,7 @@
 def _quarantine_refusal(
     gateway: Gateway, context: RequestContext, now_s: float
 ) -> Refusal | None:
-    """Say why a request that crashes endpoints is not sent, None for any other."""
+    """Return the refusal of a request that crashes endpoints, None for any other."""
     guard = gateway.guard
     if guard.quarantine.is_empty:
         return None
@@ -136,7 +140,7 @@
 
 
 def _may_escalate(gateway: Gateway, context: RequestContext) -> bool:
-    """Tell whether a doubtful answer may be dropped for a larger model's."""
+    """Return whether a larger model may be asked if confidence is low."""
     sizes = context.route.model_sizes
     if not context.route.may_repeat or not sizes or context.model == sizes[-1]:
         return False
@@ -151,13 +155,13 @@
 
 
 def _may_retry(context: RequestContext, outcome: AttemptOutcome) -> bool:
-    """Tell whether another endpoint may be asked.
+    """Return whether another endpoint may be tried.
 
-    A request that may run once only goes on while it is certain that none has
-    begun it; everything else goes on within its attempts.
+    A request that may run only once is retried only while it is certain that no
+    endpoint has started it. Any other request is retried within its attempts.
     """
     if (
-        context.sent >= context.route.max_attempts
+        context.sent_count >= context.route.max_attempts
         or context.attempt_count >= MAX_ATTEMPTS
     ):
         return False
@@ -169,7 +173,7 @@
 
 
 def _final_failure(context: RequestContext, budget_left: bool) -> Failure:
-    """Say truthfully how a request ended that nobody served."""
+    """Return the failure of a request that no endpoint served."""
     if context.last_failure is not None and not _promises_not_run(context):
         return context.last_failure
     if context.may_have_run:
@@ -186,7 +190,7 @@
 
 
 def _no_endpoint(gateway: Gateway, context: RequestContext, now_s: float) -> Failure:
-    """End a request that no endpoint may be sent now."""
+    """Return the failure of a request for which no endpoint may be used now."""
     wait_s = next_slot_in_s(gateway, context, now_s)
     if context.attempt_count or context.last_failure is not None or wait_s is None:
         return _final_failure(context, budget_left=True)
@@ -195,7 +199,7 @@
 
 
 def _promises_not_run(context: RequestContext) -> bool:
-    """Tell whether a kept failure promises "not run" of what may have run."""
+    """Return whether the last failure promises "not run", which may be untrue."""
     assert context.last_failure is not None
     head, _ = context.last_failure
     return head.status in NOT_RUN_STATUSES
@@ -204,7 +208,7 @@
 async def _forward_failure(
     front: FrontConnection, head: ResponseHead, body: bytes
 ) -> int:
-    """Pass an endpoint's own failure on as it is."""
+    """Forward an endpoint's failure response unchanged."""
     headers = [(n, v) for n, v in head.headers if n != b"content-length"]
     headers.append((b"Content-Length", str(len(body)).encode()))
     front.start_response(head.status, head.reason, headers)
@@ -213,10 +217,10 @@
     return head.status
 
 
-def _response_fields(head: ResponseSummary) -> list[object]:
-    """Return model, confidence, seconds taken and seconds predicted."""
-    taken, predicted = round(head.head_latency_s, 3), round(head.predicted_s, 3)
-    return [head.endpoint, head.model, head.confidence, taken, predicted]
+def _response_fields(summary: ResponseSummary) -> list[object]:
+    """Return endpoint, model, confidence, and actual and predicted head latency."""
+    taken, predicted = round(summary.head_latency_s, 3), round(summary.predicted_s, 3)
+    return [summary.endpoint, summary.model, summary.confidence, taken, predicted]
 
 
 def _log_refused(
@@ -248,7 +252,7 @@
         Event.ATTEMPT,
         routine=outcome is AttemptOutcome.LOW_CONFIDENCE,
         request_id=context.request.hints.request_id,
-        number=context.sent,
+        number=context.sent_count,
         endpoint=context.trail[-1] if context.trail else None,
         model=context.model,
         outcome=outcome.value,
@@ -257,7 +261,7 @@
 
 
 def _fingerprint_of(context: RequestContext, outcome: AttemptOutcome) -> str | None:
-    """Name what was asked where an endpoint may have crashed under it."""
+    """Return the request's fingerprint if the endpoint may have crashed under it."""
     if outcome not in (AttemptOutcome.LOST, AttemptOutcome.BROKEN):
         return None
     return format_fingerprint(context.fingerprint)
@@ -286,7 +290,7 @@
         status=status,
         model=context.model,
         trail=context.trail,
-        heads=[_response_fields(head) for head in context.responses],
+        heads=[_response_fields(summary) for summary in context.responses],
         input_tokens=prompt.input_tokens if prompt else None,
         target_s=context.route.latency_target_s,
         tries=context.attempt_count,
--- a/acaciacove/gateway/usable_endpoints.py
+++ b/acaciacove/gateway/usable_endpoints.py
@@ -1,4 +1,4 @@
-"""Which endpoints may be sent a request at all."""
+"""Selects the endpoints that a request may be sent to."""
 
 from acaciacove.gateway.catalogue.endpoint import Endpoint
 from acaciacove.gateway.choice.cold_limiter import gateway_share
@@ -12,36 +12,38 @@
 from acaciacove.gateway.gateway import Gateway
 from acaciacove.gateway.request_context import RequestContext
 
-# Of what a cold endpoint is promised to bear with the allowed overage, the share
-# that is planned with.
+# Share of a cold endpoint's allowed rate, with the permitted overage, that is used.
 COLD_MARGIN = 0.85
-# A cold endpoint dies of a rate well above its own; this much above is borne.
+# A cold endpoint crashes at a rate well above its own. It can serve this multiple of
+# its own rate.
 MAX_COLD_RATE_FACTOR = 1.2
-# How long after a connection broke an endpoint may have started again without its
-# new record being read here: a restart, the record's way, and one pause between
-# two reads of heartbeats.
+# For this long after a connection broke, the endpoint may have restarted without its
+# new record being read here: the time of a restart, of the record's transmission, and
+# one interval between two reads of heartbeats.
 SUSPECT_PERIOD_S = 2.1
 
 
 def usable_endpoints(
     gateway: Gateway, context: RequestContext, now_s: float
 ) -> list[EndpointState]:
-    """List endpoints that may be used, without those already tried if possible."""
+    """Return the usable endpoints, without those already tried if possible."""
     allowed = filter_by_version(
         gateway, context, _allowed_endpoints(gateway, context), now_s
     )
     states = [gateway.states.of(endpoint) for endpoint in allowed]
     usable = _within_limits(gateway, context, states, now_s)
-    fresh = [s for s in usable if s.endpoint.instance not in context.tried_instances]
-    sound = [s for s in fresh or usable if not s.health.is_ejected(now_s)]
-    return sound or fresh or usable
+    untried = [s for s in usable if s.endpoint.instance not in context.tried_instances]
+    healthy = [s for s in untried or usable if not s.health.is_ejected(now_s)]
+    return healthy or untried or usable
 
 
 def next_slot_in_s(
     gateway: Gateway, context: RequestContext, now_s: float
 ) -> float | None:
-    """Return when a limited endpoint takes one more from here; None if none does."""
-    states = [gateway.states.of(each) for each in _allowed_endpoints(gateway, context)]
+    """Return the seconds until a limited endpoint has room; None if none will."""
+    states = [
+        gateway.states.of(endpoint) for endpoint in _allowed_endpoints(gateway, context)
+    ]
     waits = [
         state.stated_limit.next_slot_in_s(now_s, local_share(gateway, state, now_s))
         for state in states
@@ -51,7 +53,7 @@
 
 
 def _allowed_endpoints(gateway: Gateway, context: RequestContext) -> list[Endpoint]:
-    """List the service's endpoints that the operator's decisions allow."""
+    """Return the service's endpoints that the operator's decisions allow."""
     service, zones_out = context.service.name, gateway.view.zones_out
     endpoints = [
         endpoint
@@ -60,16 +62,16 @@
         and not endpoint.draining
         and endpoint.availability_zone not in zones_out
     ]
-    homes = [context.route.allowed_regions]
+    region_sets = [context.route.allowed_regions]
     if context.organisation is not None:
-        homes.append(context.organisation.allowed_regions)
+        region_sets.append(context.organisation.allowed_regions)
     region_of = gateway.settings.region_of_zone
-    for home in homes:
-        if home:
+    for regions in region_sets:
+        if regions:
             endpoints = [
                 endpoint
                 for endpoint in endpoints
-                if region_of.get(endpoint.availability_zone, "") in home
+                if region_of.get(endpoint.availability_zone, "") in regions
             ]
     return endpoints
 
@@ -77,7 +79,7 @@
 def _within_limits(
     gateway: Gateway, context: RequestContext, states: list[EndpointState], now_s: float
 ) -> list[EndpointState]:
-    """Leave endpoints to which this gateway's parts of the limits let it send."""
+    """Return the endpoints at which this gateway's shares of the limits have room."""
     if context.service.connection_limit:
         states = with_free_connections(
             gateway, context.service.connection_limit, states
@@ -104,10 +106,10 @@
 def cold_share(
     gateway: Gateway, context: RequestContext, state: EndpointState, now_s: float
 ) -> int | None:
-    """Return the requests a second for a cold endpoint; None when it is warm.
+    """Return this gateway's share of a cold endpoint's rate; None if it is warm.
 
-    An endpoint whose connections broke may have started again, cold, before its
-    next heartbeat says so; until then it counts as cold.
+    An endpoint whose connections broke may have restarted cold before its next
+    heartbeat reports it; until then it counts as cold.
     """
     service = context.service
     if service.cold_rate_per_s <= 0:
@@ -116,14 +118,18 @@
     if endpoint.cold_until_s <= now_s and not is_suspect(state, now_s):
         return None
     if not gateway.members_loaded:
-        # Whose part is how large cannot be worked out yet; others may send theirs.
+        # The shares cannot be computed yet, and the peers may use theirs.
         return 0
     settings = gateway.settings
-    promised = service.cold_rate_per_s * settings.cold_overage + settings.cold_extra
-    limit = min(promised * COLD_MARGIN, service.cold_rate_per_s * MAX_COLD_RATE_FACTOR)
-    return gateway_share(limit, endpoint.instance, settings.name, gateway.peers)
+    allowed_per_s = (
+        service.cold_rate_per_s * settings.cold_overage + settings.cold_extra
+    )
+    limit_per_s = min(
+        allowed_per_s * COLD_MARGIN, service.cold_rate_per_s * MAX_COLD_RATE_FACTOR
+    )
+    return gateway_share(limit_per_s, endpoint.instance, settings.name, gateway.peers)
 
 
 def is_suspect(state: EndpointState, now_s: float) -> bool:
-    """Tell whether a connection broke so lately that a restart may not be known."""
+    """Return whether a connection broke so recently that a restart may be unknown."""
     return now_s - state.health.disconnected_s < SUSPECT_PERIOD_S
--- a/tests/test_gateway_heavy_load.py
+++ b/tests/test_gateway_heavy_load.py
@@ -1,4 +1,4 @@
-"""Where work goes under heavy load, without a network."""
+"""Choice of endpoints under heavy load, without a network."""
 
 from heapq import heappop, heappush
 from random import Random
@@ -27,12 +27,12 @@
 from acaciacove.wire.codec import decode
 from tests.gateway_world import catalogue
 
-# The largest deployment that was measured: 29 gateways before 24 engines, each of
-# which a gateway asks only every other second.
+# The largest deployment that was measured: 29 gateways and 24 engines. Each gateway
+# sends to each engine only every other second.
 GATEWAYS = 29
 ENGINES = 24
 REQUESTS_PER_S = 340.0
-# An engine's requests take this long each, so the fleet is busy for 85 in 100.
+# Duration of each request at an engine, so the fleet is 85 % utilised.
 SERVICE_S = 0.06
 BACKLOG = 50
 
@@ -52,13 +52,13 @@
 
 
 class Engine:
-    """Runs requests in turn; each answer begins when its request's turn comes."""
+    """Runs requests one after the other; a response begins when its request does."""
 
     def __init__(self):
         self.free_s = 0.0
         self.arrivals = 0
 
-    def take(self, now_s):
+    def serve(self, now_s):
         self.free_s = max(now_s, self.free_s) + SERVICE_S
         return self.free_s
 
@@ -67,8 +67,8 @@
 
 
 def make_gateways(names):
-    """Gateways that believe in the same endpoints."""
-    made = []
+    """Return gateways that have the same endpoints in view."""
+    gateways = []
     for number in range(GATEWAYS):
         settings = gateway_settings(f"gateway-{number}", "10.0.1.1", "a")
         view = RoutingView(lambda: 0.0)
@@ -80,24 +80,24 @@
         log = EventLog(settings.name, descriptor=None)
         gateway = Gateway(settings, DIALECT, view, log)
         gateway.random = Random(number)
-        made.append(gateway)
-    return made
+        gateways.append(gateway)
+    return gateways
 
 
 def make_context(gateway, number, now_s, tokens=500):
     prompt = Prompt((("own", tokens),), tokens, 40)
     hints = CallerHints(str(number), None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "h", (), b"", hints, now_s)
-    current = gateway.view.catalogue
-    route = next(r for r in current.routes if r.name == "draft")
-    service = current.services["model"]
+    published = gateway.view.catalogue
+    route = next(r for r in published.routes if r.name == "draft")
+    service = published.services["model"]
     return RequestContext(
         request, route, service, None, None, now_s + 5.0, "small", None
     )
 
 
 def simulate(seconds, backlog):
-    """Let callers come for some seconds; returns the engines by name."""
+    """Simulate callers for some seconds; return the engines by name."""
     random = Random(7)
     names = [f"engine-{number}" for number in range(ENGINES)]
     engines = {name: Engine() for name in names}
@@ -120,19 +120,21 @@
         engine = engines[state.endpoint.instance]
         engine.arrivals += 1
         state.load.in_flight += 1
-        answer = (engine.take(now_s), number, receiver, state.endpoint.instance)
-        heappush(events, answer)
+        response = (engine.serve(now_s), number, receiver, state.endpoint.instance)
+        heappush(events, response)
         gap_s = random.expovariate(REQUESTS_PER_S)
         heappush(events, (now_s + gap_s, -number, None, None))
     return engines
 
 
 def test_engine_with_a_backlog_gets_less_than_its_share():
-    """An engine has three seconds of work before it, from a burst or a long prompt.
-    It answers seldom, so it reports seldom. Gateways that took it for idle between
-    reports sent it almost twice its share (77 requests of 43): its queue did not end,
-    and its callers waited two to three seconds long after the burst. Each gateway has
-    to ask it once to learn of it, and none asks again before it is through.
+    """An engine has three seconds of backlog from a burst or a long prompt.
+
+    It responds seldom and therefore reports seldom. Gateways that took it for idle
+    between reports sent it almost twice its share (77 requests instead of 43): its
+    queue did not drain, and callers waited two to three seconds long after the burst.
+    Each gateway has to send it one request to learn of the backlog, and none sends
+    another before it has drained.
     """
     engines = simulate(seconds=3.0, backlog=BACKLOG)
     fair_share = sum(engine.arrivals for engine in engines.values()) / ENGINES
@@ -141,8 +143,10 @@
 
 
 def test_no_engine_idles_while_others_queue():
-    """Where a load that nobody knows counts for more than the known ones, gateways
-    stay with the engines that they know, and the others stand idle beside queues.
+    """Guards against an unknown load that counts for more than a known one.
+
+    Gateways would then keep to the engines that they know, and the others would idle
+    next to queues.
     """
     engines = simulate(seconds=9.0, backlog=0)
     fair_share = sum(engine.arrivals for engine in engines.values()) / ENGINES
@@ -150,7 +154,7 @@
         assert 0.5 * fair_share < engine.arrivals < 1.3 * fair_share
 
 
-# One prompt in five is long, and the fleet reads for 60 seconds in a hundred.
+# One prompt in five is long, and the fleet is 60 % utilised by prefill.
 LONG_S = 0.8
 SHORT_S = 0.05
 PROMPTS_PER_S = 70.0
@@ -158,24 +162,24 @@
 
 
 def connect_gossip(gateways):
-    """Carry word of prompts between gateways as datagrams are."""
+    """Deliver gossip on sent prompts between gateways as datagrams would."""
     now_s = [0.0]
-    news = {}
+    gossip = {}
     for gateway in gateways:
         name = gateway.settings.name
-        others = [g.settings.name for g in gateways if g is not gateway]
-        news[name] = WorkGossip(
-            lambda others=others: others,
-            lambda data, name: news[name].apply(decode(data), now_s[0]),
+        peers = [g.settings.name for g in gateways if g is not gateway]
+        gossip[name] = WorkGossip(
+            lambda peers=peers: peers,
+            lambda data, name: gossip[name].apply(decode(data), now_s[0]),
             gateway.states,
             gateway.log,
         )
-        gateway.gossip_work = news[name].send_update
+        gateway.gossip_work = gossip[name].send_update
     return now_s
 
 
 def simulate_long_prompts(seconds, with_gossip):
-    """Return, for each second, how long prompts waited at each engine."""
+    """Return, for each second, the waits of prompts at their engines."""
     random = Random(11)
     names = [f"engine-{number}" for number in range(ENGINES)]
     free_s = dict.fromkeys(names, 0.0)
@@ -188,16 +192,16 @@
     events, number, now_s = [], 0, 0.0
     while now_s < seconds:
         while events and events[0][0] <= now_s:
-            at_s, asked, gateway, name = heappop(events)
+            at_s, backlog_id, gateway, name = heappop(events)
             state = gateway.states.of(gateway.view.endpoints[name])
             state.load.in_flight -= 1
-            state.backlog.record_first_chunk(asked, at_s)
+            state.backlog.record_first_chunk(backlog_id, at_s)
         number += 1
         clock[0] = now_s
         receiver = random.choice(gateways)
         work_s = LONG_S if random.random() < 0.2 else SHORT_S
-        work = make_context(receiver, number, now_s, round(work_s * TOKENS_PER_S))
-        state = choose_endpoint(receiver, work, now_s)
+        context = make_context(receiver, number, now_s, round(work_s * TOKENS_PER_S))
+        state = choose_endpoint(receiver, context, now_s)
         name = state.endpoint.instance
         state.load.in_flight += 1
         state.backlog.send(number, work_s, now_s)
@@ -210,12 +214,12 @@
 
 
 def test_long_prompts_spread_over_engines_with_gossip():
-    """Guards against seconds of queue at one engine while the one beside it is free."""
+    """Guards against seconds of queue at one engine while another is free."""
     for second in simulate_long_prompts(20, with_gossip=True)[1:]:
         assert max(second) <= median(second) + 1.0
 
 
 def test_long_prompts_collide_without_gossip():
-    """Shows that the load above is one that gateways cannot spread alone."""
-    alone = simulate_long_prompts(20, with_gossip=False)[1:]
-    assert any(max(second) > median(second) + 1.0 for second in alone)
+    """Shows that gateways cannot spread the load above without gossip."""
+    waits = simulate_long_prompts(20, with_gossip=False)[1:]
+    assert any(max(second) > median(second) + 1.0 for second in waits)
--- a/tests/test_gateway_large_service.py
+++ b/tests/test_gateway_large_service.py
@@ -1,4 +1,4 @@
-"""Choices among the hundreds of endpoints of a large service, without a network."""
+"""Choices among hundreds of endpoints of a large service, without a network."""
 
 from collections import Counter
 from random import Random
@@ -26,7 +26,7 @@
 
 
 class CountedBacklog(EndpointBacklog):
-    """Counts how often its wait is looked up."""
+    """Counts the calls of ``wait_s``."""
 
     lookups = 0
 
@@ -58,14 +58,14 @@
     prompt = Prompt((("all", 2000), (subject, 4000), ("own", 500)), 6500, 40)
     hints = CallerHints("1", None, None, None, prompt, None, None)
     request = CallerRequest(b"POST", b"/draft/1", "h", (), b"", hints, 0.0)
-    current = gateway.view.catalogue
-    route = next(r for r in current.routes if r.name == "draft")
-    service = current.services["model"]
+    published = gateway.view.catalogue
+    route = next(r for r in published.routes if r.name == "draft")
+    service = published.services["model"]
     return RequestContext(request, route, service, None, None, 5.0, "small")
 
 
 def test_preferred_endpoints_are_even_and_independent_of_order():
-    """Guards against gateways that read shared parts in different places."""
+    """Guards against gateways that send the same prefix to different endpoints."""
     states = states_of(make_gateway(40))
     preferred_counts = Counter()
     for key in range(KEYS):
@@ -80,13 +80,13 @@
 
 
 def test_removed_endpoint_moves_only_its_own_prefixes():
-    """Guards against reading all prompts again whenever one endpoint goes."""
+    """Guards against recomputing all prompts whenever one endpoint is removed."""
     states = states_of(make_gateway(40))
-    left, rest = states[0], states[1:]
+    removed, remaining = states[0], states[1:]
     for key in range(KEYS // 10):
         preferred = preferred_endpoint(f"{key:x}", "small", states)
-        assert preferred is left or preferred is preferred_endpoint(
-            f"{key:x}", "small", rest
+        assert preferred is removed or preferred is preferred_endpoint(
+            f"{key:x}", "small", remaining
         )
 
 
@@ -104,7 +104,7 @@
 
 
 def test_sample_always_includes_the_preferred_endpoint():
-    """Guards against a draw of few endpoints that leaves the prompt's home out."""
+    """Guards against a sample of endpoints that omits the preferred one."""
     gateways = [make_gateway(600, f"gateway-{number}") for number in range(20)]
     chosen = {
         choose_endpoint(gateway, make_context(gateway), 1.0).endpoint.instance
@@ -116,7 +116,7 @@
 @pytest.mark.parametrize("gateways", [1, 5, 28, 68, 380])
 @pytest.mark.parametrize("limit", [96, 360])
 def test_all_gateways_together_keep_to_an_endpoints_connections(gateways, limit):
-    """Guards against many gateways whose least parts add up to more than there are."""
+    """Guards against minimum shares of many gateways that exceed the limit in sum."""
     all_gateways = [f"gateway-{number}" for number in range(gateways)]
     shares = []
     for name in all_gateways:
@@ -131,7 +131,7 @@
 
 
 def test_gateway_without_a_connection_share_still_serves():
-    """Guards against gateways that refuse everything since their part is none."""
+    """Guards against gateways that refuse all requests because their share is zero."""
     for number in range(380):
         gateway = make_gateway(3, f"gateway-{number}")
         gateway.members = {f"gateway-{n}": None for n in range(380) if n != number}
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -1,4 +1,4 @@
-"""Endpoints that state how many requests they take from all gateways together."""
+"""Endpoints that state a rate limit for all gateways together."""
 
 import asyncio
 
@@ -15,7 +15,7 @@
 from acaciacove.wire.codec import decode, encode
 from tests.gateway_world import call, lines, run_fleet
 
-# What endpoints are promised, from this long after they first stated a limit.
+# The bound that holds at an endpoint from this long after it first stated a limit.
 CONTACT_S = 3.0
 WINDOW_S = 4.0
 OVERAGE, EXTRA = 1.5, 5
@@ -23,7 +23,7 @@
 
 
 def test_stated_limit_and_its_removal_are_logged():
-    """Guards against nobody being able to tell what an endpoint has asked for."""
+    """Guards against stated limits that leave no trace in the log."""
 
     async def scenario(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
@@ -39,7 +39,7 @@
 
 
 def test_response_to_an_earlier_request_does_not_lift_a_limit():
-    """Guards against answers that overtake each other lifting a limit by turns."""
+    """Guards against responses out of order that lift and restore a limit in turns."""
     limit = StatedLimit()
     assert limit.apply_response(2.0, sent_s=1.0, now_s=1.5)
     assert not limit.apply_response(None, sent_s=1.2, now_s=1.6)
@@ -55,32 +55,32 @@
 
 
 async def send_lookups(fleet, seconds, per_s, gateways, number=0):
-    """Send lookups to all gateways by turns; returns the answers."""
-    asked = []
+    """Send lookups to all gateways in turn; return the responses."""
+    tasks = []
     for _ in range(int(seconds * per_s)):
         number += 1
         host = f"10.0.1.{number % gateways + 1}"
         path = f"/look/{number}"
-        asked.append(asyncio.create_task(call(path, f"r-{number}", host=host)))
+        tasks.append(asyncio.create_task(call(path, f"r-{number}", host=host)))
         await asyncio.sleep(1.0 / per_s)
-    return [await each for each in asked]
+    return [await each for each in tasks]
 
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_all_gateways_together_stay_within_a_stated_limit(gateways):
-    """Guards against an endpoint in need being sent as much as any other."""
+    """Guards against an overloaded endpoint being sent as much as any other."""
 
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
         await send_lookups(fleet, CONTACT_S, 60, gateways)
         now_s = asyncio.get_running_loop().time()
-        answers = await send_lookups(fleet, 12.0, 60, gateways, number=1000)
+        responses = await send_lookups(fleet, 12.0, 60, gateways, number=1000)
         arrivals = [
             a.at_s for a in fleet.arrivals if a.instance == "app-0" and a.at_s > now_s
         ]
         allowed = OVERAGE * LIMIT_PER_S * WINDOW_S + EXTRA
         assert max_in_window(arrivals) <= allowed
-        assert {answer.status for answer in answers} == {200}
+        assert {response.status for response in responses} == {200}
 
     run_fleet(scenario, gateways=gateways, apps=4, models=0)
 
@@ -92,7 +92,7 @@
 
 
 def test_request_beyond_all_limits_is_refused_immediately():
-    """Guards against callers waiting in vain, or coming back too early or too late."""
+    """Guards against callers that wait in vain or retry too early or too late."""
 
     async def scenario(fleet):
         for server in fleet.endpoints.values():
@@ -110,7 +110,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 5, 28])
 def test_limited_endpoints_stay_well_utilised(gateways):
-    """Guards against gateways that leave limited endpoints idle beside refusals."""
+    """Guards against gateways that refuse requests while limited endpoints idle."""
 
     async def scenario(fleet):
         names = list(fleet.endpoints)
@@ -127,7 +127,7 @@
 
 @pytest.mark.parametrize("gateways", [5, 28])
 def test_lifted_limit_reaches_gateways_without_a_share(gateways):
-    """Guards against gateways that never ask an endpoint again."""
+    """Guards against gateways that never send to a limited endpoint again."""
 
     async def scenario(fleet):
         behaviour = fleet.endpoints["app-0"].behaviour
@@ -143,7 +143,7 @@
 
 
 def test_restarted_gateway_observes_limits_known_to_peers():
-    """Guards against a start sending a burst to an endpoint in need."""
+    """Guards against a restarted gateway sending a burst to a limited endpoint."""
 
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
@@ -163,7 +163,7 @@
 
 @pytest.mark.parametrize("upset", ["log", "cut"])
 def test_limit_holds_during_a_log_outage_or_partition(upset):
-    """Guards against a bound that needs the log, or word from every other gateway."""
+    """Guards against a limit that needs the log or gossip from every gateway."""
 
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.limit_per_s = LIMIT_PER_S
@@ -209,7 +209,7 @@
 
 
 def test_unconfirmed_limit_expires():
-    """Guards against an endpoint left out for good because its last word was lost."""
+    """Guards against excluding an endpoint for ever when a lifting response is lost."""
     limit = StatedLimit()
     limit.apply_response(0.0, 0.0, 0.0)
     assert limit.is_set(LIMIT_EXPIRY_S)
@@ -239,8 +239,8 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_limit_gossip_round_trips(news):
-    assert decode(encode(news)) == news
+def test_limit_gossip_round_trips(gossip):
+    assert decode(encode(gossip)) == gossip
 
 
 @pytest.mark.parametrize("text", ["-1", "nan", "inf", "many", ""])
