--- a/acaciacove/decisions/entry_lapses.py
+++ b/acaciacove/decisions/entry_lapses.py
@@ -1,25 +1,27 @@
-"""Tells entries that lapsed while the log was away from endpoints that left."""
+"""Distinguishes entries that expired during a log outage from deregistered endpoints.
+"""
 
 from attrs import define, field
 
 from acaciacove.decisions.kept_entry import KeptEntry
 
-# Endpoints that live are back this long after the log's return.
+# Live endpoints register again within this time after the log has recovered.
 RETURN_S = 2.2
-# Of the time for which a leaving endpoint serves, how long it may still be sent
-# requests after its entry was last known to stand.
+# Share of an endpoint's drain time, counted from when its entry was last known to
+# exist, for which it may still be sent requests.
 KEPT_DRAIN_SHARE = 0.85
 
 
 @define(eq=False)
 class EntryLapses:
-    """Which removed entries are kept, and for how long.
+    """Decides which removed entries are retained, and for how long.
 
-    Times are of one clock that goes on while the machine is suspended.
+    All times are read from one clock that keeps running while the machine is suspended.
 
-    Calls that fail here prove nothing: the log may turn this process away alone. An
-    entry is kept beyond the time for which a leaving endpoint serves only where calls
-    failed for long and nobody who could look says that the log was there.
+    Calls that failed only in this process prove no outage: the log may have rejected
+    this process alone. An entry is retained for longer than a draining endpoint serves
+    only if calls failed for a long time and no other gateway reports that the log was
+    available.
     """
 
     _returned_s: float = float("-inf")
@@ -32,11 +34,12 @@
     def begin_look(
         self, now_s: float, returned_s: float | None, failing_s: float | None
     ) -> None:
-        """Begin with a look at the log, which ``returned_s`` says was away before.
+        """Start a read of the log.
 
-        It is None where nothing speaks for an absence since the look before. Looks
-        failed since ``failing_s``: until then a removal would have ended the one under
-        way.
+        ``recovered_s`` is when the log recovered from an outage before this read, or
+        None if there is no sign of an outage since the previous read. Reads have failed
+        since ``failing_s``. A removal before that time would have ended the read that
+        was waiting then.
         """
         self._seen_s = now_s
         if failing_s is not None:
@@ -51,21 +54,22 @@
             entry.until_seen = True
 
     def end_look(self, complete_s: float) -> None:
-        """End a look: entries that were not removed stood at ``complete_s``."""
+        """Finish a read. Entries that were not removed existed at ``complete_s``."""
         self._stood_s = max(self._stood_s, complete_s)
 
     def is_kept(self, instance: str) -> bool:
-        """Tell whether an entry was removed and may come back."""
+        """Return whether an entry was removed and may still be registered again."""
         return instance in self._kept
 
     def note_written(self, instance: str) -> None:
-        """Note an entry that was written: its endpoint lives."""
+        """Record that an entry was written, which shows that its endpoint is alive."""
         was_kept = self._kept.pop(instance, None) is not None
         if was_kept or not self._was_absent:
             self._back.add(instance)
 
     def keep_removed(self, instance: str, now_s: float, drain_s: float) -> bool:
-        """Tell whether a removed entry may be a lapse, and is kept for a while."""
+        """Return whether a removed entry is retained because it may only have expired.
+        """
         if instance in self._back:
             self._back.discard(instance)
             return False
@@ -85,7 +89,7 @@
         return KeptEntry(back_s, until_seen=True)
 
     def take_overdue(self, now_s: float) -> list[str]:
-        """Return the entries that have not come back in time, and forget them."""
+        """Forget and return the entries that were not registered again in time."""
         overdue = [
             instance
             for instance, entry in self._kept.items()
--- a/acaciacove/decisions/kept_entry.py
+++ b/acaciacove/decisions/kept_entry.py
@@ -1,14 +1,15 @@
-"""A removed entry that may come back."""
+"""A removed entry that may be registered again."""
 
 from attrs import define
 
 
 @define
 class KeptEntry:
-    """Until when a removed entry may come back; ``until_seen`` says what ends it.
+    """When a removed entry expires.
 
-    One that is kept for less than its endpoint would serve while leaving ends with the
-    time. Otherwise the log must have been looked at since: it may be away again.
+    An entry that is retained for less than the drain time of its endpoint expires at
+    ``expires_s``. If ``expires_on_read`` is set, the log must also have been read after
+    that time, because the log may be unavailable again.
     """
 
     until_s: float
--- a/acaciacove/decisions/reading_pace.py
+++ b/acaciacove/decisions/reading_pace.py
@@ -1,29 +1,30 @@
-"""How long an endpoint takes to read a prompt, learnt from answers' first pieces."""
+"""Estimates the prefill time of an endpoint from the first chunks of its answers."""
 
 from attrs import define
 
-# What is assumed of a model before its first answer: this much for any request, and a
-# prompt of this many tokens in this much more. One answer outweighs it.
+# The prior for a model without answers: a fixed time for each request, and the time to
+# prefill a prompt of this many tokens. A single answer outweighs it.
 PRIOR_BASE_S = 0.05
 PRIOR_TOKENS = 8_000.0
 PRIOR_READING_S = 0.2
 PRIOR_WEIGHT = 0.2
-# Each answer leaves this share of the weight of those before it: some fifty answers
-# are remembered, so that a service that grows slower is followed within seconds.
+# Weight that older samples keep with each new one. The estimate covers about fifty
+# answers, so it follows a service that slows down within seconds.
 MEMORY = 0.98
-# Waiting makes answers late and never early. An answer that took longer than was
-# expected counts this much of one that was faster, which leaves waiting out.
+# Queueing makes answers later, never earlier. Answers that took longer than predicted
+# get this weight relative to faster ones, which keeps queueing out of the estimate.
 SLOWER_WEIGHT = 0.1
-# The least time of a request, so that no prediction is nothing.
+# Lower bound for the fixed time, so that predictions are always positive.
 LEAST_BASE_S = 0.005
 
 
 @define
 class ReadingPace:
-    """A line through (unread tokens, seconds to the first piece) of one model.
+    """A line through (uncached tokens, seconds to the first chunk) for one model.
 
-    An expectile regression with forgetting: ``base_s`` for any request, and
-    ``s_per_token`` for each token of the prompt that has to be read.
+    An expectile regression with exponential forgetting. ``base_s`` is the fixed time of
+    a request, ``s_per_token`` the time for each token of the prompt that must be
+    prefilled.
     """
 
     base_s: float = PRIOR_BASE_S
@@ -35,11 +36,11 @@
     _xy: float = PRIOR_WEIGHT * PRIOR_TOKENS * (PRIOR_BASE_S + PRIOR_READING_S)
 
     def predict_s(self, tokens: float) -> float:
-        """Return the seconds to the first piece on an endpoint without a queue."""
+        """Return the seconds to the first chunk on an endpoint without a queue."""
         return self.base_s + self.s_per_token * tokens
 
     def learn(self, tokens: float, took_s: float) -> None:
-        """Take one answer: its unread tokens, and its time without known waits."""
+        """Add one answer: its uncached tokens, and its latency without known waits."""
         weight = SLOWER_WEIGHT if took_s > self.predict_s(tokens) else 1.0
         self._weight = MEMORY * self._weight + weight
         self._x = MEMORY * self._x + weight * tokens
@@ -55,7 +56,7 @@
             self.s_per_token = max(0.0, slope)
         base_s = (self._y - self.s_per_token * self._x) / self._weight
         if base_s < LEAST_BASE_S:
-            # A line below nothing at no tokens: all of the time is reading.
+            # The fitted line is below zero at zero tokens: all of the time is prefill.
             self.s_per_token = self._xy / self._xx
             base_s = LEAST_BASE_S
         self.base_s = base_s
--- a/acaciacove/gateway/beliefs.py
+++ b/acaciacove/gateway/beliefs.py
@@ -1,4 +1,4 @@
-"""What one gateway believes of the operator's decisions and the endpoints."""
+"""One gateway's view of operator decisions and endpoints."""
 
 import time
 from collections.abc import Callable
@@ -12,10 +12,10 @@
 
 
 def boot_time_s() -> float:
-    """Read the clock that goes on while the machine is suspended.
+    """Return the time of the clock that keeps running while the machine is suspended.
 
-    The runtime's clock stands still then, so a belief would look fresh to a
-    process that has just woken.
+    The event loop's clock stops during a suspend, so a stale view would look fresh to a
+    process that has just resumed.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
@@ -24,9 +24,9 @@
 class Beliefs:
     """The newest state of every key that this process has read.
 
-    ``confirmed_boot_s`` is when the question was asked whose answer showed that
-    ``operator_revision`` is the newest decision: whatever was decided before it
-    is known here. ``endpoints_confirmed_boot_s`` is the same for the entries of
+    ``confirmed_boot_s`` is the start of the latest request whose answer showed
+    ``operator_revision`` to be the newest decision: the view contains every decision
+    made before it. ``endpoints_confirmed_boot_s`` is the same for the entries of
     endpoints.
     """
 
@@ -43,31 +43,31 @@
     endpoints_confirmed_boot_s: float = float("-inf")
 
     def confirm(self, asked_boot_s: float) -> None:
-        """Take note that the decisions were complete at ``asked_boot_s``."""
+        """Record that the decisions were complete at ``requested_boot_s``."""
         self.confirmed_boot_s = max(self.confirmed_boot_s, asked_boot_s)
 
     def confirm_endpoints(self, complete_boot_s: float) -> None:
-        """Take note that the endpoints' entries were complete then."""
+        """Record that the endpoints' entries were complete at ``complete_boot_s``."""
         self.endpoints_confirmed_boot_s = max(
             self.endpoints_confirmed_boot_s, complete_boot_s
         )
 
     @property
     def endpoints_age_s(self) -> float:
-        """How long ago the endpoints' entries were last known to be complete."""
+        """Time since the endpoints' entries were last known to be complete."""
         return self.clock_s() - self.endpoints_confirmed_boot_s
 
     @property
     def confirmed_age_s(self) -> float:
-        """How long ago the decisions were last known to be complete."""
+        """Time since the decisions were last known to be complete."""
         return self.clock_s() - self.confirmed_boot_s
 
     @property
     def is_usable(self) -> bool:
-        """Tell whether requests can be routed.
+        """Return whether requests can be routed.
 
-        With an order to move a service and without its outcome, a process that has
-        just started would send requests to a version that is stopped, or bad.
+        A process that has just started and has read a roll-out order but not its
+        outcome would send requests to a version that has been stopped or is faulty.
         """
         return (
             self.catalogue is not None
--- a/acaciacove/gateway/counted_log.py
+++ b/acaciacove/gateway/counted_log.py
@@ -1,4 +1,4 @@
-"""Counts calls to the platform's log: they are limited and paid for."""
+"""Counts calls to the platform's log, which are rate limited and billed."""
 
 from collections.abc import Awaitable
 from typing import TypeVar
@@ -14,7 +14,7 @@
 
 
 class CountedLog:
-    """A log whose calls are counted by kind and result."""
+    """A log whose calls are counted by method and result."""
 
     def __init__(self, metadata: MetadataLog, metrics: GatewayMetrics) -> None:
         """Count the calls to ``metadata``."""
@@ -26,7 +26,7 @@
         return await self._counted("newest", self._metadata.newest(stream))
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        """Return records from an offset on."""
+        """Return the records from an offset on."""
         return await self._counted("read", self._metadata.read(stream, offset, wait_s))
 
     async def append(
--- a/acaciacove/gateway/daemon.py
+++ b/acaciacove/gateway/daemon.py
@@ -1,4 +1,4 @@
-"""Starts a gateway, reloads its settings, and runs it to its end."""
+"""Starts a gateway, reloads its settings, and runs it until it is stopped."""
 
 import asyncio
 import signal
@@ -16,9 +16,9 @@
 from acaciacove.gateway.running_gateway import RunningGateway
 from acaciacove.settings.gateway_settings import GatewaySettings
 
-# Settings may change without a signal; looking costs a read of two kilobytes.
+# Settings can change without a signal; each check reads a file of two kilobytes.
 RELOAD_EVERY_S = 5.0
-# Settings that a running process cannot follow: it stands where it stands.
+# Settings that a running process cannot change without a restart.
 FIXED = frozenset(
     {"name", "host", "front_address", "readiness_address", "peer_port", "log_address"}
 )
@@ -33,7 +33,7 @@
 ) -> None:
     """Run one gateway until SIGTERM or SIGINT.
 
-    ``front`` is a listening socket for callers, opened early by the process.
+    ``front`` is a listening socket for callers that the process has already opened.
     """
     settings = read_settings()
     log = EventLog(settings.name)
@@ -65,7 +65,7 @@
     read_settings: Callable[[], GatewaySettings],
     signalled: bool,
 ) -> None:
-    """Take settings that have changed; faulty ones leave the old in force."""
+    """Apply changed settings; invalid ones leave the previous settings in force."""
     gateway = running.gateway
     try:
         settings = read_settings()
--- a/acaciacove/gateway/endpoint_reader.py
+++ b/acaciacove/gateway/endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Folds endpoints' records into beliefs."""
+"""Applies endpoints' records to the routing view."""
 
 import asyncio
 
@@ -29,16 +29,16 @@
 
     @property
     def beliefs(self) -> Beliefs:
-        """What the records are folded into."""
+        """The view that the records are applied to."""
         return self.gateway.beliefs
 
     @property
     def log(self) -> EventLog:
-        """Where changes of belief are told."""
+        """The log for changes of the view."""
         return self.gateway.log
 
     def apply_reading(self, reading: LogReading) -> None:
-        """Take what one look at the stream has shown."""
+        """Apply the result of one read of the stream."""
         returned_s = reading.returned_boot_s(self.gateway.settings.heartbeat_s)
         self._lapses.begin_look(
             self.beliefs.clock_s(), returned_s, reading.failing_boot_s
@@ -54,7 +54,7 @@
         self.beliefs.confirm_endpoints(reading.complete_boot_s)
 
     def apply_newest(self, records: tuple[LogRecord, ...]) -> None:
-        """Take the newest of each key; keys that are missing were removed."""
+        """Apply the newest record of each key; keys without a record were removed."""
         listed = {record.key for record in records}
         for key in [k for k in self.beliefs.endpoints if k not in listed]:
             self._remove(key)
@@ -63,7 +63,7 @@
         self.beliefs.endpoints_known = True
 
     def apply(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
         if record.offset <= self._offsets.get(record.key, -1):
             return
         self._offsets[record.key] = record.offset
@@ -130,7 +130,7 @@
         self._drop(instance, "removed")
 
     def expire(self) -> None:
-        """Drop entries that may have lapsed with an outage and have not come back."""
+        """Remove retained entries whose endpoints did not register again in time."""
         for instance in self._lapses.take_overdue(self.beliefs.clock_s()):
             self._drop(instance, "not_back")
 
@@ -144,5 +144,5 @@
         )
 
     def _known_age_s(self) -> float:
-        """How long ago the entries were last known to be complete."""
+        """Return the time since the entries were last known to be complete."""
         return round(self.beliefs.endpoints_age_s, 3)
--- a/acaciacove/gateway/endpoint_report.py
+++ b/acaciacove/gateway/endpoint_report.py
@@ -5,7 +5,7 @@
 
 @frozen
 class EndpointReport:
-    """What an endpoint says of itself; times are spans from now on."""
+    """What an endpoint reports about itself; times are relative to its arrival."""
 
     instance: str
     generation: str
--- a/acaciacove/gateway/event_log.py
+++ b/acaciacove/gateway/event_log.py
@@ -1,4 +1,4 @@
-"""Structured log lines on standard output that never hold up a request."""
+"""Structured log lines on standard output that never block a request."""
 
 import asyncio
 import os
@@ -10,22 +10,23 @@
 
 from acaciacove.gateway.log_events import Event
 
-# Bytes that wait for a slow reader of standard output; beyond, lines are dropped
-# and counted. At the budget below this holds about four seconds.
+# Bytes buffered for a slow reader of standard output. Lines beyond that are dropped and
+# counted. At the rate below the buffer holds about four seconds.
 MAX_WAITING_BYTES = 1_000_000
-# Lines a second that one process writes; a request has one line and an attempt
-# that did not serve it another, so this carries about 150 requests a second.
+# The rate at which one process writes lines. Each request has one line, and so has each
+# attempt that did not serve it, so this is enough for about 150 requests a second.
 LINES_PER_S = 300.0
-# Routine lines leave this much of the budget to failures and changes of belief.
+# The share of the burst that routine lines leave to failures and changes of the view.
 ROUTINE_RESERVE = 0.3
 BURST_LINES = 600.0
 
 
 class EventLog:
-    """Writes one JSON object a line, within a budget, without blocking."""
+    """Writes one JSON object per line, rate limited and without blocking."""
 
     def __init__(self, process: str, descriptor: int | None = 1) -> None:
-        """Write to a file descriptor; None keeps lines in ``lines`` for tests."""
+        """Write to a file descriptor; None collects the lines in ``lines`` for tests.
+        """
         self._process = process
         self._descriptor = descriptor
         self._waiting: deque[bytes] = deque()
@@ -40,7 +41,7 @@
             os.set_blocking(descriptor, False)
 
     def write(self, event: Event, routine: bool = False, **fields: Any) -> None:
-        """Write one line; ``routine`` ones are the first to be left out."""
+        """Write one line; ``routine`` lines are the first to be dropped."""
         if not self._take_token(routine):
             self.dropped += 1
             return
@@ -81,7 +82,9 @@
             self._flush()
 
     def _flush(self) -> None:
-        """Write what fits; the rest waits until the reader has taken some."""
+        """Write as much as the descriptor accepts; the rest is written when it is
+        ready.
+        """
         assert self._descriptor is not None
         while self._waiting:
             line = self._waiting[0]
@@ -91,7 +94,7 @@
                 self._watch(True)
                 return
             except OSError:
-                # Nobody reads any more: there is nobody to tell either.
+                # Standard output is closed, so the loss cannot be reported anywhere.
                 self.dropped += len(self._waiting)
                 self._waiting.clear()
                 self._waiting_bytes = 0
@@ -114,6 +117,6 @@
             else:
                 loop.remove_writer(self._descriptor)
         except (OSError, ValueError, NotImplementedError):
-            # A regular file cannot be watched, and never makes a writer wait.
+            # A regular file cannot be registered, and writes to it never block.
             return
         self._watching = wanted
--- a/acaciacove/gateway/follow_log.py
+++ b/acaciacove/gateway/follow_log.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the log: the newest of each key, then what comes."""
+"""Follows one stream of the log: first a snapshot, then new records."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,19 +16,19 @@
 
 FIRST_PAUSE_S = 0.1
 MOST_DOUBLINGS = 8
-# The shortest wait after a record, as a share of the usual one.
+# The shortest wait after a page with records, as a share of the regular wait.
 SHORTEST_WAIT = 0.2
 
 
 @define(eq=False)
 class FollowedStream:
-    """What a follower does with its stream.
+    """One stream, the read position in it, and the timing of its reads.
 
-    ``wait_s`` tells how long the log may hold a read that finds nothing,
-    ``pause_s`` tells how long the follower rests between reads, so that many small
-    records come in one answer, ``retry_s`` how long at most after a call that failed.
-    ``on_reading`` gets each successful look.
-    ``failing_boot_s`` is since when calls fail; None while they succeed.
+    ``wait_s`` returns how long the log may hold a read that finds nothing. ``pause_s``
+    returns the pause between reads, which lets many small records arrive in one page.
+    ``retry_s`` returns the longest delay after a failed call. ``on_reading`` receives
+    each successful read. ``failing_since_boot_s`` is when calls began to fail, None
+    while they succeed.
     """
 
     stream: LogStream
@@ -83,7 +83,7 @@
     clock_s: Callable[[], float],
     random: Random,
 ) -> LogReading:
-    """Read a page and hand it on."""
+    """Read one page and pass it to ``on_reading``."""
     asked_boot_s = clock_s()
     is_newest = followed.next_offset < 0
     wait_s = 0.0 if is_newest else _wait_s(followed)
@@ -104,9 +104,10 @@
     )
     followed.failing_boot_s = None
     followed.on_reading(reading)
-    # One record ends the waits of all gateways at once. Reads that go on in step
-    # would all be as old when the log goes away; drawn apart, one of them is
-    # fresh, and the others learn it from their peers.
+    # One record ends the waiting reads of all gateways at once. If their next reads
+    # stayed in step, all views would be equally old when the log becomes unavailable.
+    # Random waits spread them out: one view is then fresh, and the other gateways get
+    # it from that peer.
     followed.next_wait_s = 0.0
     if page.records:
         followed.next_wait_s = random.uniform(SHORTEST_WAIT, 1.0) * followed.wait_s()
@@ -115,9 +116,10 @@
 
 
 def _wait_s(followed: FollowedStream) -> float:
-    """Return how long to be held: not at all while it is open whether the log is there.
+    """Return how long the log may hold the next read.
 
-    A call that the log takes and never answers would hide its return for that long.
+    Zero while it is unknown whether the log is available: a log that accepts a call and
+    never answers would otherwise hide its recovery for that long.
     """
     if followed.failing_boot_s is not None:
         return 0.0
@@ -127,7 +129,8 @@
 def _note_failure(
     followed: FollowedStream, due_boot_s: float, now_boot_s: float
 ) -> None:
-    """Note since when calls fail: an answer was due, or a failure was told, by then."""
+    """Record when calls began to fail: at the failure, or earlier if a reply was due.
+    """
     if followed.failing_boot_s is None:
         followed.failing_boot_s = min(due_boot_s, now_boot_s)
 
@@ -135,11 +138,12 @@
 def _complete_since(
     page: LogPage, asked_boot_s: float, wait_s: float, now_boot_s: float
 ) -> float:
-    """Return a moment at which the log held no more than what was read.
+    """Return a time at which the log held no more than what was read.
 
-    A read that comes back empty was held for its whole wait: the log looked once
-    more at its end. One that comes back earlier proves only what held when it was
-    asked. A page that another gateway told says it itself.
+    A read that comes back empty after its whole wait is complete as of the end of that
+    wait, when the log checked again for records. One that comes back earlier is
+    complete only as of its request. A page relayed by another gateway carries its own
+    time.
     """
     if page.complete_after_s is not None:
         return asked_boot_s + page.complete_after_s
--- a/acaciacove/gateway/gateway.py
+++ b/acaciacove/gateway/gateway.py
@@ -1,4 +1,4 @@
-"""The state of one gateway, handed whole to what serves requests."""
+"""The state of one gateway, passed to the code that serves requests."""
 
 from collections.abc import Callable
 from random import Random
@@ -29,19 +29,20 @@
 from acaciacove.messages.work_sent import WorkSent
 from acaciacove.settings.gateway_settings import GatewaySettings
 
-# Of the repeats that are promised over all gateways, the share that is planned
-# with; requests are counted by callers' clocks, not by this process's.
+# The share of the allowed retries that is used. Requests are counted by the callers'
+# clocks, not by the clock of this process.
 RETRY_MARGIN = 0.9
-# Of the time for which API keys are honoured without a proof, within which decisions
-# are to be known: two calls, one of which meets a silent connection, end in the rest.
+# API keys are honoured for some time without a confirmation of the decisions. The view
+# must be confirmed within this share of it: the rest is enough for two calls, the first
+# of which meets a silent connection.
 PROOF_SHARE = 0.4
-# How many gateways are taken to share the promised bounds until the members have been
-# read. After a loss of all processes each would otherwise keep to the bounds alone,
-# and together they would break them in the first tenth of a second.
+# The number of gateways assumed to share the limits until the members have been read.
+# After a loss of all processes, each gateway would otherwise use the full limits, and
+# together they would exceed them in the first tenth of a second.
 ASSUMED_GATEWAYS = 64
 
 
-# Over which time the own pace of sending is taken.
+# The window over which this gateway's rate of requests is measured.
 SENT_WINDOW_S = 2.0
 
 
@@ -50,11 +51,11 @@
 
 
 def tell_nobody(sent: WorkSent, now_s: float) -> None:
-    """Stand in until the other gateways can be told."""
+    """Default until gossip with the other gateways has started."""
 
 
 def tell_no_limit(state: EndpointState) -> None:
-    """Stand in until the other gateways can be told."""
+    """Default until gossip with the other gateways has started."""
 
 
 def _told_tails() -> dict[LogStream, StreamTail]:
@@ -63,14 +64,16 @@
 
 @define(eq=False)
 class Gateway:
-    """Beliefs, limits and states of one process.
-
-    ``members`` are the other gateways that are or may be alive, and ``tails`` hold
-    what is told to them. ``members_known`` is set once their list has been read.
-    ``tell_work`` tells them of a prompt that has just been sent, ``tell_limit`` of what
-    an endpoint says of its limit. Outcomes of roll-outs
-    have been read here up to ``outcomes_offset``, last with news at
-    ``outcomes_changed_s``, and by some other gateway up to ``outcomes_told``.
+    """The view, limits and other state of one process.
+
+    ``members`` are the other gateways that are or may be alive. ``members_loaded`` is
+    set once their list has been read. ``tails`` hold the records that are relayed to
+    them. ``gossip_work`` sends them an update on a prompt that has just been sent,
+    ``gossip_limit`` one on a limit that an endpoint states.
+
+    This gateway has read the outcomes of roll-outs up to ``outcomes_offset``, the last
+    new ones at ``outcomes_changed_s``. Some other gateway has read them up to
+    ``peer_outcomes_offset``.
     """
 
     settings: GatewaySettings
@@ -106,14 +109,14 @@
     pace: RelayPace = field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        """Make what depends on the settings."""
+        """Create what depends on the settings."""
         self.sessions = SessionVersions(self.settings.session_life_s)
         self.guard = RequestGuard(self.log, random=self.random)
         self.crash_watch = CrashWatch(self.log, self.metrics, self.guard.note_crash)
         self.take_settings(self.settings)
 
     def take_settings(self, settings: GatewaySettings) -> None:
-        """Keep to new bounds from now on; what was counted stays counted."""
+        """Apply new limits from now on; earlier requests remain counted."""
         self.settings = settings
         self.sessions.life_s = settings.session_life_s
         proof_s = PROOF_SHARE * settings.revocation_s
@@ -135,7 +138,7 @@
     def peers(self) -> frozenset[str]:
         """Names of the other gateways that are or may be alive.
 
-        The same object as long as they are the same.
+        The same object is returned until the names change.
         """
         if self._peers_of is not self.members:
             names = frozenset(self.members)
@@ -146,21 +149,21 @@
 
     @property
     def gateway_count(self) -> int:
-        """How many gateways share the promised bounds."""
+        """The number of gateways that share the limits."""
         known = len(self.peers) + (self.settings.name not in self.peers)
         return known if self.members_known else max(known, ASSUMED_GATEWAYS)
 
     def next_number(self) -> int:
-        """Return a number that no other exchange of this process has."""
+        """Return a number that is unique among the exchanges of this process."""
         self._last_number += 1
         return self._last_number
 
     def confidences(self, service: str) -> ConfidenceBeliefs:
-        """Return what the opinions of a service's models are worth."""
+        """Return the calibration of the confidence that a service's models report."""
         return self.confidence.setdefault(service, ConfidenceBeliefs())
 
     def delay_cost(self, service: str) -> DelayCost:
-        """Return what a little more waiting costs requests for a service."""
+        """Return the cost of additional waiting for requests of a service."""
         return self.delay_costs.setdefault(service, DelayCost())
 
     def note_sent(self, service: str, now_s: float) -> None:
@@ -168,16 +171,16 @@
         self.sent.setdefault(service, SlidingCount(SENT_WINDOW_S)).add(now_s)
 
     def sent_per_s(self, service: str, now_s: float) -> float:
-        """Return how many requests this gateway sends to a service at present."""
+        """Return the current rate of requests from this gateway to a service."""
         counted = self.sent.get(service)
         return counted.total(now_s) / SENT_WINDOW_S if counted else 0.0
 
     def reading_pace(self, service: str, model: str | None) -> ReadingPace:
-        """Return how fast a model of a service reads prompts."""
+        """Return the prefill latency of a service's model."""
         return self.reading.setdefault((service, model), ReadingPace())
 
     def budget(self, service: str) -> RetryBudget:
-        """Return the repeats that may be sent to a service."""
+        """Return the retry budget of a service."""
         if service not in self.budgets:
             self.budgets[service] = RetryBudget(
                 *self._retry_bounds(), self.settings.retry_window_s
--- a/acaciacove/gateway/gateway_metrics.py
+++ b/acaciacove/gateway/gateway_metrics.py
@@ -1,4 +1,4 @@
-"""Counts what a gateway does, and shows it to whoever scrapes."""
+"""Counts what a gateway does and renders the counts for a scraper."""
 
 import asyncio
 from collections import deque
@@ -9,24 +9,24 @@
 from acaciacove.gateway.metric import Metric
 
 PREFIX = "acaciacove_gateway_"
-# Times of interest: latency targets of 0.15 to 2 s, and time limits of up to 25 s.
+# Covers latency targets of 0.15 to 2 s and time limits of up to 25 s.
 BUCKETS_S = (0.025, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0, 30.0)
-# Counts kept before the library is loaded, some seconds after a start.
+# Counts kept until the library is loaded, a few seconds after the start.
 MAX_EARLY = 20_000
-# When the library is loaded: after the rush that follows a start.
+# The library is loaded after the burst of requests that follows a start.
 LOAD_AFTER_S = 2.0
 Gauges = dict[tuple[str, str], dict[tuple[tuple[str, str], ...], float]]
 
 
 class GatewayMetrics:
-    """Counters and histograms by aioprometheus, loaded behind the start.
+    """Counters and histograms by aioprometheus, which is loaded after the start.
 
-    Its import takes a tenth of a second, which callers would wait for at every
-    restart; until it is there, counts are kept and then handed over.
+    Its import takes a tenth of a second, which callers would have to wait at every
+    restart. Until it is loaded, counts are kept and then replayed.
     """
 
     def __init__(self) -> None:
-        """Begin without the library."""
+        """Start without the library."""
         self._early: deque[tuple[Metric, tuple[str, ...], float]] = deque(
             maxlen=MAX_EARLY
         )
@@ -35,7 +35,7 @@
         self._library: Any = None
 
     def count(self, metric: Metric, *values: str, amount: float = 1.0) -> None:
-        """Count; ``values`` are those of the metric's labels."""
+        """Add to a metric; ``values`` are the values of its labels."""
         if self._registry is None:
             self._early.append((metric, values, amount))
             return
@@ -66,7 +66,7 @@
             self.count(metric, *values, amount=amount)
 
     def page(self, gauges: Callable[[], Gauges]) -> bytes:
-        """Return the text for a scraper, with ``gauges`` as they are now."""
+        """Return the metrics as text, with the current values of ``gauges``."""
         if self._registry is None:
             return b"# starting\n"
         registry = self._library.Registry()
--- a/acaciacove/gateway/gauges.py
+++ b/acaciacove/gateway/gauges.py
@@ -1,4 +1,4 @@
-"""What a gateway is and believes at the moment it is scraped."""
+"""The gauges of a gateway at the time of a scrape."""
 
 import asyncio
 import resource
@@ -85,7 +85,8 @@
 
 
 def _endpoint_states(gateway: Gateway, now_s: float) -> dict[Labels, float]:
-    """Count endpoints by state; each is in the first state that fits."""
+    """Count endpoints by state; each endpoint counts in the first state that applies.
+    """
     counts = dict.fromkeys(("leaving", "zone_out", "ejected", "cold", "usable"), 0.0)
     for endpoint in gateway.beliefs.endpoints.values():
         state = gateway.states.of(endpoint)
--- a/acaciacove/gateway/keep_limit.py
+++ b/acaciacove/gateway/keep_limit.py
@@ -1,17 +1,17 @@
-"""Keeps to bounds on an endpoint that hold over all gateways together."""
+"""Limits on an endpoint that all gateways together comply with."""
 
 from acaciacove.gateway.choice.share_of import draws, name_number, share_of
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.gateway import Gateway
 
-# How often it is checked whether members have come or gone.
+# The interval between checks for changes in the set of gateways.
 CHECK_EVERY_S = 1.0
-# The part of an endpoint's connections that gateways use, all together.
+# The share of an endpoint's connection limit that all gateways together use.
 CONNECTION_MARGIN = 0.8
 
 
 def may_send(gateway: Gateway, state: EndpointState, now_s: float) -> bool:
-    """Tell whether an endpoint's limit leaves room for one more from this gateway."""
+    """Return whether an endpoint's limit allows one more request from this gateway."""
     if not state.limit.is_set(now_s):
         return True
     return state.limit.allows(now_s, own_share(gateway, state, now_s))
@@ -20,7 +20,8 @@
 def own_share(gateway: Gateway, state: EndpointState, now_s: float) -> int:
     """Return how many requests this gateway may send in the limit's window."""
     if not gateway.members_known:
-        # How many share the limit is not known yet; others keep to it meanwhile.
+        # The number of gateways that share the limit is not known yet. The gateways
+        # that do know it use the limit meanwhile.
         return 0
     total, share = state.limit.per_window, state.limit_share
     if share.total == total and now_s - share.checked_s < CHECK_EVERY_S:
@@ -36,11 +37,12 @@
 def with_free_connections(
     gateway: Gateway, limit: int, states: list[EndpointState]
 ) -> list[EndpointState]:
-    """Leave endpoints of whose connections this gateway may use one more.
+    """Return the endpoints to which this gateway may open one more connection.
 
-    Parts of an endpoint's connections add up to its limit in the mean only, at a cost
-    that does not grow with the gateways. One that has no part at any may use one where
-    it uses none: it would refuse all its callers.
+    The gateways' shares of an endpoint's connections add up to its limit on average
+    only. This costs the same for any number of gateways. A gateway without a share of
+    any endpoint may use one connection to each endpoint to which it has none, as it
+    would otherwise refuse all its callers.
     """
     count = gateway.gateway_count
     whole, rest = divmod(int(CONNECTION_MARGIN * limit), count)
--- a/acaciacove/gateway/log_events.py
+++ b/acaciacove/gateway/log_events.py
@@ -1,4 +1,4 @@
-"""Names of log lines."""
+"""Names of the events in log lines."""
 
 from enum import StrEnum
 
--- a/acaciacove/gateway/log_limit.py
+++ b/acaciacove/gateway/log_limit.py
@@ -1,4 +1,4 @@
-"""The log line for what an endpoint says of its limit."""
+"""The log line for a limit that an endpoint states."""
 
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.event_log import EventLog
@@ -6,7 +6,7 @@
 
 
 def log_limit(log: EventLog, state: EndpointState, told: bool) -> None:
-    """Log a limit or its end; ``told`` where another gateway got the answer."""
+    """Log a limit or its end; ``from_peer`` if another gateway received the answer."""
     per_s = state.limit.per_s
     log.write(
         Event.ENDPOINT_LIMITED,
--- a/acaciacove/gateway/log_page.py
+++ b/acaciacove/gateway/log_page.py
@@ -1,4 +1,4 @@
-"""What one call to the log returned."""
+"""The result of one call to the log."""
 
 from attrs import frozen
 
@@ -7,12 +7,13 @@
 
 @frozen
 class LogPage:
-    """Records in offset order, and the offset to read on from.
+    """Records in offset order, and the offset from which to read on.
 
-    A page that another gateway told says how fresh it is: nothing but its records
-    had been written ``complete_after_s`` after the question (negative: before it).
-    Pages of the log itself do not have it. ``returned_after_s`` is when, by the same
-    count, the log came back from its last absence that the other gateway knows of.
+    A page that another gateway relayed states how fresh it is: ``complete_after_s``
+    after the request, nothing but its records had been written (negative: before the
+    request). Pages read from the log itself do not have it. ``recovered_after_s`` is
+    when, counted the same way, the log recovered from the last outage known to the
+    other gateway.
     """
 
     records: tuple[LogRecord, ...]
@@ -22,5 +23,5 @@
 
     @property
     def is_told(self) -> bool:
-        """Tell whether the page came from another gateway."""
+        """Return whether the page came from another gateway."""
         return self.complete_after_s is not None
--- a/acaciacove/gateway/log_reading.py
+++ b/acaciacove/gateway/log_reading.py
@@ -1,21 +1,21 @@
-"""One successful look at a stream of the platform's log."""
+"""One successful read of a stream of the platform's log."""
 
 from attrs import frozen
 
 from acaciacove.gateway.log_page import LogPage
 
-# In shorter absences, as a part of the pause between heartbeats, no entry lapses.
+# The shortest outage, in heartbeat intervals, in which an entry can expire.
 LEAST_ABSENCE_HEARTBEATS = 0.5
 
 
 @frozen
 class LogReading:
-    """A page and the moments of its reading, by the clock that goes on while suspended.
+    """A page and the times of its read, by the clock that runs during a suspend.
 
-    ``is_newest`` is set where the page holds the newest of each key. Calls failed from
-    ``failing_boot_s`` on; None where the first one succeeded, which was made at
-    ``asked_boot_s``. The log held no more than this page, and those before it, at
-    ``complete_boot_s``.
+    ``is_snapshot`` is set if the page holds the newest record of each key. Calls failed
+    from ``failing_since_boot_s`` on; None if the first call succeeded. The successful
+    call was made at ``requested_boot_s``. At ``complete_boot_s`` the log held no more
+    than this page and those before it.
     """
 
     page: LogPage
@@ -26,16 +26,17 @@
 
     @property
     def failed_s(self) -> float:
-        """For how long calls had failed before this one."""
+        """How long calls had failed before this one."""
         if self.failing_boot_s is None:
             return 0.0
         return self.asked_boot_s - self.failing_boot_s
 
     def returned_boot_s(self, heartbeat_s: float) -> float | None:
-        """Return when the log came back from an absence; None if it was there.
+        """Return when the log recovered from an outage, or None if there was none.
 
-        Calls that failed here alone are none: another gateway tells since when the log
-        has been there. Only where the log answers itself do they stand for it.
+        Calls that failed only in this process are no outage: a page from another
+        gateway states since when the log has been available. If the log itself
+        answered, the failed calls are the only evidence and count as an outage.
         """
         if self.failed_s < LEAST_ABSENCE_HEARTBEATS * heartbeat_s:
             return None
--- a/acaciacove/gateway/log_record.py
+++ b/acaciacove/gateway/log_record.py
@@ -5,7 +5,7 @@
 
 @frozen
 class LogRecord:
-    """The record of ``key`` at ``offset``; no ``value`` means that it was removed."""
+    """The record of ``key`` at ``offset``; a ``value`` of None is a removal."""
 
     key: str
     value: bytes | None
--- a/acaciacove/gateway/log_stream.py
+++ b/acaciacove/gateway/log_stream.py
@@ -4,7 +4,7 @@
 
 
 class LogStream(Enum):
-    """Operators' decisions, endpoints' heartbeats, and records of our own."""
+    """Operators' decisions, endpoints' heartbeats, and the gateways' own records."""
 
     OPERATOR = "operator"
     ENDPOINTS = "endpoints"
--- a/acaciacove/gateway/metadata_log.py
+++ b/acaciacove/gateway/metadata_log.py
@@ -1,4 +1,4 @@
-"""The platform's log, as a gateway needs it."""
+"""The interface of the platform's log that a gateway requires."""
 
 from typing import Protocol
 
@@ -8,22 +8,22 @@
 
 
 class LogMovedError(AcaciacoveError):
-    """A conditional append lost: the stream ends elsewhere by now."""
+    """A conditional append failed because the stream has grown."""
 
     def __init__(self, end_offset: int) -> None:
-        """Keep where the stream ends."""
+        """Keep the offset at which the stream ends now."""
         super().__init__(f"the stream ends at offset {end_offset}")
         self.end_offset = end_offset
 
 
 class MetadataLog(Protocol):
-    """Keyed streams; calls raise PlatformUnavailableError when they fail.
+    """Streams of keyed records; failed calls raise PlatformUnavailableError.
 
-    ``newest`` returns the newest record of each key. ``read`` returns records
-    from ``offset`` on, waiting up to ``wait_s`` for one, and raises
-    OffsetExpiredError when they are gone. ``append`` writes one record, with
-    ``at`` only if the stream ends there (else LogMovedError), and returns the
-    offset behind it.
+    ``newest`` returns the newest record of each key. ``read`` returns records from
+    ``offset`` on and waits up to ``wait_s`` for one. It raises OffsetExpiredError if
+    they are no longer retained. ``append`` writes one record and returns the offset
+    after it. If ``at`` is given, it writes only if the stream ends at that offset, and
+    raises AppendConflictError otherwise.
     """
 
     async def newest(self, stream: LogStream) -> LogPage:
@@ -31,7 +31,7 @@
         ...
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        """Return records from an offset on."""
+        """Return the records from an offset on."""
         ...
 
     async def append(
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -1,12 +1,13 @@
-"""The metrics that a gateway counts while it serves."""
+"""The counters and histograms of a gateway."""
 
 from enum import Enum
 
 
 class Metric(Enum):
-    """Name, help and labels; the values of labels are closed lists.
+    """Name, help text and labels; each label has a fixed set of values.
 
-    Routes and organisations are no labels: catalogues name hundreds of them.
+    Routes and organisations are not used as labels, as catalogues contain hundreds of
+    them.
     """
 
     REQUESTS = (
@@ -53,15 +54,15 @@
 
     @property
     def help(self) -> str:
-        """One line for people."""
+        """The help text."""
         return self.value[1]
 
     @property
     def labels(self) -> tuple[str, ...]:
-        """Names of the labels, in the order in which values are given."""
+        """Names of the labels, in the order in which their values are given."""
         return self.value[2]
 
     @property
     def is_histogram(self) -> bool:
-        """Tell whether values are observed rather than counted."""
+        """Return whether the metric is a histogram; otherwise it is a counter."""
         return self.suffix.endswith("_seconds")
--- a/acaciacove/gateway/operator_decision.py
+++ b/acaciacove/gateway/operator_decision.py
@@ -1,4 +1,4 @@
-"""What an operator's record decides."""
+"""The decisions that operators' records contain."""
 
 from attrs import frozen
 
@@ -7,14 +7,14 @@
 
 @frozen
 class ZoneOut:
-    """Nothing more is to be sent to endpoints of the zone."""
+    """Endpoints in the zone get no more requests."""
 
     availability_zone: str
 
 
 @frozen
 class RolloutWish:
-    """Move a service to a version within a time."""
+    """Move a service to a version within a given time."""
 
     service: str
     target: str
--- a/acaciacove/gateway/operator_reader.py
+++ b/acaciacove/gateway/operator_reader.py
@@ -1,4 +1,4 @@
-"""Folds the operator's records into beliefs."""
+"""Applies the operator's records to the routing view."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 @define(eq=False)
 class OperatorReader:
-    """Applies records in offset order; never an older one over a newer."""
+    """Applies records in offset order and ignores those older than a known one."""
 
     beliefs: Beliefs
     codec: RecordCodec
@@ -26,7 +26,7 @@
     _offsets: dict[str, int] = field(factory=dict)
 
     def apply_reading(self, reading: LogReading) -> None:
-        """Take what one look at the stream has shown."""
+        """Apply the result of one read of the stream."""
         if reading.is_newest:
             self.apply_newest(reading.page.records)
         else:
@@ -35,7 +35,7 @@
         self.beliefs.confirm(reading.complete_boot_s)
 
     def apply_newest(self, records: tuple[LogRecord, ...]) -> None:
-        """Take the newest of each key; keys that are missing were removed."""
+        """Apply the newest record of each key; keys without a record were removed."""
         listed = {record.key for record in records}
         newest = max((r.offset for r in records), default=-1)
         for key in [k for k in self._offsets if k not in listed]:
@@ -44,7 +44,7 @@
             self.apply(record)
 
     def apply(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
         if record.offset <= self._offsets.get(record.key, -1):
             return
         self._offsets[record.key] = record.offset
@@ -85,7 +85,7 @@
         )
 
     def _tell_unpriced(self, catalogue: Catalogue) -> None:
-        """Say which models have no price; they are taken to cost nothing."""
+        """Log the models without a price, whose cost is taken as zero."""
         for route in catalogue.routes:
             for share in route.shares:
                 service = catalogue.services.get(share.service)
--- a/acaciacove/gateway/outcome_duty.py
+++ b/acaciacove/gateway/outcome_duty.py
@@ -1,4 +1,4 @@
-"""Judges roll-outs that are under way and records how they end."""
+"""Evaluates the roll-outs in progress and records their outcomes."""
 
 import asyncio
 
@@ -23,24 +23,25 @@
 from acaciacove.gateway.rollout.version_capacity import VersionCapacity
 
 STEP_EVERY_S = 0.1
-# Outcomes that others recorded are read this often while an order is open, and
-# right before one is recorded. All gateways together make two calls a second at most;
-# those that are told of a new outcome look at once.
+# The interval between reads of outcomes while a roll-out is in progress. Outcomes are
+# also read right before one is recorded. All gateways together make at most two of
+# these calls per second. A gateway that learns of a newer outcome from a peer reads at
+# once.
 READ_EVERY_S = 5.0
 FLEET_READS_PER_S = 2.0
-# Gateways record in turn, this long after each other, so that mostly one call is
-# made; the condition of the append settles races.
+# Gateways record in staggered slots of this length, so that usually only one of them
+# makes the call. The condition on the append resolves races.
 TURN_S = 0.2
 RETRY_S = 0.4
 
 
 class OutcomeDuty:
-    """Runs in every gateway; whoever is first in turn records the outcome."""
+    """Records outcomes; it runs in every gateway, and the first slot records."""
 
     def __init__(
         self, gateway: Gateway, metadata: MetadataLog, codec: RecordCodec
     ) -> None:
-        """Begin without orders."""
+        """Start without roll-outs."""
         self._gateway = gateway
         self._metadata = metadata
         self._codec = codec
@@ -50,7 +51,7 @@
         self._offsets: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Judge and record until cancelled."""
+        """Evaluate and record until cancelled."""
         while not await self._read_outcomes():
             await asyncio.sleep(STEP_EVERY_S)
         self._gateway.beliefs.outcomes_known = True
@@ -74,7 +75,7 @@
         return max(READ_EVERY_S, self._gateway.gateway_count / FLEET_READS_PER_S)
 
     def _follow_orders(self) -> None:
-        """Open and close roll-outs as orders and outcomes say."""
+        """Start and end roll-outs according to the current orders and outcomes."""
         gateway = self._gateway
         for service in list(gateway.rollouts):
             order = gateway.beliefs.orders.get(service)
@@ -100,7 +101,7 @@
         )
 
     async def _read_outcomes(self) -> bool:
-        """Read what is new; false when the log cannot be read now."""
+        """Read new outcomes; return false if the log cannot be read now."""
         self._read_s = asyncio.get_running_loop().time()
         try:
             if self._next_offset < 0:
@@ -113,7 +114,7 @@
             self._next_offset = -1
             return False
         except PlatformUnavailableError:
-            # The followers of the decisions have said so; the next round reads on.
+            # The readers of the decision stream log the outage; the next round retries.
             return False
         for record in page.records:
             self._take(record)
@@ -179,7 +180,7 @@
         )
 
     def _wanted(self, progress: RolloutProgress) -> RolloutState | None:
-        """Return the state that ought to be recorded and is not."""
+        """Return the state that should be recorded but is not, if any."""
         if progress.phase is RolloutPhase.STOPPED:
             return RolloutState.ROLLED_BACK
         now_s = asyncio.get_running_loop().time()
@@ -202,9 +203,9 @@
         if now_s < self._due_s[key]:
             return
         self._due_s[key] = now_s + RETRY_S
-        # A process that has slept since it judged may hold an old picture: what
-        # others recorded meanwhile is read first, and the append is refused if
-        # anything was written after that.
+        # A process that was suspended after its evaluation may hold a stale view. It
+        # first reads what others have recorded since then, and the append is rejected
+        # if anything was written after that read.
         if not await self._read_outcomes() or self._is_ended(progress.order):
             return
         if self._wanted(progress) is state:
@@ -215,7 +216,7 @@
         return sorted({name, *self._gateway.peers}).index(name)
 
     async def _record(self, progress: RolloutProgress, state: RolloutState) -> None:
-        """Append the state, only if nobody has written since the last read."""
+        """Append the state, provided that nothing was written since the last read."""
         order = progress.order
         status = RolloutStatus(order.service, order.target, state, self._next_offset)
         name, value = self._codec.write_outcome(status)
--- a/acaciacove/gateway/probe_protocol.py
+++ b/acaciacove/gateway/probe_protocol.py
@@ -1,4 +1,4 @@
-"""Answers short questions of the platform: readiness and metrics."""
+"""Answers the platform's readiness probes and scrapes of metrics."""
 
 from collections.abc import Callable
 
@@ -28,7 +28,7 @@
         self._answer_path = answer
 
     def data_received(self, data: bytes) -> None:
-        """Answer every request that is complete."""
+        """Answer every complete request."""
         super().data_received(data)
         try:
             self._answer_all()
--- a/acaciacove/gateway/record_codec.py
+++ b/acaciacove/gateway/record_codec.py
@@ -1,4 +1,4 @@
-"""How records of the log are spelled on one platform."""
+"""The encoding of log records on one platform."""
 
 from collections.abc import Callable
 
@@ -12,11 +12,11 @@
 
 @frozen
 class RecordCodec:
-    """Functions between records and typed values.
+    """Functions that convert between records and typed values.
 
-    Readers return None for a record that is not of their kind, and raise
-    MalformedMessageError for one that cannot be read. ``removed_zone`` and
-    ``removed_rollout`` name what the removal of a key takes back.
+    Readers return None for a record of another kind and raise MalformedMessageError for
+    one that cannot be decoded. ``removed_zone`` and ``removed_rollout`` return the zone
+    or service whose decision the removal of a key revokes.
     """
 
     read_decision: Callable[[LogRecord], OperatorDecision | None]
--- a/acaciacove/gateway/relay/__init__.py
+++ b/acaciacove/gateway/relay/__init__.py
@@ -1,1 +1,1 @@
-"""A few gateways read the log; the others ask them."""
+"""Relays the log: a few gateways read it, and the others read through them."""
--- a/acaciacove/gateway/relay/not_told.py
+++ b/acaciacove/gateway/relay/not_told.py
@@ -1,10 +1,10 @@
-"""Why another gateway told nothing of the log."""
+"""Why another gateway relayed nothing."""
 
 from enum import Enum
 
 
 class NotTold(Enum):
-    """It knows too little, could not be reached, or is no member any more."""
+    """Its view is too old, it could not be reached, or it is no longer a member."""
 
     STALE = "stale"
     UNREACHED = "unreached"
--- a/acaciacove/gateway/relay/reader_link.py
+++ b/acaciacove/gateway/relay/reader_link.py
@@ -1,4 +1,4 @@
-"""Questions to one other gateway for records of one stream."""
+"""Requests to one other gateway for records of one stream."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class ReaderLink:
-    """One kept connection; a question at a time."""
+    """One persistent connection, used for one request at a time."""
 
     def __init__(
         self,
@@ -23,16 +23,16 @@
         clock_s: Callable[[], float],
         pace: Callable[[], RelayPace],
     ) -> None:
-        """Begin unconnected; ``clock_s`` goes on while the machine is suspended."""
+        """Start without a connection; ``clock_s`` keeps running during a suspend."""
         self.address = (host, port)
         self._clock_s = clock_s
         self._pace = pace
         self._connection: Connection | None = None
 
     async def ask(self, stream: str, offset: int, wait_s: float) -> LogPage | None:
-        """Return what the other knows, None if it knows nothing of use.
+        """Return the records that the other gateway has, None if its view is too old.
 
-        Raises OSError or TimeoutError when it cannot be reached.
+        Raises OSError or TimeoutError if the other gateway cannot be reached.
         """
         pace = self._pace()
         hold_s = min(wait_s, pace.question_s)
@@ -49,24 +49,25 @@
                 raise ConnectionResetError("the other gateway closed the connection")
             answered = True
         finally:
-            # After a failure an answer may still be on its way; on a kept connection
-            # it would be taken for that to the next question.
+            # After a failure a reply may still be in transit. If the connection were
+            # kept, that reply would be taken for the one to the next request.
             if not answered:
                 self.close()
         return _page(told, self._clock_s() - asked_boot_s) if told.known else None
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
 def _page(told: LogTold, took_s: float) -> LogPage:
-    """Read an answer.
+    """Convert a reply to a page.
 
-    It was made no earlier than the question plus its hold. Counted from its arrival,
-    an answer that waited in a suspended machine's socket would look fresh.
+    The reply was made no earlier than the request plus the time for which it was held.
+    Counted from its arrival instead, a reply that waited in the socket of a suspended
+    machine would look fresh.
     """
     records = tuple(
         LogRecord(r.key, None if r.removed else r.value, r.offset) for r in told.records
--- a/acaciacove/gateway/relay/reading_order.py
+++ b/acaciacove/gateway/relay/reading_order.py
@@ -1,27 +1,27 @@
-"""Who reads the log, and whom the others ask."""
+"""Which gateways read the log, and through which of them the others read."""
 
 from collections import Counter
 from collections.abc import Iterable, Mapping
 
 from acaciacove.gateway.choice.stable_hash import stable_hash
 
-# Gateways that one reader tells. Each asks for two streams, twice a second, at about
-# 0.2 ms of the reader's processor and 150 bytes: 1.3% of a core and 10 kB/s at most.
-# One reader more costs the platform two calls a second.
+# Gateways that read through one reader. Each sends requests for two streams, twice a
+# second, at about 0.2 ms of the reader's processor time and 150 bytes: at most 1.3% of
+# a core and 10 kB/s. Each additional reader costs the platform two calls a second.
 TOLD_BY_ONE = 16
-# Whom to ask while the readers themselves cannot reach the log. Gateways further
-# behind in the order then read nothing either; these few do.
+# Gateways that are asked if the readers cannot reach the log. Gateways later in the
+# order would then read nothing themselves, while these do.
 SUBSTITUTES = 2
 
 
-# A zone with so many gateways has readers of its own. That spares bytes between zones,
-# and keeps few followers to a reader: a change of the catalogue goes to all of them at
-# once, over the link that the reader's callers share.
+# A zone with this many gateways has its own readers. This saves traffic between zones
+# and bounds the gateways per reader: a change of the catalogue is sent to all of them
+# at once, over the link that the reader's callers share.
 LEAST_GROUP = 3
 
 
 def reading_group(me: str, zone_of: Mapping[str, str]) -> set[str]:
-    """Return the members that share readers with ``me``, itself among them."""
+    """Return the members that share readers with ``me``, including itself."""
     sizes = Counter(zone_of.values())
     if sizes[zone_of[me]] >= LEAST_GROUP:
         return {name for name, zone in zone_of.items() if zone == zone_of[me]}
@@ -29,27 +29,27 @@
 
 
 def reading_order(members: Iterable[str]) -> list[str]:
-    """Rank the members, those that read the log first; alike in all of them."""
+    """Return the members ranked, readers first; all members compute the same order."""
     return sorted(members, key=lambda name: stable_hash(f"reader/{name}"))
 
 
 def reader_count(members: int) -> int:
-    """Return how many of so many gateways read the log themselves."""
+    """Return how many of ``members`` gateways read the log themselves."""
     return 1 + (members - 1) // TOLD_BY_ONE if members else 0
 
 
 def whom_to_ask(me: str, members: Iterable[str], may_read: bool) -> list[str]:
-    """List whom ``me`` asks, in turn, before it reads the log itself.
+    """Return the gateways that ``me`` asks, in order, before it reads the log itself.
 
-    ``may_read`` is false while the log turns ``me`` away: then it asks others
-    also where it would be a reader.
+    ``may_read`` is false while the log rejects calls of ``me``. It then asks other
+    gateways even if it is a reader.
     """
     order = reading_order({*members, me})
     count = reader_count(len(order))
     readers = order[:count]
     if may_read and me in readers:
         return []
-    # Each begins with another reader, so that they share the questions.
+    # Each gateway starts with a different reader, which spreads the requests.
     first = int.from_bytes(stable_hash(me)) % count
     asked = readers[first:] + readers[:first]
     asked += order[count : count + SUBSTITUTES]
--- a/acaciacove/gateway/relay/relayed_log.py
+++ b/acaciacove/gateway/relay/relayed_log.py
@@ -1,4 +1,4 @@
-"""The platform's log, read through other gateways where they can tell."""
+"""The platform's log, read through other gateways where possible."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -26,8 +26,8 @@
 if TYPE_CHECKING:
     from acaciacove.gateway.relay.reader_link import ReaderLink
 
-# How long a gateway that could not be reached is not asked; one that is dead for
-# good costs each asker a connection attempt in this time.
+# How long an unreachable gateway is not asked again. A dead one costs each of the
+# others one connection attempt in this time.
 UNREACHED_PAUSE_S = 3.0
 THE_LOG = "log"
 
@@ -36,10 +36,10 @@
 
 @define(eq=False)
 class RelayedLog:
-    """Asks other gateways before the log, which limits and charges for its calls.
+    """Reads through other gateways first, as calls to the log are limited and billed.
 
-    ``members`` are the other gateways by name. Appends, the newest of
-    each key and all other streams go to the log itself.
+    ``members`` are the other gateways by name. Appends, snapshots and all streams that
+    are not relayed go directly to the log.
     """
 
     name: str
@@ -67,7 +67,9 @@
         return await self.metadata.append(stream, key, value, at)
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        """Return records from an offset on, told by a gateway or by the log."""
+        """Return the records from an offset on, relayed by a gateway or read from the
+        log.
+        """
         if stream in TOLD_STREAMS:
             page = await self._ask_others(stream, offset, wait_s)
             if page is not None:
@@ -77,10 +79,11 @@
     async def _ask_others(
         self, stream: LogStream, offset: int, wait_s: float
     ) -> LogPage | None:
-        """Ask those who may know, until one does.
+        """Ask the candidates in order until one returns records.
 
-        One that is silent takes a good part of the time within which a departure must
-        be known: after it this gateway looks itself, unless the log turns it away.
+        A gateway that does not answer takes up a large part of the time within which a
+        removal must become known. After one such timeout this gateway reads the log
+        itself, unless the log rejects its calls.
         """
         may_read = not self._is_refused(stream)
         for name in self._whom_to_ask(stream, may_read):
@@ -101,10 +104,10 @@
         return [name for name in names if now_s >= self._not_before(name, stream)]
 
     def _one_more(self, others: set[str]) -> list[str]:
-        """Return one gateway more, each time the next.
+        """Return one additional gateway, a different one each time.
 
-        Where those that are asked first have lost the log, others look themselves; a
-        gateway that cannot look learns it from them alone.
+        If the preferred gateways have lost the log, the others read it themselves. A
+        gateway that cannot read it gets the records only from one of those.
         """
         if not others:
             return []
@@ -116,10 +119,10 @@
         return self._not_before_s.get((name, stream), 0.0)
 
     def _is_refused(self, stream: LogStream) -> bool:
-        """Tell whether the log has just turned this gateway away, and others may know.
+        """Return whether the log has just rejected a call for this stream.
 
-        Each stream counts alone: on a connection that went silent with the log, a call
-        may fail seconds after others have succeeded.
+        Each stream counts separately: on a connection that went silent together with
+        the log, a call may fail seconds after calls for other streams have succeeded.
         """
         refused_s = self._refused_s.get(stream, float("-inf"))
         return self.clock_s() - refused_s < self.pace().turned_away_s
@@ -154,8 +157,9 @@
         self, name: str, stream: LogStream, result: NotTold, detail: str
     ) -> NotTold:
         self.metrics.count(Metric.LOG_QUESTIONS, result.value)
-        # While the log is away for all, each gateway asks all others in vain several
-        # times a second; those lines give way to the ones on requests.
+        # During an outage of the log, each gateway asks all others in vain several
+        # times a second. These lines are routine, so that lines on requests take
+        # precedence.
         self.log.write(
             Event.READER_PUT_OFF,
             routine=result is NotTold.STALE,
@@ -167,15 +171,15 @@
         return result
 
     def _link(self, name: str, stream: LogStream) -> "ReaderLink | None":
-        """Return the link to a gateway; None for one that is no member any more.
+        """Return the link to a gateway, or None if it is no longer a member.
 
-        A member that was silent for long may be dropped while the one before it in
-        the list is asked. Taken for granted here, it ended the following of the log,
-        and its process with it.
+        A member that was silent for long may be removed while the one before it in the
+        list is being asked. An unchecked lookup here would raise in the task that
+        follows the log, which stops the process.
         """
-        # The links' codec takes a tenth of a second to load, which a start's first
-        # callers would wait for. There is nobody to ask before peers are known, and
-        # those are found with the same codec.
+        # The codec of the links takes a tenth of a second to load, which the first
+        # callers after a start would have to wait. There is no gateway to ask until
+        # peers are known, and they are found with the same codec.
         from acaciacove.gateway.relay.reader_link import ReaderLink
 
         member = self.members().get(name)
@@ -198,16 +202,18 @@
         except PlatformUnavailableError:
             self._refused_s[stream] = self.clock_s()
             raise
-        # The log is there: whatever else has just failed may be tried again.
+        # The log is available again, so other streams whose calls failed may be
+        # retried.
         self._refused_s.clear()
         if stream in TOLD_STREAMS:
             self._note_source(stream, THE_LOG)
         return page
 
     def _is_put_off(self, stream: LogStream) -> bool:
-        """Tell whether own tries rest, as somebody else looks for the log's return.
+        """Return whether to skip a read because another gateway watches for the
+        recovery.
 
-        One that cannot be reached could not tell of it.
+        A gateway that cannot be reached could not report the recovery.
         """
         if not self._is_refused(stream):
             return False
--- a/acaciacove/gateway/relay/stream_tail.py
+++ b/acaciacove/gateway/relay/stream_tail.py
@@ -1,4 +1,4 @@
-"""The newest records of one stream, kept to tell other gateways."""
+"""The newest records of one stream, retained to be relayed to other gateways."""
 
 import asyncio
 from collections import deque
@@ -9,14 +9,14 @@
 from acaciacove.gateway.log_record import LogRecord
 from acaciacove.gateway.log_stream import LogStream
 
-# What gateways tell each other: decisions and endpoints, which all of them follow.
+# The streams that all gateways follow: decisions and endpoints.
 TOLD_STREAMS = (LogStream.OPERATOR, LogStream.ENDPOINTS)
 
-# Records that are kept: the heartbeats of a thousand endpoints over two rests between
-# reads. A gateway that asks for older ones has to read the log itself.
+# The records that are retained: the heartbeats of a thousand endpoints during two
+# pauses between reads. A gateway that needs older ones has to read the log itself.
 KEPT_RECORDS = 2_048
-# A catalogue with hundreds of routes has a hundred kilobytes, and a storm of them
-# comes at ten a second.
+# A catalogue with hundreds of routes takes a hundred kilobytes, and a burst of changes
+# brings ten of them a second.
 KEPT_BYTES = 2 * 2**20
 
 
@@ -24,10 +24,11 @@
 class StreamTail:
     """Records from ``first_offset`` up to ``next_offset``, and how fresh they are.
 
-    Times are of the clock that goes on while the machine is suspended:
-    ``complete_boot_s`` is when, by an own look, nothing else had been written,
-    ``asked_boot_s`` when another gateway last asked, and ``returned_boot_s`` when the
-    log last came back from an absence, if one is known.
+    Times are by the clock that keeps running while the machine is suspended.
+    ``complete_boot_s`` is when, according to a read of this gateway, nothing else had
+    been written. ``requested_boot_s`` is the last request of another gateway.
+    ``recovered_boot_s`` is when the log last recovered from an outage, None if none is
+    known.
     """
 
     first_offset: int = -1
@@ -40,7 +41,7 @@
     _size_bytes: int = 0
 
     def take(self, reading: LogReading) -> None:
-        """Take a page that was read here or told by another gateway."""
+        """Add a page that was read from the log or relayed by another gateway."""
         page = reading.page
         if reading.is_newest or self.next_offset < 0:
             self._restart(page.next_offset)
@@ -49,15 +50,16 @@
                 self._keep(record)
         self.next_offset = max(self.next_offset, page.next_offset)
         if not page.is_told:
-            # Freshness that was told is not told on. Two gateways that have both lost
-            # the log would otherwise assure each other, and miss what is written.
+            # Freshness that was relayed is not relayed on. Two gateways that have both
+            # lost the log would otherwise keep confirming each other and miss what is
+            # written.
             self.complete_boot_s = max(self.complete_boot_s, reading.complete_boot_s)
         if page.records:
             self.changed.set()
             self.changed = asyncio.Event()
 
     def _restart(self, next_offset: int) -> None:
-        """Begin anew: the newest of each key are no gapless run of records."""
+        """Start anew after a snapshot, which is not a gapless sequence of records."""
         self._records.clear()
         self._size_bytes = 0
         self.first_offset = self.next_offset = next_offset
@@ -76,7 +78,7 @@
             self.first_offset = dropped.offset + 1
 
     def covers(self, offset: int) -> bool:
-        """Tell whether everything from ``offset`` on is kept here."""
+        """Return whether every record from ``offset`` on is retained here."""
         return 0 <= self.first_offset <= offset <= self.next_offset
 
     def since(self, offset: int) -> tuple[LogRecord, ...]:
--- a/acaciacove/gateway/relay/tell_records.py
+++ b/acaciacove/gateway/relay/tell_records.py
@@ -1,4 +1,4 @@
-"""Answers other gateways that ask for records of the log."""
+"""Answers other gateways' requests for records of the log."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -12,8 +12,8 @@
 from acaciacove.messages.told_record import ToldRecord
 from acaciacove.wire.connection import Connection
 
-# Knowledge that has no more than this left to be told is not told: an answer with
-# nothing in it, held for no time, would only bring the same question again.
+# Records that may be relayed for no longer than this are not relayed: an empty reply
+# without a wait would only lead to the same request again.
 LEAST_LEFT_S = 0.01
 
 Tails = Mapping[LogStream, StreamTail]
@@ -25,9 +25,10 @@
     clock_s: Callable[[], float],
     pace: RelayPace,
 ) -> None:
-    """Answer the questions of one connection until it closes.
+    """Answer the requests on one connection until it closes.
 
-    What is older than ``pace`` says is not told: the asker does better to look itself.
+    Records older than ``intervals`` allows are not relayed; the requester then reads
+    the log itself.
     """
     try:
         while isinstance(ask := await connection.receive(), LogAsk):
@@ -38,27 +39,27 @@
             oldest_s = pace.oldest_endpoints_s if is_endpoints else pace.oldest_told_s
             await connection.send(await answer(ask, tail, clock_s, oldest_s))
     except ConnectionError:
-        # The asker is gone; nobody waits for the answer.
+        # The requester has closed the connection and needs no reply.
         return
     finally:
         connection.close()
 
 
 def _tail_of(tails: Tails, name: str) -> StreamTail | None:
-    """Return the tail of a stream; None for one that is not told."""
+    """Return the tail of a stream, None if the stream is not relayed."""
     return next((t for stream, t in tails.items() if stream.value == name), None)
 
 
 async def answer(
     ask: LogAsk, tail: StreamTail, clock_s: Callable[[], float], oldest_s: float
 ) -> LogTold:
-    """Hold a question while there is nothing new, then say what is known."""
+    """Hold a request until there are new records, then reply with what is known."""
     asked_boot_s = clock_s()
     tail.asked_boot_s = asked_boot_s
     left_s = oldest_s - (asked_boot_s - tail.complete_boot_s)
     is_fresh = left_s > LEAST_LEFT_S
     if is_fresh and tail.next_offset <= ask.offset:
-        # Nothing may be held for longer than it can still be told.
+        # A request must not be held for longer than the records may be relayed.
         await _news(tail, min(ask.wait_s, left_s))
     now_boot_s = clock_s()
     known = is_fresh and tail.covers(ask.offset)
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: its listeners, followers and duties, and its end."""
+"""One gateway process: its listeners, its tasks, and its shutdown."""
 
 import asyncio
 import socket
@@ -33,34 +33,34 @@
 from acaciacove.gateway.serve_request import serve_request
 from acaciacove.settings.gateway_settings import GatewaySettings
 
-# While other gateways ask this one, its reads are held for less, so that an asker
-# notices in time when it has lost the log. A question this long ago says that nobody
-# asks any more.
+# While other gateways read through this one, its own reads of the log have shorter
+# waits, so that the others notice in time if it loses the log. After this time without
+# a request no other gateway reads through it any more.
 ASKED_MEMORY_S = 5.0
 TRIM_EVERY_S = 1.0
 METRICS_PATH = "/metrics"
 LISTEN_BACKLOG = 1024
-# Callers give an unread request a second. A start that has no beliefs by half of
-# that tells them so, in time to try elsewhere.
+# Callers give an unread request one second. A start without a usable view after half of
+# that refuses them, in time for an attempt elsewhere.
 START_WAIT_S = 0.5
 START_STEP_S = 0.005
-# Of the time between SIGTERM and SIGKILL, what is kept for the end itself.
+# The part of the time between SIGTERM and SIGKILL that is reserved for the exit.
 END_MARGIN_S = 0.4
-# After SIGTERM the balancer needs two misses, a second apart, to send no more
-# callers here. A request that comes later could not be finished for certain, so
-# from then on none is taken.
+# After SIGTERM the balancer needs two failed probes, one second apart, before it sends
+# no more callers here. A request that arrives later might not be finished before the
+# exit, so none is accepted after this time.
 NOTICE_S = 2.6
-# Where the process has less time than for that, it takes callers for a part of it.
+# If the process has less time than that, it accepts callers for this share of it.
 NOTICE_SHARE = 0.5
 END_SHARE = 0.1
 LEAVE_STEP_S = 0.05
 
 
 async def load_and_talk(gateway: Gateway, metadata: MetadataLog) -> None:
-    """Talk to other gateways until cancelled.
+    """Exchange gossip with other gateways until cancelled.
 
-    Their codec is slow to load and nothing that a request needs at once, so it is
-    not imported with this module.
+    The gossip codec is slow to load, and a request does not need it immediately, so it
+    is not imported with this module.
     """
     from acaciacove.gateway.peers.talk_to_peers import talk_to_peers
 
@@ -69,7 +69,7 @@
 
 @define(eq=False)
 class RunningGateway:
-    """The tasks of one gateway and what they share."""
+    """The tasks of one gateway and the state that they share."""
 
     settings: GatewaySettings
     dialect: Dialect
@@ -85,7 +85,7 @@
     connections: set[FrontConnection] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Make the state that the tasks share."""
+        """Create the state that the tasks share."""
         beliefs = Beliefs(self.clock_s)
         self.gateway = Gateway(self.settings, self.dialect, beliefs, self.log)
         self.metadata = self._relayed(CountedLog(self.metadata, self.gateway.metrics))
@@ -106,7 +106,7 @@
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until ``stop`` is set, then let callers go."""
+        """Serve until ``stop`` is set, then drain the callers' connections."""
         self.log.write(Event.STARTED, zone=self.settings.availability_zone)
         ready = await self._listen(self.settings.readiness_address, self._probe)
         metrics = await self._listen(self.settings.metrics_address, self._probe)
@@ -129,10 +129,10 @@
         self.log.write(Event.STOPPED, open_connections=len(self.connections))
 
     async def _wait_for_beliefs(self) -> None:
-        """Leave callers in the kernel's queue for as long as a start takes.
+        """Leave callers in the kernel's accept queue until the view is usable.
 
-        The first answers of the log take milliseconds. A caller that is turned
-        away in that time comes back seconds later, or not at all.
+        The first answers of the log take milliseconds. A caller that is refused in that
+        time retries seconds later, or not at all.
         """
         loop = asyncio.get_running_loop()
         until_s = loop.time() + START_WAIT_S
@@ -152,7 +152,7 @@
         await asyncio.Event().wait()
 
     async def _talk_to_peers(self) -> None:
-        """Join the other gateways once callers can be served."""
+        """Start gossip with the other gateways once callers can be served."""
         while not self.gateway.beliefs.is_usable:
             await asyncio.sleep(START_STEP_S)
         await self.open_peers(self.gateway, self.metadata)
@@ -208,7 +208,7 @@
         return gateway.metrics.page(lambda: read_gauges(gateway, len(self.connections)))
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers here."""
         return self.gateway.beliefs.is_usable and not self.gateway.leaving
 
     def _followers(self) -> list[Coroutine[Any, Any, None]]:
@@ -236,14 +236,16 @@
         ]
 
     def _rest_s(self) -> float:
-        """Return the rest between reads of endpoints: the more, the more they write."""
+        """Return the pause between reads of endpoints, longer for more endpoints."""
         return self.gateway.pace.rest_s(len(self.gateway.beliefs.endpoints))
 
     def _endpoints_held_s(self) -> float:
         return self.gateway.pace.endpoints_held_s(len(self.gateway.beliefs.endpoints))
 
     def _wait_s(self, stream: LogStream, asked_s: float) -> float:
-        """Return how long a read may be held: ``asked_s`` while other gateways ask."""
+        """Return how long a read may wait: ``relay_wait_s`` while peers read through
+        this one.
+        """
         last_boot_s = self.gateway.tails[stream].asked_boot_s
         is_asked = self.clock_s() - last_boot_s < ASKED_MEMORY_S
         alone_s = self.gateway.pace.alone_s
@@ -272,7 +274,9 @@
             self.endpoints.expire()
 
     async def _leave(self, front: asyncio.Server) -> None:
-        """Take no new callers, finish the requests that are here, and go."""
+        """Stop accepting callers, finish the requests in progress, and close
+        connections.
+        """
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.gateway.leaving = True
