--- a/acaciacove/decisions/entry_lapses.py
+++ b/acaciacove/decisions/entry_lapses.py
@@ -1,5 +1,4 @@
-"""Distinguishes entries that expired during a log outage from deregistered endpoints.
-"""
+"""Distinguishes entries that expired in a log outage from deregistered endpoints."""
 
 from attrs import define, field
 
@@ -68,8 +67,7 @@
             self._back.add(instance)
 
     def keep_removed(self, instance: str, now_s: float, drain_s: float) -> bool:
-        """Return whether a removed entry is retained because it may only have expired.
-        """
+        """Return whether a removed entry is retained, as it may only have expired."""
         if instance in self._back:
             self._back.discard(instance)
             return False
--- a/acaciacove/gateway/event_log.py
+++ b/acaciacove/gateway/event_log.py
@@ -25,8 +25,7 @@
     """Writes one JSON object per line, rate limited and without blocking."""
 
     def __init__(self, process: str, descriptor: int | None = 1) -> None:
-        """Write to a file descriptor; None collects the lines in ``lines`` for tests.
-        """
+        """Write to a descriptor; None collects the lines in ``lines`` for tests."""
         self._process = process
         self._descriptor = descriptor
         self._waiting: deque[bytes] = deque()
@@ -82,9 +81,7 @@
             self._flush()
 
     def _flush(self) -> None:
-        """Write as much as the descriptor accepts; the rest is written when it is
-        ready.
-        """
+        """Write what the descriptor accepts; the rest follows when it is ready."""
         assert self._descriptor is not None
         while self._waiting:
             line = self._waiting[0]
--- a/acaciacove/gateway/follow_log.py
+++ b/acaciacove/gateway/follow_log.py
@@ -129,8 +129,7 @@
 def _note_failure(
     followed: FollowedStream, due_boot_s: float, now_boot_s: float
 ) -> None:
-    """Record when calls began to fail: at the failure, or earlier if a reply was due.
-    """
+    """Record when calls began to fail: now, or earlier if a reply was due."""
     if followed.failing_boot_s is None:
         followed.failing_boot_s = min(due_boot_s, now_boot_s)
 
--- a/acaciacove/gateway/metadata_log.py
+++ b/acaciacove/gateway/metadata_log.py
@@ -12,7 +12,7 @@
 
     def __init__(self, end_offset: int) -> None:
         """Keep the offset at which the stream ends now."""
-        super().__init__(f"the stream ends at offset {end_offset}")
+        super().__init__(f"append rejected: the stream now ends at offset {end_offset}")
         self.end_offset = end_offset
 
 
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -12,7 +12,7 @@
 
     REQUESTS = (
         "requests_total",
-        "requests by kind of route and how they ended",
+        "requests by kind of route and result",
         ("kind", "ending"),
     )
     REFUSALS = ("refusals_total", "refusals before any attempt, by reason", ("reason",))
@@ -22,23 +22,23 @@
         "answers by model size, and those dropped for a larger one",
         ("size", "kept"),
     )
-    EJECTIONS = ("ejections_total", "times that an endpoint was left out", ())
+    EJECTIONS = ("ejections_total", "ejections of endpoints", ())
     ENDPOINT_CRASHES = (
         "endpoint_crashes_total",
-        "crashes of endpoints under requests of this gateway",
+        "crashes of endpoints during requests of this gateway",
         (),
     )
     LOG_CALLS = ("log_calls_total", "calls to the platform's log", ("call", "result"))
     LOG_QUESTIONS = (
         "log_questions_total",
-        "questions to other gateways for the log's records",
+        "requests to other gateways for records of the log",
         ("result",),
     )
-    PEER_MESSAGES = ("peer_messages_total", "reports of gateways", ("direction",))
-    PEER_BYTES = ("peer_bytes_total", "bytes of gateways' reports", ("direction",))
+    PEER_MESSAGES = ("peer_messages_total", "gossip messages", ("direction",))
+    PEER_BYTES = ("peer_bytes_total", "bytes of gossip messages", ("direction",))
     FIRST_PIECE = (
         "first_piece_seconds",
-        "from a request's first byte to the first piece of its answer",
+        "from a request's first byte to the first chunk of its answer",
         ("kind",),
     )
     WHOLE = (
--- a/acaciacove/gateway/relay/reader_link.py
+++ b/acaciacove/gateway/relay/reader_link.py
@@ -46,7 +46,10 @@
                 await self._connection.send(LogAsk(stream, offset, hold_s))
                 told = await self._connection.receive()
             if not isinstance(told, LogTold):
-                raise ConnectionResetError("the other gateway closed the connection")
+                raise ConnectionResetError(
+                    f"no LogTold reply from gateway {self.address}"
+                    f" for stream {stream} from offset {offset}"
+                )
             answered = True
         finally:
             # After a failure a reply may still be in transit. If the connection were
--- a/acaciacove/gateway/relay/relayed_log.py
+++ b/acaciacove/gateway/relay/relayed_log.py
@@ -67,9 +67,7 @@
         return await self.metadata.append(stream, key, value, at)
 
     async def read(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
-        """Return the records from an offset on, relayed by a gateway or read from the
-        log.
-        """
+        """Return the records from an offset on, relayed or read from the log."""
         if stream in TOLD_STREAMS:
             page = await self._ask_others(stream, offset, wait_s)
             if page is not None:
@@ -145,7 +143,7 @@
             return self._not_told(name, stream, NotTold.UNREACHED, repr(error))
         if page is None:
             self._put_off(name, stream, self.pace().stale_s)
-            detail = "its knowledge is too old"
+            detail = "it lacks the offset or its view is too old"
             return self._not_told(name, stream, NotTold.STALE, detail)
         self.metrics.count(Metric.LOG_QUESTIONS, "told")
         return page
@@ -196,7 +194,9 @@
 
     async def _read_log(self, stream: LogStream, offset: int, wait_s: float) -> LogPage:
         if stream in TOLD_STREAMS and self._is_put_off(stream):
-            raise PlatformUnavailableError("the log turned the last call away")
+            raise PlatformUnavailableError(
+                f"read of stream {stream.value} deferred: the last call was rejected"
+            )
         try:
             page = await self.metadata.read(stream, offset, wait_s)
         except PlatformUnavailableError:
@@ -210,8 +210,7 @@
         return page
 
     def _is_put_off(self, stream: LogStream) -> bool:
-        """Return whether to skip a read because another gateway watches for the
-        recovery.
+        """Return whether to skip a read, as another gateway can report the recovery.
 
         A gateway that cannot be reached could not report the recovery.
         """
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -243,9 +243,7 @@
         return self.gateway.pace.endpoints_held_s(len(self.gateway.beliefs.endpoints))
 
     def _wait_s(self, stream: LogStream, asked_s: float) -> float:
-        """Return how long a read may wait: ``relay_wait_s`` while peers read through
-        this one.
-        """
+        """Return how long a read may wait, less while peers read through this one."""
         last_boot_s = self.gateway.tails[stream].asked_boot_s
         is_asked = self.clock_s() - last_boot_s < ASKED_MEMORY_S
         alone_s = self.gateway.pace.alone_s
@@ -274,9 +272,7 @@
             self.endpoints.expire()
 
     async def _leave(self, front: asyncio.Server) -> None:
-        """Stop accepting callers, finish the requests in progress, and close
-        connections.
-        """
+        """Stop accepting callers and finish the requests in progress."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.gateway.leaving = True
