--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -10,8 +10,11 @@
 
 @define(slots=False)
 class FakeLog:
-    """``lost_replies``: appends that land without a reply; ``lost_appends``: appends
-    that neither land nor answer; ``down_reads``: reads that fail."""
+    """A log with injected faults.
+
+    ``lost_replies`` appends are written without a reply, ``lost_appends`` are neither
+    written nor answered, and ``failing_reads`` reads fail.
+    """
 
     payloads: list[bytes] = field(factory=list)
     earliest: int = 0
@@ -46,5 +49,5 @@
         return [LogEntry(from_offset + i, p) for i, p in enumerate(batch)]
 
     def put(self, record):
-        """Append as somebody else does."""
+        """Append a record as another writer does."""
         self.payloads.append(encode_record(record))
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -1,4 +1,4 @@
-"""A fleet on a virtual network, and callers of it."""
+"""A fleet on a virtual network, and its callers."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -29,7 +29,7 @@
 
 
 def route(name, service, repetition, **changes):
-    """A route whose prefix is its name."""
+    """Return a route whose prefix is its name."""
     values = {
         "name": name,
         "host": HOST,
@@ -44,7 +44,7 @@
 
 
 def catalogue(version=1, keys=(KEY,), **changes):
-    """Bookings, lookups and drafts for one organisation."""
+    """Return a catalogue with bookings, lookups and drafts for one organisation."""
     routes = (
         route("book", "app", Repetition.ONCE, max_attempts=2),
         route("look", "app", Repetition.REPEATABLE),
@@ -79,7 +79,7 @@
 
 
 def report(instance, service, number, zone="a", **changes):
-    """A heartbeat of an endpoint at an address of its own."""
+    """Return a heartbeat of an endpoint with its own address."""
     values = {
         "instance": instance,
         "generation": "1",
@@ -97,7 +97,7 @@
 
 @define(eq=False)
 class Answer:
-    """What a caller read."""
+    """An answer as a caller received it."""
 
     status: int = 0
     headers: dict = field(factory=dict)
@@ -107,7 +107,7 @@
 
 
 def model_fields(key="subject", tokens=1000):
-    """Header fields of a request for a model."""
+    """Return the header fields of a request for a model."""
     return {
         "Acaciacove-Model": "*",
         "Acaciacove-Token-Usage": f"{tokens},40",
@@ -141,7 +141,7 @@
         self.writer.write(data + self.h11.send(h11.EndOfMessage()))
 
     async def read(self):
-        """Read one answer; an early end leaves it incomplete."""
+        """Read one answer; if the connection ends early it stays incomplete."""
         answer = Answer()
         loop = asyncio.get_running_loop()
         while True:
@@ -179,7 +179,7 @@
 
 
 async def call(path, request_id, host=GATEWAY_HOST, **options):
-    """Ask on a connection of its own."""
+    """Send one request on a new connection."""
     caller = await Caller(host).open()
     try:
         return await caller.ask(path, request_id, **options)
@@ -188,13 +188,13 @@
 
 
 def draft(request_id, key="subject", **options):
-    """Ask for a draft."""
+    """Send one request for a draft."""
     return call("/draft/1", request_id, fields=model_fields(key), **options)
 
 
 @asynccontextmanager
 async def fleet_of(apps=2, models=2, gateways=1, published=None, **settings):
-    """A running fleet: endpoints in zones a, b and c by turns."""
+    """Run a fleet whose endpoints are assigned to zones a, b and c in rotation."""
     fleet = GatewayFleet()
     fleet.network = DatagramNetwork()
     await fleet.open()
@@ -219,7 +219,7 @@
 
 
 def run_fleet(story, **options):
-    """Run ``story(fleet)`` on a virtual clock."""
+    """Run ``scenario(fleet)`` on a virtual clock."""
 
     async def main():
         async with fleet_of(**options) as fleet:
@@ -229,11 +229,11 @@
 
 
 def runs_of(fleet, request_id):
-    """Arrivals that ran a request."""
+    """Return the arrivals that executed a request."""
     return [a for a in fleet.arrivals if a.request_id == request_id and a.ran]
 
 
 def lines(fleet, event, gateway="gateway-0"):
-    """Log lines of one kind."""
+    """Return the log lines of one event."""
     log = fleet.gateways[gateway].log
     return [line for line in log.lines if line["event"] == event]
--- a/tests/test_decisions_lapses.py
+++ b/tests/test_decisions_lapses.py
@@ -1,4 +1,4 @@
-"""How long removed entries of endpoints are kept."""
+"""How long removed entries of endpoints are retained."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -12,7 +12,7 @@
 
 
 def kept_for_s(lapses, now_s, drain_s):
-    """Look as often as a gateway does, until nothing is kept any more."""
+    """Read as often as a gateway does until the entry is no longer retained."""
     began_s = now_s
     while lapses.is_kept("i-0"):
         now_s += relay_pace(2.0, drain_s).expire_s
@@ -25,7 +25,7 @@
 @given(SPANS_S, SPANS_S, DRAINS_S)
 @settings(max_examples=200, derandomize=True)
 def test_nothing_is_kept_where_the_log_was_there(held_s, failed_s, drain_s):
-    """Guards against departures put off by calls that failed at one gateway alone."""
+    """Guards against removals delayed by calls that failed at one gateway only."""
     lapses = EntryLapses()
     lapses.begin_look(0.0, None, None)
     lapses.end_look(0.0)
@@ -39,7 +39,7 @@
 def test_a_short_absence_keeps_nothing_for_longer_than_it_would_serve(
     held_s, failed_s, drain_s
 ):
-    """Guards against requests to an endpoint whose time to leave is over."""
+    """Guards against requests to an endpoint whose drain time is over."""
     lapses = EntryLapses()
     lapses.begin_look(0.0, None, None)
     lapses.end_look(0.0)
@@ -49,17 +49,17 @@
     lapses.end_look(now_s)
     lasted_s = kept_for_s(lapses, now_s, drain_s)
     if failed_s < 0.85 * drain_s:
-        # It left no earlier than the calls began to fail.
+        # It was removed no earlier than when the calls began to fail.
         assert failed_s + lasted_s <= drain_s
     else:
-        # Gateways are held to their bounds again by then.
+        # Gateways have to comply with their limits again by then.
         assert kept and RETURN_S <= lasted_s <= CONTACT_S
 
 
 @given(st.floats(3.05, 30.0), SPANS_S, DRAINS_S)
 @settings(max_examples=100, derandomize=True)
 def test_long_after_an_absence_what_goes_has_left(after_s, failed_s, drain_s):
-    """Guards against a lapse that is suspected for ever after one outage."""
+    """Guards against one outage that makes every later removal look like an expiry."""
     lapses = EntryLapses()
     lapses.begin_look(0.0, 0.0, -failed_s)
     lapses.end_look(0.0)
--- a/tests/test_gateway_beliefs.py
+++ b/tests/test_gateway_beliefs.py
@@ -1,4 +1,4 @@
-"""What a gateway believes, how old it is, and what it does in doubt."""
+"""A gateway's routing view, its age, and what a gateway does when it may be stale."""
 
 import asyncio
 
@@ -60,9 +60,9 @@
 
 
 def test_records_of_other_writers_name_no_endpoint_and_hide_none():
-    """Another program writes into the same stream: fields of other types, states
-    that nobody knows, bytes that are no document. The readers neither stop nor send
-    anything there.
+    """Another program writes into the same stream: fields of other types, unknown
+    states, bytes that are no document. The readers must neither stop nor send requests
+    to such an endpoint.
     """
 
     async def story(fleet):
@@ -107,9 +107,9 @@
 
 
 def test_keys_are_refused_once_a_revocation_could_have_been_missed():
-    """The log is away, and an operator may have taken a key back through it. For a
-    while the gateway serves on; before the promised time has passed since it last
-    knew that it knew everything, it refuses, and says when to come back.
+    """The log is unavailable, and an operator may have revoked a key through it. The
+    gateway serves for a while. Before the guaranteed time since its last confirmed view
+    is over, it refuses requests and says when to retry.
     """
 
     async def story(fleet):
@@ -135,9 +135,9 @@
 
 
 def test_a_wake_after_a_pause_honours_no_key_before_a_look_at_the_log():
-    """A machine is suspended, a key is taken away meanwhile, and the machine wakes
-    with a request waiting. Its own clock has stood still, so its beliefs would
-    look fresh; the clock that went on tells that they are not.
+    """A machine is suspended, a key is revoked meanwhile, and the machine resumes with
+    a request waiting. The event loop's clock stopped, so by it the view would look
+    fresh. By the clock that keeps running the view is stale.
     """
 
     async def story(fleet):
@@ -162,8 +162,9 @@
 
 
 def test_in_doubt_nothing_is_said_not_to_exist():
-    """A key is new and the gateway has not heard of it, as the log is away. Told
-    401, its holder would not come back; 503 with a time sends it elsewhere.
+    """A key is new and the gateway has not read it yet, as the log is unavailable.
+    After a 401 its holder would not retry; a 503 with Retry-After sends the caller
+    elsewhere.
     """
 
     async def story(fleet):
@@ -180,7 +181,7 @@
 @pytest.mark.parametrize("begin_s", [1.4, 1.6, 2.0, 2.4, 2.8])
 @pytest.mark.parametrize("propagation_s", [0.5, 1.0, 2.0])
 def test_a_new_key_is_never_refused_once_it_must_be_known(propagation_s, begin_s):
-    """Guards against doubt that begins later than decisions must be in force."""
+    """Guards against a view that counts as fresh after a decision must be in force."""
 
     async def story(fleet):
         await asyncio.sleep(begin_s)
@@ -197,7 +198,7 @@
 @pytest.mark.parametrize("revocation_s", [1.0, 2.0, 5.0])
 @pytest.mark.parametrize("propagation_s", [0.5, 1.0, 2.0])
 def test_a_calm_log_leaves_no_doubt(propagation_s, revocation_s, gateways):
-    """Guards against looks at the log that are rarer than the doubt that they end."""
+    """Guards against reads of the log that are too rare to keep the view fresh."""
 
     async def story(fleet):
         await asyncio.sleep(1.0)
@@ -231,14 +232,14 @@
 
 
 def test_entries_that_lapse_with_the_log_are_no_departures():
-    """While the log is away the entries of living endpoints run out, and come back
-    within two seconds of its return. Taken for gone at once, every request in
-    between would be refused although all endpoints stand ready.
+    """The entries of live endpoints expire during an outage of the log and are
+    registered again within two seconds of its recovery. If they were removed at once,
+    every request in between would be refused although all endpoints are ready.
     """
 
     async def story(fleet):
         fleet.store.down = "reset"
-        # Of the three heartbeats that are missing the first may be due at once.
+        # Three heartbeats are missed, the first of which may be due at once.
         await asyncio.sleep(2.6)
         for name in ("app-0", "app-1"):
             fleet.store.append(ENDPOINTS, name, b"")
@@ -291,8 +292,9 @@
 
 
 def test_another_life_under_the_same_name_is_met_cold():
-    """An endpoint crashes and starts again under its old name. It bears little until
-    it is warm; with its old standing it would be flooded and fall over again.
+    """An endpoint crashes and starts again under its old name. It has little capacity
+    until it is warm. With the load that its previous incarnation could serve it would
+    be overloaded and crash again.
     """
 
     async def story(fleet):
@@ -314,9 +316,9 @@
 
 
 def test_a_connection_that_goes_silent_is_left_for_a_fresh_one():
-    """The connection to the log stays open and nothing comes through it any more.
-    Only the gateway's own limit shows it; without one it would believe for ever
-    what it last read.
+    """The connection to the log stays open, but nothing arrives on it any more. Only
+    the gateway's own timeout detects this. Without it the view would stay at the last
+    read forever.
     """
 
     async def story(fleet):
@@ -342,7 +344,7 @@
 
 
 def test_a_log_that_is_away_for_an_hour_ends_no_gateway():
-    """Guards against a pause between tries that grows beyond what a number holds."""
+    """Guards against a retry delay that grows beyond the range of a float."""
 
     async def story(fleet):
         fleet.store.down = "reset"
--- a/tests/test_gateway_departures.py
+++ b/tests/test_gateway_departures.py
@@ -1,4 +1,4 @@
-"""Departures of endpoints and lapses of their entries, beside calls that fail."""
+"""Removed and expired entries of endpoints, combined with failing calls to the log."""
 
 import asyncio
 
@@ -14,16 +14,16 @@
 HEARTBEATS_S = (0.2, 1.2, 2.0)
 FLEETS = (1, 5)
 LARGE_FLEET = 28
-# From the end of trouble until a gateway is held to its bounds again.
+# Gateways comply with their limits again this long after a failure has ended.
 CONTACT_S = 3.0
-# Entries that lapsed with the log are back this long after its return.
+# Entries that expired in an outage are registered again within this time.
 BACK_S = 2.0
 LAPSE_HEARTBEATS = 3
 APPS = ("app-0", "app-1")
 
 
 def believers(fleet, instance):
-    """Gateways that would still send to an endpoint."""
+    """Return the gateways that would still send requests to an endpoint."""
     return [
         name
         for name, running in fleet.gateways.items()
@@ -44,7 +44,7 @@
 
 
 async def lapse_with_outage(fleet, away_s, instances):
-    """Let entries lapse while the log is away for all."""
+    """Let entries expire while the log is unavailable to all gateways."""
     await asyncio.sleep(2.0)
     fleet.store.down = "busy"
     await asyncio.sleep(away_s)
@@ -72,7 +72,7 @@
 def test_one_gateways_failed_calls_put_no_departure_off(
     how, drain_s, heartbeat_s, gateways
 ):
-    """Guards against a departure that is taken for a lapse after an own failed call."""
+    """Guards against a removal taken for an expiry after one gateway's failed call."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -89,7 +89,7 @@
 @pytest.mark.parametrize("place", [0, 1, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_a_gateway_that_is_turned_away_learns_of_departures_from_others(drain_s, place):
-    """Guards against a long refusal of one gateway that is taken for an outage."""
+    """Guards against a long rejection of one gateway's calls taken for an outage."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -105,7 +105,7 @@
 @pytest.mark.parametrize("gateways", [4, 5, LARGE_FLEET])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_the_last_that_reach_the_log_tell_the_others_of_departures(drain_s, gateways):
-    """Guards against a fleet in which nobody asks the one that still reads the log."""
+    """Guards against a fleet that fails to ask the one gateway that reads the log."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -124,7 +124,9 @@
 @pytest.mark.parametrize("frozen", [1, 2, 3, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_gateways_that_fall_silent_hide_no_departure(drain_s, frozen, monkeypatch):
-    """Guards against a gateway that asks all silent ones in turn before it looks."""
+    """Guards against a gateway that waits for every silent peer before it reads the
+    log.
+    """
     silent = []
 
     async def keep_silent(ask, tail, *rest):
@@ -138,7 +140,7 @@
         await asyncio.sleep(2.0)
         for name in reading_order(fleet.gateways)[:frozen]:
             silent.extend(fleet.gateways.pop(name).gateway.tails.values())
-        # Questions that were under way are still answered.
+        # Requests that are already waiting still get a reply.
         await asyncio.sleep(0.55)
         remove(fleet, "app-0")
         await check_dropped(fleet, "app-0", drain_s)
@@ -149,7 +151,7 @@
 @pytest.mark.parametrize("away_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_a_departure_after_an_outage_is_believed(drain_s, away_s):
-    """Guards against calls that hung with the log and fail seconds after its return."""
+    """Guards against calls that hang with the log and fail long after its recovery."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -168,7 +170,7 @@
 def test_all_gateways_have_the_log_back_before_their_bounds_hold_again(
     gateways, away_s
 ):
-    """Guards against gateways that learn of a departure seconds after the others."""
+    """Guards against gateways that learn of a removal seconds after the others."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -210,7 +212,7 @@
 
 @pytest.mark.parametrize("gateways", [*FLEETS, LARGE_FLEET])
 def test_entries_that_lapse_after_the_logs_return_go_on_being_used(gateways):
-    """Guards against a lapse that the log notices late, taken for a departure."""
+    """Guards against an entry that the log expires late, taken for a removal."""
 
     async def story(fleet):
         await asyncio.sleep(2.0)
@@ -227,7 +229,7 @@
 
 
 def test_entries_that_lapsed_outlast_a_second_outage():
-    """Guards against endpoints dropped while the log cannot say whether they live."""
+    """Guards against endpoints removed while the log cannot show that they are live."""
 
     async def story(fleet):
         await lapse_with_outage(fleet, 3.0, APPS)
@@ -244,7 +246,7 @@
 
 
 def test_an_endpoint_that_does_not_come_back_is_dropped():
-    """Guards against callers sent to a dead endpoint long after an outage."""
+    """Guards against requests to a dead endpoint long after an outage."""
 
     async def story(fleet):
         await lapse_with_outage(fleet, 3.0, ["app-0"])
@@ -258,7 +260,7 @@
 def test_an_endpoint_that_was_heard_after_an_outage_has_left_when_its_entry_goes(
     gateways,
 ):
-    """Guards against requests to an endpoint that came back and left."""
+    """Guards against requests to an endpoint that registered again and then left."""
 
     async def story(fleet):
         await lapse_with_outage(fleet, 4.0, APPS)
@@ -268,7 +270,8 @@
         remove(fleet, "app-0")
         await asyncio.sleep(0.6)
         assert believers(fleet, "app-0") == []
-        # Of this one nothing was heard since: it may have lapsed with the outage.
+        # This one has not registered since, so its entry may have expired in the
+        # outage.
         assert len(believers(fleet, "app-1")) == gateways
 
     run_fleet(story, gateways=gateways)
--- a/tests/test_gateway_observed.py
+++ b/tests/test_gateway_observed.py
@@ -1,4 +1,4 @@
-"""Logs and metrics: what explains a failure afterwards, within its budget."""
+"""Log lines and metrics: enough to explain a failure later, at a bounded rate."""
 
 import asyncio
 import json
@@ -62,7 +62,7 @@
 
 
 def test_routine_lines_go_first_and_what_is_left_out_is_said():
-    """A burst of requests would fill the log and hide the failures among them."""
+    """A burst of requests would fill the log and displace the lines on failures."""
 
     async def story():
         log = EventLog("p", descriptor=None)
@@ -86,8 +86,8 @@
 
 
 def test_a_reader_that_stalls_holds_up_nobody():
-    """Whoever collects the log stops reading. A write that waited for it would stop
-    every stream of the process.
+    """The collector of the log stops reading. A blocking write would stop every stream
+    of the process.
     """
     reader, writer = os.pipe()
 
@@ -148,8 +148,8 @@
 
 
 def test_the_metrics_page_does_not_grow_with_the_catalogue():
-    """A catalogue grows by hundreds of routes. With a label for each, a scraper would
-    be drowned just when somebody needs it.
+    """A catalogue grows by hundreds of routes. A label for each would overload a
+    scraper when its metrics are needed most.
     """
     from attrs import evolve
 
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -1,4 +1,4 @@
-"""A few gateways read the log; the others ask them, and notice when they are lost."""
+"""The relay: a few gateways read the log for the others, and the loss of a reader."""
 
 import asyncio
 
@@ -82,9 +82,9 @@
 @given(NAMES)
 @settings(max_examples=200, derandomize=True)
 def test_questions_lead_to_a_gateway_that_reads(names):
-    """Gateways that ask each other in a circle would all believe that somebody looks
-    at the log. Each asks only such as come before it in one order, and the first
-    ones of that order ask nobody.
+    """If gateways could ask each other in a cycle, each might assume that another one
+    reads the log. Each asks only gateways that come before it in one order, and the
+    first ones of that order ask nobody.
     """
     order = reading_order(names)
     readers = order[: reader_count(len(names))]
@@ -114,8 +114,8 @@
 @given(st.integers(LEAST_GROUP, 15), st.integers(1, 8))
 @settings(max_examples=50, derandomize=True)
 def test_no_reader_tells_more_than_its_own_zone(in_zone, zones):
-    """Guards against a reader whose link is full of a catalogue for all zones at once:
-    its followers learn nothing in time, and it reads nothing itself.
+    """Guards against a reader whose link is saturated by a catalogue for all zones at
+    once: its followers get no records in time, and it reads nothing itself.
     """
     zone_of = {f"{n}-{z}": f"zone-{z}" for z in range(zones) for n in range(in_zone)}
     for name, zone in zone_of.items():
@@ -139,8 +139,9 @@
 )
 @settings(max_examples=100, derandomize=True)
 def test_a_tail_tells_all_records_from_an_offset_or_nothing(pages, start, asked):
-    """A record that is left out is a withdrawn key that goes on working, or a zone
-    that still gets requests. Whoever lacks some is told so and reads the log.
+    """A missing record would be a revoked key that still works, or an excluded zone
+    that still gets requests. A gateway that needs older records is refused and reads
+    the log.
     """
 
     async def story():
@@ -164,8 +165,9 @@
 
 
 def test_only_few_gateways_call_the_log():
-    """Calls to the log are limited over all gateways, and paid for. Five that follow
-    two streams each made 6.7 calls a second; one reader and its followers make two.
+    """Calls to the log are limited over all gateways, and billed. Five gateways that
+    each followed two streams made 6.7 calls a second; one reader and its followers make
+    two.
     """
 
     async def story(fleet):
@@ -175,7 +177,7 @@
         return fleet.store.reads - before
 
     calls = run_fleet(story, gateways=GATEWAYS)
-    # Two streams each second, and each gateway's look at the list of members.
+    # Two streams each second, and one read of the list of members by each gateway.
     assert calls <= 2 * 30 + 2 * GATEWAYS + 2
 
 
@@ -190,9 +192,9 @@
 
 
 def test_decisions_are_in_force_in_time_though_the_reader_has_lost_the_log():
-    """The log turns the reader away, or the reader's connections go silent. It still
-    answers its peers, who must not take its silence for the log's: a decision of
-    that moment has to be in force within two seconds.
+    """The log rejects the reader's calls, or its connections go silent. It still
+    answers its peers, who must not take a lack of records for a lack of changes: a
+    decision made at that moment must be in force within two seconds.
     """
     for how in ("busy", "reset", "silent"):
 
@@ -203,7 +205,7 @@
             fleet.publish(catalogue(version=2))
             await asyncio.sleep(2.0)
             assert versions(fleet, others(fleet)) == [2] * (GATEWAYS - 1)
-            # The reader learns it as well, from one of its peers.
+            # The reader gets it too, from one of its peers.
             await asyncio.sleep(2.0)
             assert versions(fleet, [reader_of(fleet)]) == [2]
 
@@ -224,9 +226,10 @@
 
 
 def test_a_member_that_is_dropped_while_another_is_asked_is_passed_over():
-    """The reader knows too little, and the next gateway in turn, dead for a minute, is
-    dropped from the members while the reader is asked. Looked up all the same, it
-    ended the task that follows the log: the gateway stopped, with all its callers.
+    """The reader lacks the records, and the next candidate, silent for a minute, is
+    removed from the members while the reader is asked. An unchecked lookup ended the
+    task that follows the log: the gateway stopped, with the requests of all its
+    callers.
     """
 
     first, second, me = reading_order(("r-1", "r-2", "r-3"))
@@ -237,7 +240,8 @@
     looks = []
 
     def members():
-        # The list, then the first link; the second is looked up after the drop.
+        # The first calls are for the candidates and the first link; the second
+        # candidate is looked up after its removal.
         looks.append(len(looks))
         return peers if len(looks) <= 2 else {first: peers[first]}
 
@@ -261,7 +265,7 @@
 
 
 def test_a_gateway_that_reaches_nobody_looks_for_the_log_itself():
-    """Guards against a blind gateway that waits for others to tell it."""
+    """Guards against a gateway that waits for peers that it cannot reach."""
     first, second, me = reading_order(("r-1", "r-2", "r-3"))
     peers = {name: Peer(name, "10.0.9.9", 1, "a", 0.0) for name in (first, second)}
 
@@ -289,8 +293,8 @@
 
 
 def test_gateways_that_have_lost_the_log_do_not_assure_each_other():
-    """The log turns all away and a key is taken away meanwhile. Each gateway hears
-    from the others every half second; none of it may make a key look valid.
+    """The log rejects all calls, and a key is revoked meanwhile. Each gateway gets
+    replies from the others every half second. None of them may make the key look valid.
     """
 
     async def story(fleet):
@@ -309,9 +313,9 @@
 
 
 def test_entries_that_lapse_with_the_log_are_no_departures_for_any_gateway():
-    """The log is away and endpoints' entries lapse with it. Removals reach most
-    gateways by the reader's word; taken as departures they would leave callers
-    without an endpoint.
+    """Endpoints' entries expire while the log is unavailable. Most gateways get the
+    removals from the reader. If they took them for deregistrations, callers would be
+    left without an endpoint.
     """
 
     async def story(fleet):
@@ -335,16 +339,16 @@
 
 
 def test_a_departure_is_one_though_the_log_turns_the_reader_away():
-    """The log turns the reader away and serves the others. An endpoint leaves then.
-    Gateways that took the reader's outage for the log's kept the endpoint for two
-    seconds, and sent it requests that its end cut.
+    """The log rejects the reader's calls and serves the others, and an endpoint is
+    removed. Gateways that took the reader's failures for an outage retained the
+    endpoint for two seconds and sent it requests that failed when it shut down.
     """
 
     async def story(fleet):
         await asyncio.sleep(2.0)
         fleet.store.refused_callers = frozenset({reader_of(fleet)})
         fleet.store.down = "reset"
-        # A record ends the read that the log holds for the reader: it fails at once.
+        # A new record ends the reader's waiting read, whose retry then fails at once.
         fleet.register(fleet.endpoints["model-0"].report)
         await asyncio.sleep(0.8)
         fleet.store.append(ENDPOINTS, "app-0", b"")
@@ -356,9 +360,9 @@
 
 
 def test_an_answer_that_waited_in_a_suspended_machine_is_as_old_as_its_question():
-    """The machine is suspended with an answer in its socket. Counted from when it is
-    read, the answer would make beliefs of before the pause look fresh, and a key
-    that was taken away meanwhile would be honoured.
+    """The machine is suspended with a reply in its socket. If its age were counted from
+    when it is read, a view from before the suspend would look fresh, and a key that was
+    revoked meanwhile would be honoured.
     """
 
     async def story(fleet):
@@ -390,7 +394,7 @@
         oldest_s = relay_pace(2.0, 2.0).oldest_told_s
         told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
         assert told.known and told.records == () and told.held_s >= 0.5
-        # What others tell does not count as an own look.
+        # A relayed page does not make the tail itself fresh.
         tail.take(reading(LogPage((), 7, complete_after_s=0.0), False, now_s()))
         await asyncio.sleep(oldest_s)
         told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
@@ -404,27 +408,27 @@
 def test_askers_of_a_reader_that_lost_the_log_have_time_to_look_themselves(
     promised_s, drain_s, endpoints
 ):
-    """Guards against decisions that come into force after the promised time."""
+    """Guards against decisions that come into force after the guaranteed time."""
     pace = relay_pace(promised_s, drain_s)
-    # A reader that rests and then waits for news can tell all the while.
+    # A reader that pauses and then waits for records can relay throughout.
     assert pace.held_s < pace.oldest_told_s
     assert pace.endpoints_held_s(endpoints) > 0.0
     rested_s = pace.rest_s(endpoints) + pace.endpoints_held_s(endpoints)
     assert rested_s < pace.oldest_endpoints_s <= pace.oldest_told_s
     assert pace.rest_s(endpoints) <= pace.pause_s
-    # Word of a leaving endpoint leaves time for what is on its way to it.
+    # The record of a draining endpoint leaves time for requests in transit to it.
     assert pace.pause_s <= drain_s / 3.0
     assert promised_s - pace.oldest_told_s >= pace.question_s
-    # So does a reader that falls silent while it is asked.
+    # So does a reader that stops responding during a request.
     asked_s = pace.question_s + pace.late_answer_s
     assert pace.oldest_endpoints_s + asked_s <= 0.9 * drain_s
     assert pace.turned_away_s <= drain_s / 2.0
-    # A call that meets a silent connection, and the one after it, end before keys do.
+    # A call on a silent connection and the next call end before keys expire.
     assert 2 * pace.held_s + CALL_TIMEOUT_S <= 0.9 * 5.0
 
 
 def test_many_heartbeats_a_second_are_read_in_few_calls():
-    """Guards against a call to the log for each heartbeat of a busy fleet."""
+    """Guards against one call to the log for each heartbeat of a large fleet."""
     seconds, beats_per_s, endpoints = 10, 20, 24
     beats = [report(f"app-{n}", "app", 10 + n, "ab"[n % 2]) for n in range(endpoints)]
 
@@ -444,14 +448,16 @@
 
 
 def test_news_of_a_few_endpoints_is_not_held_up():
-    """Guards against old beliefs where a rest between reads would save no call."""
+    """Guards against an old view where a longer pause would save no call."""
     pace = relay_pace(2.0, 2.0)
     assert pace.rest_s(5) <= 0.2
     assert pace.rest_s(600) == pace.pause_s
 
 
 def test_a_reader_can_tell_what_a_large_fleet_wrote_during_two_rests():
-    """Guards against followers that all read the log, as their reader lacks records."""
+    """Guards against followers that all read the log because their reader lacks
+    records.
+    """
     endpoints, beat_s = 600, 1.2
     rest_s = relay_pace(3.0, 3.0).rest_s(endpoints)
     in_a_rest = int(rest_s * endpoints / beat_s)
@@ -468,7 +474,7 @@
 
 
 def test_a_leaving_endpoint_is_known_everywhere_while_it_still_serves():
-    """Guards against requests to an endpoint that has left, after a long rest."""
+    """Guards against requests to a removed endpoint after a long pause of reads."""
 
     async def story(fleet):
         beliefs = [g.gateway.beliefs for g in fleet.gateways.values()]
