--- a/acaciacove/decisions/kept_entry.py
+++ b/acaciacove/decisions/retained_entry.py
@@ -4,7 +4,7 @@
 
 
 @define
-class KeptEntry:
+class RetainedEntry:
     """When a removed entry expires.
 
     An entry that is retained for less than the drain time of its endpoint expires at
@@ -12,5 +12,5 @@
     that time, because the log may be unavailable again.
     """
 
-    until_s: float
-    until_seen: bool
+    expires_s: float
+    expires_on_read: bool
--- a/acaciacove/gateway/log_page.py
+++ b/acaciacove/gateway/log_page.py
@@ -19,9 +19,9 @@
     records: tuple[LogRecord, ...]
     next_offset: int
     complete_after_s: float | None = None
-    returned_after_s: float | None = None
+    recovered_after_s: float | None = None
 
     @property
-    def is_told(self) -> bool:
+    def is_relayed(self) -> bool:
         """Return whether the page came from another gateway."""
         return self.complete_after_s is not None
--- a/acaciacove/gateway/log_reading.py
+++ b/acaciacove/gateway/log_reading.py
@@ -5,7 +5,7 @@
 from acaciacove.gateway.log_page import LogPage
 
 # The shortest outage, in heartbeat intervals, in which an entry can expire.
-LEAST_ABSENCE_HEARTBEATS = 0.5
+MIN_OUTAGE_HEARTBEATS = 0.5
 
 
 @frozen
@@ -19,30 +19,30 @@
     """
 
     page: LogPage
-    is_newest: bool
-    failing_boot_s: float | None
-    asked_boot_s: float
+    is_snapshot: bool
+    failing_since_boot_s: float | None
+    requested_boot_s: float
     complete_boot_s: float
 
     @property
     def failed_s(self) -> float:
         """How long calls had failed before this one."""
-        if self.failing_boot_s is None:
+        if self.failing_since_boot_s is None:
             return 0.0
-        return self.asked_boot_s - self.failing_boot_s
+        return self.requested_boot_s - self.failing_since_boot_s
 
-    def returned_boot_s(self, heartbeat_s: float) -> float | None:
+    def recovered_boot_s(self, heartbeat_s: float) -> float | None:
         """Return when the log recovered from an outage, or None if there was none.
 
         Calls that failed only in this process are no outage: a page from another
         gateway states since when the log has been available. If the log itself
         answered, the failed calls are the only evidence and count as an outage.
         """
-        if self.failed_s < LEAST_ABSENCE_HEARTBEATS * heartbeat_s:
+        if self.failed_s < MIN_OUTAGE_HEARTBEATS * heartbeat_s:
             return None
-        if not self.page.is_told:
-            return self.asked_boot_s
-        returned_after_s = self.page.returned_after_s
-        if returned_after_s is None or -returned_after_s > self.failed_s:
+        if not self.page.is_relayed:
+            return self.requested_boot_s
+        recovered_after_s = self.page.recovered_after_s
+        if recovered_after_s is None or -recovered_after_s > self.failed_s:
             return None
-        return self.asked_boot_s + returned_after_s
+        return self.requested_boot_s + recovered_after_s
--- a/acaciacove/gateway/metadata_log.py
+++ b/acaciacove/gateway/metadata_log.py
@@ -7,7 +7,7 @@
 from acaciacove.gateway.log_stream import LogStream
 
 
-class LogMovedError(AcaciacoveError):
+class AppendConflictError(AcaciacoveError):
     """A conditional append failed because the stream has grown."""
 
     def __init__(self, end_offset: int) -> None:
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -36,12 +36,12 @@
     )
     PEER_MESSAGES = ("peer_messages_total", "gossip messages", ("direction",))
     PEER_BYTES = ("peer_bytes_total", "bytes of gossip messages", ("direction",))
-    FIRST_PIECE = (
+    FIRST_CHUNK_SECONDS = (
         "first_piece_seconds",
         "from a request's first byte to the first chunk of its answer",
         ("kind",),
     )
-    WHOLE = (
+    REQUEST_SECONDS = (
         "request_seconds",
         "from a request's first byte to the end of its answer",
         ("kind",),
--- a/acaciacove/gateway/relay/not_told.py
+++ b/acaciacove/gateway/relay/relay_failure.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class NotTold(Enum):
+class RelayFailure(Enum):
     """Its view is too old, it could not be reached, or it is no longer a member."""
 
     STALE = "stale"
--- a/acaciacove/gateway/relay/stream_tail.py
+++ b/acaciacove/gateway/relay/stream_tail.py
@@ -10,14 +10,14 @@
 from acaciacove.gateway.log_stream import LogStream
 
 # The streams that all gateways follow: decisions and endpoints.
-TOLD_STREAMS = (LogStream.OPERATOR, LogStream.ENDPOINTS)
+RELAYED_STREAMS = (LogStream.OPERATOR, LogStream.ENDPOINTS)
 
 # The records that are retained: the heartbeats of a thousand endpoints during two
 # pauses between reads. A gateway that needs older ones has to read the log itself.
-KEPT_RECORDS = 2_048
+MAX_RECORDS = 2_048
 # A catalogue with hundreds of routes takes a hundred kilobytes, and a burst of changes
 # brings ten of them a second.
-KEPT_BYTES = 2 * 2**20
+MAX_BYTES = 2 * 2**20
 
 
 @define(eq=False)
@@ -34,22 +34,22 @@
     first_offset: int = -1
     next_offset: int = -1
     complete_boot_s: float = float("-inf")
-    asked_boot_s: float = float("-inf")
-    returned_boot_s: float | None = None
+    requested_boot_s: float = float("-inf")
+    recovered_boot_s: float | None = None
     changed: asyncio.Event = field(factory=asyncio.Event)
     _records: deque[LogRecord] = field(factory=deque)
     _size_bytes: int = 0
 
-    def take(self, reading: LogReading) -> None:
+    def apply(self, reading: LogReading) -> None:
         """Add a page that was read from the log or relayed by another gateway."""
         page = reading.page
-        if reading.is_newest or self.next_offset < 0:
-            self._restart(page.next_offset)
+        if reading.is_snapshot or self.next_offset < 0:
+            self._reset(page.next_offset)
         else:
             for record in page.records:
-                self._keep(record)
+                self._append(record)
         self.next_offset = max(self.next_offset, page.next_offset)
-        if not page.is_told:
+        if not page.is_relayed:
             # Freshness that was relayed is not relayed on. Two gateways that have both
             # lost the log would otherwise keep confirming each other and miss what is
             # written.
@@ -58,20 +58,20 @@
             self.changed.set()
             self.changed = asyncio.Event()
 
-    def _restart(self, next_offset: int) -> None:
+    def _reset(self, next_offset: int) -> None:
         """Start anew after a snapshot, which is not a gapless sequence of records."""
         self._records.clear()
         self._size_bytes = 0
         self.first_offset = self.next_offset = next_offset
 
-    def _keep(self, record: LogRecord) -> None:
+    def _append(self, record: LogRecord) -> None:
         if record.offset < self.next_offset:
             return
         self._records.append(record)
         self._size_bytes += len(record.value or b"")
         self.next_offset = record.offset + 1
-        while len(self._records) > KEPT_RECORDS or (
-            self._size_bytes > KEPT_BYTES and len(self._records) > 1
+        while len(self._records) > MAX_RECORDS or (
+            self._size_bytes > MAX_BYTES and len(self._records) > 1
         ):
             dropped = self._records.popleft()
             self._size_bytes -= len(dropped.value or b"")
--- a/tests/fake_log.py
+++ b/tests/fake_log.py
@@ -20,7 +20,7 @@
     earliest: int = 0
     lost_replies: int = 0
     lost_appends: int = 0
-    down_reads: int = 0
+    failing_reads: int = 0
     appends: int = 0
     on_append: object = None
 
@@ -40,8 +40,8 @@
         return len(self.payloads) - 1
 
     async def read(self, stream, from_offset, limit, wait_s=0.0):
-        if self.down_reads:
-            self.down_reads -= 1
+        if self.failing_reads:
+            self.failing_reads -= 1
             raise PlatformUnavailableError("log is down")
         if from_offset < self.earliest:
             raise OffsetExpiredError(self.earliest)
