--- a/acaciacove/decisions/entry_retention.py
+++ b/acaciacove/decisions/entry_retention.py
@@ -62,8 +62,8 @@
 
     def record_write(self, instance: str) -> None:
         """Record that an entry was written, which shows that its endpoint is alive."""
-        was_kept = self._retained.pop(instance, None) is not None
-        if was_kept or not self._had_outage:
+        was_retained = self._retained.pop(instance, None) is not None
+        if was_retained or not self._had_outage:
             self._reregistered.add(instance)
 
     def retain_removed(self, instance: str, now_s: float, drain_s: float) -> bool:
@@ -71,29 +71,29 @@
         if instance in self._reregistered:
             self._reregistered.discard(instance)
             return False
-        entry = self._entry(now_s, drain_s)
+        entry = self._new_entry(now_s, drain_s)
         if entry.expires_s <= now_s:
             return False
         self._retained[instance] = entry
         return True
 
-    def _entry(self, now_s: float, drain_s: float) -> RetainedEntry:
-        back_s = self._recovered_s + REREGISTRATION_S
+    def _new_entry(self, now_s: float, drain_s: float) -> RetainedEntry:
+        reregistered_s = self._recovered_s + REREGISTRATION_S
         safe_s = self._confirmed_s + RETAINED_DRAIN_SHARE * drain_s
         if self._had_outage and safe_s <= now_s:
-            return RetainedEntry(back_s, expires_on_read=True)
-        if safe_s < back_s:
+            return RetainedEntry(reregistered_s, expires_on_read=True)
+        if safe_s < reregistered_s:
             return RetainedEntry(safe_s, expires_on_read=False)
-        return RetainedEntry(back_s, expires_on_read=True)
+        return RetainedEntry(reregistered_s, expires_on_read=True)
 
     def pop_expired(self, now_s: float) -> list[str]:
         """Forget and return the entries that were not registered again in time."""
-        overdue = [
+        expired = [
             instance
             for instance, entry in self._retained.items()
             if (self._last_read_s if entry.expires_on_read else now_s)
             >= entry.expires_s
         ]
-        for instance in overdue:
+        for instance in expired:
             del self._retained[instance]
-        return overdue
+        return expired
--- a/acaciacove/gateway/daemon.py
+++ b/acaciacove/gateway/daemon.py
@@ -79,9 +79,9 @@
     ]
     if not changed and not signalled:
         return
-    fixed = sorted(RESTART_ONLY.intersection(changed))
-    if not fixed:
+    restart_only = sorted(RESTART_ONLY.intersection(changed))
+    if not restart_only:
         gateway.apply_settings(settings)
     gateway.log.write(
-        Event.RELOADED, changed=changed, need_restart=fixed, signalled=signalled
+        Event.RELOADED, changed=changed, need_restart=restart_only, signalled=signalled
     )
--- a/acaciacove/gateway/endpoint_reader.py
+++ b/acaciacove/gateway/endpoint_reader.py
@@ -39,12 +39,12 @@
 
     def apply_reading(self, reading: LogReading) -> None:
         """Apply the result of one read of the stream."""
-        returned_s = reading.recovered_boot_s(self.gateway.settings.heartbeat_s)
+        recovered_s = reading.recovered_boot_s(self.gateway.settings.heartbeat_s)
         self._retention.begin_read(
-            self.view.clock_s(), returned_s, reading.failing_since_boot_s
+            self.view.clock_s(), recovered_s, reading.failing_since_boot_s
         )
-        if returned_s is not None:
-            self.gateway.tails[LogStream.ENDPOINTS].recovered_boot_s = returned_s
+        if recovered_s is not None:
+            self.gateway.tails[LogStream.ENDPOINTS].recovered_boot_s = recovered_s
         if reading.is_snapshot:
             self.apply_snapshot(reading.page.records)
         else:
@@ -85,7 +85,7 @@
     def _apply_report(self, report: EndpointReport) -> None:
         now_s = asyncio.get_running_loop().time()
         self._retention.record_write(report.instance)
-        before = self.view.endpoints.get(report.instance)
+        previous = self.view.endpoints.get(report.instance)
         endpoint = Endpoint(
             instance=report.instance,
             incarnation=report.incarnation,
@@ -100,10 +100,10 @@
         )
         self.view.endpoints[report.instance] = endpoint
         if (
-            before is None
-            or before.key != endpoint.key
-            or before.draining != endpoint.draining
-            or (before.cold_until_s <= now_s) != (endpoint.cold_until_s <= now_s)
+            previous is None
+            or previous.key != endpoint.key
+            or previous.draining != endpoint.draining
+            or (previous.cold_until_s <= now_s) != (endpoint.cold_until_s <= now_s)
         ):
             self.log.write(
                 Event.ENDPOINT_KNOWN,
@@ -113,7 +113,7 @@
                 zone=report.availability_zone,
                 leaving=report.draining,
                 cold_s=round(report.cold_remaining_s, 3),
-                first=before is None,
+                first=previous is None,
             )
 
     def _remove(self, instance: str) -> None:
@@ -124,7 +124,7 @@
             self.log.write(
                 Event.ENDPOINT_LAPSED,
                 endpoint=instance,
-                known_age_s=self._known_age_s(),
+                known_age_s=self._view_age_s(),
             )
             return
         self._drop(instance, "removed")
@@ -140,9 +140,9 @@
             Event.ENDPOINT_GONE,
             endpoint=instance,
             reason=reason,
-            known_age_s=self._known_age_s(),
+            known_age_s=self._view_age_s(),
         )
 
-    def _known_age_s(self) -> float:
+    def _view_age_s(self) -> float:
         """Return the time since the entries were last known to be complete."""
         return round(self.view.endpoints_age_s, 3)
--- a/acaciacove/gateway/fleet_limits.py
+++ b/acaciacove/gateway/fleet_limits.py
@@ -47,19 +47,19 @@
     would otherwise refuse all its callers.
     """
     count = gateway.gateway_count
-    whole, rest = divmod(int(CONNECTION_MARGIN * limit), count)
+    per_gateway, remainder = divmod(int(CONNECTION_MARGIN * limit), count)
     if not gateway.members_loaded:
-        whole, rest = max(1, whole), 0
+        per_gateway, remainder = max(1, per_gateway), 0
     own = name_hash(gateway.settings.name)
     free = [
         state
         for state in states
-        if state.load.in_flight < whole
+        if state.load.in_flight < per_gateway
         or (
-            state.load.in_flight == whole
-            and is_drawn(rest, count, state.instance_hash ^ own)
+            state.load.in_flight == per_gateway
+            and is_drawn(remainder, count, state.instance_hash ^ own)
         )
     ]
-    if free or whole:
+    if free or per_gateway:
         return free
     return [state for state in states if not state.load.in_flight]
--- a/acaciacove/gateway/gateway.py
+++ b/acaciacove/gateway/gateway.py
@@ -123,9 +123,9 @@
         """Apply new limits from now on; earlier requests remain counted."""
         self.settings = settings
         self.sessions.lifetime_s = settings.session_life_s
-        proof_s = REVOCATION_SHARE * settings.revocation_s
+        confirm_s = REVOCATION_SHARE * settings.revocation_s
         self.relay_intervals = relay_intervals(
-            min(settings.propagation_s, proof_s), settings.drain_s
+            min(settings.propagation_s, confirm_s), settings.drain_s
         )
         self.rollout_settings = RolloutSettings(
             exposure_share=settings.exposure_share,
@@ -180,8 +180,8 @@
 
     def sent_per_s(self, service: str, now_s: float) -> float:
         """Return the current rate of requests from this gateway to a service."""
-        counted = self.send_counts.get(service)
-        return counted.total(now_s) / SEND_RATE_WINDOW_S if counted else 0.0
+        count = self.send_counts.get(service)
+        return count.total(now_s) / SEND_RATE_WINDOW_S if count else 0.0
 
     def prefill_latency(self, service: str, model: str | None) -> PrefillLatency:
         """Return the prefill latency of a service's model."""
--- a/acaciacove/gateway/gauges.py
+++ b/acaciacove/gateway/gauges.py
@@ -58,18 +58,18 @@
             for name, progress in gateway.rollouts.items()
         },
         ("rollout_answers", "answers since the roll-out order, by version"): {
-            (("service", name), ("version", word)): float(
+            (("service", name), ("version", label)): float(
                 sum(c.answers for c in progress.cells(is_target).values())
             )
             for name, progress in gateway.rollouts.items()
-            for word, is_target in (("old", False), ("new", True))
+            for label, is_target in (("old", False), ("new", True))
         },
         ("rollout_failures", "failures since the roll-out order, by version"): {
-            (("service", name), ("version", word)): float(
+            (("service", name), ("version", label)): float(
                 sum(c.failures for c in progress.cells(is_target).values())
             )
             for name, progress in gateway.rollouts.items()
-            for word, is_target in (("old", False), ("new", True))
+            for label, is_target in (("old", False), ("new", True))
         },
         ("gateways", "gateways that share the limits"): {
             (): float(gateway.gateway_count)
--- a/acaciacove/gateway/outcome_recorder.py
+++ b/acaciacove/gateway/outcome_recorder.py
@@ -65,9 +65,9 @@
                 await self._read_outcomes()
             for progress in list(self._gateway.rollouts.values()):
                 self._step(progress)
-                wanted = self._missing_state(progress)
-                if wanted is not None:
-                    await self._record_in_slot(progress, wanted)
+                missing = self._missing_state(progress)
+                if missing is not None:
+                    await self._record_in_slot(progress, missing)
 
     def _read_every_s(self) -> float:
         if self._gateway.peer_outcomes_offset > self._next_offset:
@@ -188,8 +188,8 @@
         settings = self._gateway.rollout_settings
         if may_complete(progress, settings, capacity, now_s):
             return RolloutState.COMPLETED
-        known = self._gateway.view.outcomes.get(progress.order.service)
-        if known is None or known.target != progress.order.target:
+        recorded = self._gateway.view.outcomes.get(progress.order.service)
+        if recorded is None or recorded.target != progress.order.target:
             return RolloutState.IN_PROGRESS
         return None
 
--- a/acaciacove/gateway/relay/reader_link.py
+++ b/acaciacove/gateway/relay/reader_link.py
@@ -38,7 +38,7 @@
         """
         intervals = self._intervals()
         hold_s = min(wait_s, intervals.request_wait_s)
-        answered = False
+        completed = False
         requested_boot_s = self._clock_s()
         try:
             if self._connection is None:
@@ -46,19 +46,19 @@
                     self._connection = await connect(*self.address)
             async with asyncio.timeout(hold_s + intervals.reply_margin_s):
                 await self._connection.send(LogAsk(stream, offset, hold_s))
-                told = await self._connection.receive()
-            if not isinstance(told, LogTold):
+                reply = await self._connection.receive()
+            if not isinstance(reply, LogTold):
                 raise ConnectionResetError(
                     f"no LogTold reply from gateway {self.address}"
                     f" for stream {stream} from offset {offset}"
                 )
-            answered = True
+            completed = True
         finally:
             # After a failure a reply may still be in transit. If the connection were
             # kept, that reply would be taken for the one to the next request.
-            if not answered:
+            if not completed:
                 self.close()
-        return _page(told, self._clock_s() - requested_boot_s) if told.known else None
+        return _page(reply, self._clock_s() - requested_boot_s) if reply.known else None
 
     def close(self) -> None:
         """Close the connection."""
@@ -67,7 +67,7 @@
             self._connection = None
 
 
-def _page(told: LogTold, took_s: float) -> LogPage:
+def _page(reply: LogTold, took_s: float) -> LogPage:
     """Convert a reply to a page.
 
     The reply was made no earlier than the request plus the time for which it was held.
@@ -75,12 +75,13 @@
     machine would look fresh.
     """
     records = tuple(
-        LogRecord(r.key, None if r.removed else r.value, r.offset) for r in told.records
+        LogRecord(r.key, None if r.removed else r.value, r.offset)
+        for r in reply.records
     )
-    held_s = max(0.0, min(told.held_s, took_s))
+    held_s = max(0.0, min(reply.held_s, took_s))
     return LogPage(
         records=records,
-        next_offset=told.next_offset,
-        complete_after_s=held_s - max(0.0, told.age_s),
-        recovered_after_s=None if told.present_s is None else held_s - told.present_s,
+        next_offset=reply.next_offset,
+        complete_after_s=held_s - max(0.0, reply.age_s),
+        recovered_after_s=None if reply.present_s is None else held_s - reply.present_s,
     )
--- a/acaciacove/gateway/relay/reader_order.py
+++ b/acaciacove/gateway/relay/reader_order.py
@@ -20,11 +20,11 @@
 MIN_GROUP_SIZE = 3
 
 
-def reader_group(me: str, zone_of: Mapping[str, str]) -> set[str]:
-    """Return the members that share readers with ``me``, including itself."""
+def reader_group(local_name: str, zone_of: Mapping[str, str]) -> set[str]:
+    """Return the members that share readers with ``local_name``, itself among them."""
     sizes = Counter(zone_of.values())
-    if sizes[zone_of[me]] >= MIN_GROUP_SIZE:
-        return {name for name, zone in zone_of.items() if zone == zone_of[me]}
+    if sizes[zone_of[local_name]] >= MIN_GROUP_SIZE:
+        return {name for name, zone in zone_of.items() if zone == zone_of[local_name]}
     return {name for name, zone in zone_of.items() if sizes[zone] < MIN_GROUP_SIZE}
 
 
@@ -38,21 +38,23 @@
     return 1 + (members - 1) // PEERS_PER_READER if members else 0
 
 
-def relay_candidates(me: str, members: Iterable[str], may_read: bool) -> list[str]:
-    """Return the gateways that ``me`` asks, in order, before it reads the log itself.
+def relay_candidates(
+    local_name: str, members: Iterable[str], may_read: bool
+) -> list[str]:
+    """Return whom ``local_name`` asks, in order, before it reads the log itself.
 
-    ``may_read`` is false while the log rejects calls of ``me``. It then asks other
-    gateways even if it is a reader.
+    ``may_read`` is false while the log rejects calls of this gateway. It then asks
+    other gateways even if it is a reader.
     """
-    order = reader_order({*members, me})
+    order = reader_order({*members, local_name})
     count = reader_count(len(order))
     readers = order[:count]
-    if may_read and me in readers:
+    if may_read and local_name in readers:
         return []
     # Each gateway starts with a different reader, which spreads the requests.
-    first = int.from_bytes(stable_hash(me)) % count
-    asked = readers[first:] + readers[:first]
-    asked += order[count : count + FALLBACK_PEERS]
-    if may_read and me in asked:
-        asked = asked[: asked.index(me)]
-    return [name for name in asked if name != me]
+    first = int.from_bytes(stable_hash(local_name)) % count
+    candidates = readers[first:] + readers[:first]
+    candidates += order[count : count + FALLBACK_PEERS]
+    if may_read and local_name in candidates:
+        candidates = candidates[: candidates.index(local_name)]
+    return [name for name in candidates if name != local_name]
--- a/acaciacove/gateway/relay/relay_intervals.py
+++ b/acaciacove/gateway/relay/relay_intervals.py
@@ -19,8 +19,9 @@
 MAX_LOG_WAIT_S = 1.5
 MAX_RELAYED_AGE_S = 2.1
 MAX_PAUSE_S = 0.5
-# The following are shares of the time in which a draining endpoint still serves.
-# The greatest age of relayed records of endpoints.
+# Shares of the time in which a draining endpoint still serves, from here on.
+#
+# The maximum age of relayed records of endpoints.
 ENDPOINTS_AGE_SHARE = 0.5
 # How long a request to another gateway is held.
 REQUEST_WAIT_SHARE = 0.25
@@ -56,17 +57,20 @@
 class RelayIntervals:
     """Time limits of reads, of the relay and of retries.
 
-    The log may hold a reader's call for up to ``held_s``, and that of a gateway that no
-    other reads through for up to ``unshared_wait_s``. Records are relayed if they are no older
-    than ``max_relayed_age_s``, those of endpoints no older than ``max_endpoints_age_s``. Two
-    reads of endpoints are at most ``max_pause_s`` apart. A request to another gateway is
-    held for up to ``request_wait_s`` and abandoned ``reply_margin_s`` later. A gateway that
-    has lost the log is not asked again for ``stale_pause_s``. A failed call is retried within
-    ``retry_s``. While the log rejects calls of this gateway, it makes none for
-    ``rejected_pause_s``. Retained entries are checked for expiry every ``expiry_check_s``.
+    ``log_wait_s`` limits how long the log may hold a reader's call, and
+    ``unshared_wait_s`` the same for a gateway that no other reads through.
+    ``max_pause_s`` limits the pause between two reads of endpoints.
+    ``max_relayed_age_s`` is the maximum age of relayed records, ``max_endpoints_age_s``
+    that of records of endpoints.
+
+    A request to another gateway is held for up to ``request_wait_s`` and abandoned
+    ``reply_margin_s`` later. A gateway that has lost the log is not asked again for
+    ``stale_pause_s``. ``retry_s`` limits the delay before a failed call is retried.
+    While the log rejects calls of this gateway, it makes none for ``rejected_pause_s``.
+    Retained entries are checked for expiry every ``expiry_check_s``.
     """
 
-    held_s: float
+    log_wait_s: float
     unshared_wait_s: float
     max_pause_s: float
     max_relayed_age_s: float
@@ -80,14 +84,14 @@
 
     def read_pause_s(self, endpoints: int) -> float:
         """Return the pause between two reads of this many endpoints' heartbeats."""
-        wanted_s = max(MIN_PAUSE_S, PAUSE_PER_ENDPOINT_S * endpoints)
-        return min(self.max_pause_s, wanted_s)
+        desired_s = max(MIN_PAUSE_S, PAUSE_PER_ENDPOINT_S * endpoints)
+        return min(self.max_pause_s, desired_s)
 
     def endpoints_wait_s(self, endpoints: int) -> float:
         """Return how long the read after such a pause may wait and still be relayed."""
-        oldest_s = self.max_endpoints_age_s
-        answer_s = min(MAX_LOG_REPLY_S, LOG_REPLY_SHARE * oldest_s)
-        return min(self.held_s, oldest_s - answer_s - self.read_pause_s(endpoints))
+        max_age_s = self.max_endpoints_age_s
+        reply_s = min(MAX_LOG_REPLY_S, LOG_REPLY_SHARE * max_age_s)
+        return min(self.log_wait_s, max_age_s - reply_s - self.read_pause_s(endpoints))
 
 
 def relay_intervals(propagation_s: float, drain_s: float) -> RelayIntervals:
@@ -96,12 +100,12 @@
     A decision is in force everywhere after ``propagation_s``, and a draining endpoint
     is sent no requests after ``drain_s``.
     """
-    held_s = min(MAX_LOG_WAIT_S, LOG_WAIT_SHARE * propagation_s)
-    max_pause_s = min(MAX_PAUSE_S, PAUSE_SHARE * drain_s, held_s / 2.0)
+    log_wait_s = min(MAX_LOG_WAIT_S, LOG_WAIT_SHARE * propagation_s)
+    max_pause_s = min(MAX_PAUSE_S, PAUSE_SHARE * drain_s, log_wait_s / 2.0)
     max_relayed_age_s = min(MAX_RELAYED_AGE_S, RELAYED_AGE_SHARE * propagation_s)
     shortest_s = min(drain_s, propagation_s)
     return RelayIntervals(
-        held_s=held_s,
+        log_wait_s=log_wait_s,
         unshared_wait_s=min(MAX_UNSHARED_WAIT_S, UNSHARED_WAIT_SHARE * propagation_s),
         max_pause_s=max_pause_s,
         max_relayed_age_s=max_relayed_age_s,
--- a/acaciacove/gateway/relay/relayed_log.py
+++ b/acaciacove/gateway/relay/relayed_log.py
@@ -122,8 +122,8 @@
         Each stream counts separately: on a connection that went silent together with
         the log, a call may fail seconds after calls for other streams have succeeded.
         """
-        refused_s = self._rejected_s.get(stream, float("-inf"))
-        return self.clock_s() - refused_s < self.relay_intervals().rejected_pause_s
+        rejected_s = self._rejected_s.get(stream, float("-inf"))
+        return self.clock_s() - rejected_s < self.relay_intervals().rejected_pause_s
 
     def _group(self) -> set[str]:
         zones = {name: peer.availability_zone for name, peer in self.members().items()}
--- a/acaciacove/gateway/relay/serve_records.py
+++ b/acaciacove/gateway/relay/serve_records.py
@@ -31,17 +31,17 @@
     the log itself.
     """
     try:
-        while isinstance(ask := await connection.receive(), LogAsk):
-            tail = _tail_of(tails, ask.stream)
+        while isinstance(request := await connection.receive(), LogAsk):
+            tail = _tail_of(tails, request.stream)
             if tail is None:
                 return
-            is_endpoints = ask.stream == LogStream.ENDPOINTS.value
+            is_endpoints = request.stream == LogStream.ENDPOINTS.value
             max_age_s = (
                 intervals.max_endpoints_age_s
                 if is_endpoints
                 else intervals.max_relayed_age_s
             )
-            await connection.send(await answer(ask, tail, clock_s, max_age_s))
+            await connection.send(await reply_to(request, tail, clock_s, max_age_s))
     except ConnectionError:
         # The requester has closed the connection and needs no reply.
         return
@@ -54,32 +54,32 @@
     return next((t for stream, t in tails.items() if stream.value == name), None)
 
 
-async def answer(
-    ask: LogAsk, tail: StreamTail, clock_s: Callable[[], float], max_age_s: float
+async def reply_to(
+    request: LogAsk, tail: StreamTail, clock_s: Callable[[], float], max_age_s: float
 ) -> LogTold:
     """Hold a request until there are new records, then reply with what is known."""
     requested_boot_s = clock_s()
     tail.requested_boot_s = requested_boot_s
     remaining_s = max_age_s - (requested_boot_s - tail.complete_boot_s)
     is_fresh = remaining_s > MIN_REMAINING_S
-    if is_fresh and tail.next_offset <= ask.offset:
+    if is_fresh and tail.next_offset <= request.offset:
         # A request must not be held for longer than the records may be relayed.
-        await _wait_for_change(tail, min(ask.wait_s, remaining_s))
+        await _wait_for_change(tail, min(request.wait_s, remaining_s))
     now_boot_s = clock_s()
-    known = is_fresh and tail.covers(ask.offset)
+    known = is_fresh and tail.covers(request.offset)
     return LogTold(
         known=known,
         next_offset=tail.next_offset,
         held_s=now_boot_s - requested_boot_s,
         age_s=now_boot_s - tail.complete_boot_s,
-        records=tuple(map(_to_message, tail.since(ask.offset))) if known else (),
+        records=tuple(map(_to_message, tail.since(request.offset))) if known else (),
         present_s=_available_s(tail, now_boot_s),
     )
 
 
 def _available_s(tail: StreamTail, now_boot_s: float) -> float | None:
-    returned_s = tail.recovered_boot_s
-    return None if returned_s is None else now_boot_s - returned_s
+    recovered_s = tail.recovered_boot_s
+    return None if recovered_s is None else now_boot_s - recovered_s
 
 
 async def _wait_for_change(tail: StreamTail, wait_s: float) -> None:
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -137,8 +137,8 @@
         time retries seconds later, or not at all.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + START_WAIT_S
-        while not self.gateway.view.is_usable and loop.time() < until_s:
+        deadline_s = loop.time() + START_WAIT_S
+        while not self.gateway.view.is_usable and loop.time() < deadline_s:
             await asyncio.sleep(START_POLL_S)
 
     async def _listen_to_callers(self) -> asyncio.Server:
@@ -221,7 +221,7 @@
             FollowedStream(
                 LogStream.OPERATOR,
                 lambda: self._wait_s(
-                    LogStream.OPERATOR, self.gateway.relay_intervals.held_s
+                    LogStream.OPERATOR, self.gateway.relay_intervals.log_wait_s
                 ),
                 lambda: 0.0,
                 lambda: self.gateway.relay_intervals.retry_s,
@@ -254,8 +254,8 @@
 
     def _wait_s(self, stream: LogStream, relay_wait_s: float) -> float:
         """Return how long a read may wait, less while peers read through this one."""
-        last_boot_s = self.gateway.tails[stream].requested_boot_s
-        is_relaying = self.clock_s() - last_boot_s < RELAY_REQUEST_MEMORY_S
+        requested_boot_s = self.gateway.tails[stream].requested_boot_s
+        is_relaying = self.clock_s() - requested_boot_s < RELAY_REQUEST_MEMORY_S
         unshared_wait_s = self.gateway.relay_intervals.unshared_wait_s
         return min(unshared_wait_s, relay_wait_s) if is_relaying else unshared_wait_s
 
@@ -290,10 +290,10 @@
         grace_s = self.settings.grace_s
         await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, ACCEPT_AFTER_STOP_SHARE * grace_s))
         front.close()
-        last_s = (
+        deadline_s = (
             began_s + grace_s - min(SHUTDOWN_MARGIN_S, SHUTDOWN_MARGIN_SHARE * grace_s)
         )
-        while self.connections and loop.time() < last_s:
+        while self.connections and loop.time() < deadline_s:
             for connection in list(self.connections):
                 connection.close_if_idle()
             await asyncio.sleep(SHUTDOWN_POLL_S)
--- a/tests/test_decisions_entry_retention.py
+++ b/tests/test_decisions_entry_retention.py
@@ -24,7 +24,7 @@
 
 @given(SPANS_S, SPANS_S, DRAINS_S)
 @settings(max_examples=200, derandomize=True)
-def test_nothing_is_kept_where_the_log_was_there(held_s, failed_s, drain_s):
+def test_nothing_is_retained_while_the_log_is_available(held_s, failed_s, drain_s):
     """Guards against removals delayed by calls that failed at one gateway only."""
     retention = EntryRetention()
     retention.begin_read(0.0, None, None)
@@ -36,7 +36,7 @@
 
 @given(SPANS_S, SPANS_S, DRAINS_S)
 @settings(max_examples=200, derandomize=True)
-def test_a_short_absence_keeps_nothing_for_longer_than_it_would_serve(
+def test_a_short_outage_retains_nothing_beyond_the_drain_time(
     held_s, failed_s, drain_s
 ):
     """Guards against requests to an endpoint whose drain time is over."""
@@ -58,7 +58,7 @@
 
 @given(st.floats(3.05, 30.0), SPANS_S, DRAINS_S)
 @settings(max_examples=100, derandomize=True)
-def test_long_after_an_absence_what_goes_has_left(after_s, failed_s, drain_s):
+def test_long_after_an_outage_removals_are_final(after_s, failed_s, drain_s):
     """Guards against one outage that makes every later removal look like an expiry."""
     retention = EntryRetention()
     retention.begin_read(0.0, 0.0, -failed_s)
--- a/tests/test_gateway_observability.py
+++ b/tests/test_gateway_observability.py
@@ -16,7 +16,7 @@
 from tests.virtual import run_virtual
 
 
-def test_a_request_has_one_line_with_what_decided_it():
+def test_a_request_has_one_line_with_its_decisions():
     async def scenario(fleet):
         await call("/look/1", "r-1", method="GET")
         (line,) = [x for x in lines(fleet, "request") if x["request_id"] == "r-1"]
@@ -27,7 +27,7 @@
     run_fleet(scenario)
 
 
-def test_an_attempt_that_did_not_serve_has_a_line():
+def test_a_failed_attempt_has_a_line():
     async def scenario(fleet):
         fleet.endpoints["app-0"].behaviour.failing = True
         for number in range(4):
@@ -38,7 +38,7 @@
     run_fleet(scenario)
 
 
-def test_a_refusal_says_how_old_its_grounds_are():
+def test_a_refusal_logs_the_age_of_the_view():
     async def scenario(fleet):
         await call("/nowhere/1", "r-1")
         (line,) = lines(fleet, "caller_refused")
@@ -48,7 +48,7 @@
     run_fleet(scenario)
 
 
-def test_a_lost_and_regained_log_is_told_once_each():
+def test_an_outage_and_its_end_are_logged_once_per_stream():
     async def scenario(fleet):
         fleet.store.down = "reset"
         await asyncio.sleep(3.0)
@@ -61,7 +61,7 @@
     run_fleet(scenario)
 
 
-def test_routine_lines_go_first_and_what_is_left_out_is_said():
+def test_routine_lines_are_dropped_first_and_counted():
     """A burst of requests would fill the log and displace the lines on failures."""
 
     async def scenario():
@@ -85,7 +85,7 @@
     run_virtual(scenario)
 
 
-def test_a_reader_that_stalls_holds_up_nobody():
+def test_a_stalled_reader_of_the_log_blocks_no_request():
     """The collector of the log stops reading. A blocking write would stop every stream
     of the process.
     """
@@ -120,7 +120,7 @@
     return bool(select.select([descriptor], [], [], 0)[0])
 
 
-def test_metrics_show_requests_refusals_and_beliefs():
+def test_metrics_show_requests_refusals_and_endpoints():
     async def scenario(fleet):
         running = fleet.gateways["gateway-0"]
         assert running.metrics_page() == b"# starting\n"
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -24,7 +24,7 @@
 )
 from acaciacove.gateway.relay.relay_intervals import relay_intervals
 from acaciacove.gateway.relay.relayed_log import RelayedLog
-from acaciacove.gateway.relay.serve_records import answer
+from acaciacove.gateway.relay.serve_records import reply_to
 from acaciacove.gateway.relay.stream_tail import MAX_RECORDS, StreamTail
 from acaciacove.messages.log_ask import LogAsk
 from acaciacove.messages.log_told import LogTold
@@ -75,13 +75,13 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_an_answer_is_read_as_it_was_written(told):
+def test_a_reply_survives_encoding_and_decoding(told):
     assert decode(encode(told)) == told
 
 
 @given(NAMES)
 @settings(max_examples=200, derandomize=True)
-def test_questions_lead_to_a_gateway_that_reads(names):
+def test_relay_requests_lead_to_a_reader(names):
     """If gateways could ask each other in a cycle, each might assume that another one
     reads the log. Each asks only gateways that come before it in one order, and the
     first ones of that order ask nobody.
@@ -102,7 +102,7 @@
 
 @given(st.dictionaries(st.text("abcdef", min_size=1), st.sampled_from("abcd")))
 @settings(max_examples=100, derandomize=True)
-def test_groups_of_readers_are_alike_for_all_their_members(zone_of):
+def test_all_members_of_a_group_compute_the_same_group(zone_of):
     groups = [reader_group(name, zone_of) for name in zone_of]
     for name, group in zip(zone_of, groups, strict=True):
         assert name in group
@@ -113,7 +113,7 @@
 
 @given(st.integers(MIN_GROUP_SIZE, 15), st.integers(1, 8))
 @settings(max_examples=50, derandomize=True)
-def test_no_reader_tells_more_than_its_own_zone(in_zone, zones):
+def test_no_reader_serves_more_than_its_own_zone(in_zone, zones):
     """Guards against a reader whose link is saturated by a catalogue for all zones at
     once: its followers get no records in time, and it reads nothing itself.
     """
@@ -125,7 +125,7 @@
 
 @given(NAMES)
 @settings(max_examples=100, derandomize=True)
-def test_a_reader_that_the_log_turns_away_asks_the_others(names):
+def test_a_rejected_reader_asks_its_peers(names):
     order = reader_order(names)
     asked = relay_candidates(order[0], names, may_read=False)
     assert order[0] not in asked
@@ -138,7 +138,7 @@
     st.integers(0, 900),
 )
 @settings(max_examples=100, derandomize=True)
-def test_a_tail_tells_all_records_from_an_offset_or_nothing(pages, start, asked):
+def test_a_tail_returns_all_records_from_an_offset_or_none(pages, start, asked):
     """A missing record would be a revoked key that still works, or an excluded zone
     that still gets requests. A gateway that needs older records is refused and reads
     the log.
@@ -181,7 +181,7 @@
     assert calls <= 2 * 30 + 2 * GATEWAYS + 2
 
 
-def test_gateways_that_do_not_read_have_a_decision_at_once():
+def test_followers_get_a_decision_at_once():
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.publish(catalogue(version=2))
@@ -215,40 +215,40 @@
 def test_decisions_are_in_force_in_time_though_the_reader_has_died():
     async def scenario(fleet):
         await asyncio.sleep(2.0)
-        left = followers(fleet)
+        remaining = followers(fleet)
         fleet._tasks[reader_of(fleet)].cancel()
         await asyncio.sleep(0.01)
         fleet.publish(catalogue(version=2))
         await asyncio.sleep(1.0)
-        assert versions(fleet, left) == [2] * (GATEWAYS - 1)
+        assert versions(fleet, remaining) == [2] * (GATEWAYS - 1)
 
     run_fleet(scenario, gateways=GATEWAYS)
 
 
-def test_a_member_that_is_dropped_while_another_is_asked_is_passed_over():
+def test_a_member_removed_during_a_request_is_skipped():
     """The reader lacks the records, and the next candidate, silent for a minute, is
     removed from the members while the reader is asked. An unchecked lookup ended the
     task that follows the log: the gateway stopped, with the requests of all its
     callers.
     """
 
-    first, second, me = reader_order(("r-1", "r-2", "r-3"))
+    first, second, local_name = reader_order(("r-1", "r-2", "r-3"))
     peers = {
         first: Peer(first, GATEWAY_HOST, PEER_PORT, "a", 0.0),
         second: Peer(second, "10.0.9.9", 1, "a", 0.0),
     }
-    looks = []
+    lookups = []
 
     def members():
         # The first calls are for the candidates and the first link; the second
         # candidate is looked up after its removal.
-        looks.append(len(looks))
-        return peers if len(looks) <= 2 else {first: peers[first]}
+        lookups.append(len(lookups))
+        return peers if len(lookups) <= 2 else {first: peers[first]}
 
     async def scenario(fleet):
         log = fleet.gateways["gateway-0"].metadata
         relayed = RelayedLog(
-            me,
+            local_name,
             "a",
             log.metadata,
             members,
@@ -259,21 +259,21 @@
         )
         page = await relayed.read(LogStream.OPERATOR, 0, 0.1)
         assert page.records and not page.is_relayed
-        assert len(looks) >= 3
+        assert len(lookups) >= 3
 
     run_fleet(scenario)
 
 
-def test_a_gateway_that_reaches_nobody_looks_for_the_log_itself():
+def test_a_gateway_without_reachable_peers_reads_the_log():
     """Guards against a gateway that waits for peers that it cannot reach."""
-    first, second, me = reader_order(("r-1", "r-2", "r-3"))
+    first, second, local_name = reader_order(("r-1", "r-2", "r-3"))
     peers = {name: Peer(name, "10.0.9.9", 1, "a", 0.0) for name in (first, second)}
 
     async def scenario(fleet):
         log = fleet.gateways["gateway-0"].metadata
         clock_s = fleet.boot_time_s
         relayed = RelayedLog(
-            me,
+            local_name,
             "a",
             log.metadata,
             lambda: peers,
@@ -292,7 +292,7 @@
     run_fleet(scenario)
 
 
-def test_gateways_that_have_lost_the_log_do_not_assure_each_other():
+def test_gateways_without_the_log_do_not_refresh_each_other():
     """The log rejects all calls, and a key is revoked meanwhile. Each gateway gets
     replies from the others every half second. None of them may make the key look valid.
     """
@@ -312,7 +312,7 @@
     run_fleet(scenario, gateways=3)
 
 
-def test_entries_that_lapse_with_the_log_are_no_departures_for_any_gateway():
+def test_entries_that_expire_in_an_outage_are_retained_by_all_gateways():
     """Endpoints' entries expire while the log is unavailable. Most gateways get the
     removals from the reader. If they took them for deregistrations, callers would be
     left without an endpoint.
@@ -338,7 +338,7 @@
     run_fleet(scenario, gateways=GATEWAYS)
 
 
-def test_a_departure_is_one_though_the_log_turns_the_reader_away():
+def test_a_removal_takes_effect_though_the_log_rejects_the_reader():
     """The log rejects the reader's calls and serves the others, and an endpoint is
     removed. Gateways that took the reader's failures for an outage retained the
     endpoint for two seconds and sent it requests that failed when it shut down.
@@ -359,7 +359,7 @@
     run_fleet(scenario, gateways=GATEWAYS)
 
 
-def test_an_answer_that_waited_in_a_suspended_machine_is_as_old_as_its_question():
+def test_a_reply_read_after_a_suspend_is_as_old_as_its_request():
     """The machine is suspended with a reply in its socket. If its age were counted from
     when it is read, a view from before the suspend would look fresh, and a key that was
     revoked meanwhile would be honoured.
@@ -373,10 +373,10 @@
         )
         offset = reader.gateway.view.operator_revision + 1
         requested_boot_s = fleet.boot_time_s()
-        question = asyncio.create_task(link.request_records("operator", offset, 0.2))
+        request = asyncio.create_task(link.request_records("operator", offset, 0.2))
         await asyncio.sleep(0.1)
         fleet.suspended_s += 30.0
-        page = await question
+        page = await request
         assert page is None or page.complete_after_s <= 0.3
         assert page is None or requested_boot_s + page.complete_after_s < (
             fleet.boot_time_s() - 29.0
@@ -386,18 +386,18 @@
     run_fleet(scenario, gateways=2)
 
 
-def test_a_teller_says_nothing_once_its_own_look_is_too_old():
+def test_a_stale_tail_is_not_relayed():
     async def scenario():
         now_s = asyncio.get_running_loop().time
         tail = StreamTail()
         tail.apply(reading(LogPage((), 7), True, now_s()))
         oldest_s = relay_intervals(2.0, 2.0).max_relayed_age_s
-        told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
+        told = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
         assert told.known and told.records == () and told.held_s >= 0.5
         # A relayed page does not make the tail itself fresh.
         tail.apply(reading(LogPage((), 7, complete_after_s=0.0), False, now_s()))
         await asyncio.sleep(oldest_s)
-        told = await answer(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
+        told = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
         assert not told.known
 
     run_virtual(scenario)
@@ -405,75 +405,80 @@
 
 @given(st.floats(2.0, 20.0), st.floats(0.2, 20.0), st.integers(0, 600))
 @settings(max_examples=50, derandomize=True)
-def test_askers_of_a_reader_that_lost_the_log_have_time_to_look_themselves(
-    promised_s, drain_s, endpoints
+def test_followers_have_time_to_read_after_their_reader_lost_the_log(
+    propagation_s, drain_s, endpoints
 ):
     """Guards against decisions that come into force after the guaranteed time."""
-    intervals = relay_intervals(promised_s, drain_s)
+    intervals = relay_intervals(propagation_s, drain_s)
     # A reader that pauses and then waits for records can relay throughout.
-    assert intervals.held_s < intervals.max_relayed_age_s
+    assert intervals.log_wait_s < intervals.max_relayed_age_s
     assert intervals.endpoints_wait_s(endpoints) > 0.0
     paused_s = intervals.read_pause_s(endpoints) + intervals.endpoints_wait_s(endpoints)
     assert paused_s < intervals.max_endpoints_age_s <= intervals.max_relayed_age_s
     assert intervals.read_pause_s(endpoints) <= intervals.max_pause_s
     # The record of a draining endpoint leaves time for requests in transit to it.
     assert intervals.max_pause_s <= drain_s / 3.0
-    assert promised_s - intervals.max_relayed_age_s >= intervals.request_wait_s
+    assert propagation_s - intervals.max_relayed_age_s >= intervals.request_wait_s
     # So does a reader that stops responding during a request.
-    asked_s = intervals.request_wait_s + intervals.reply_margin_s
-    assert intervals.max_endpoints_age_s + asked_s <= 0.9 * drain_s
+    request_s = intervals.request_wait_s + intervals.reply_margin_s
+    assert intervals.max_endpoints_age_s + request_s <= 0.9 * drain_s
     assert intervals.rejected_pause_s <= drain_s / 2.0
     # A call on a silent connection and the next call end before keys expire.
-    assert 2 * intervals.held_s + CALL_TIMEOUT_S <= 0.9 * 5.0
+    assert 2 * intervals.log_wait_s + CALL_TIMEOUT_S <= 0.9 * 5.0
 
 
 def test_many_heartbeats_a_second_are_read_in_few_calls():
     """Guards against one call to the log for each heartbeat of a large fleet."""
-    seconds, beats_per_s, endpoints = 10, 20, 24
-    beats = [report(f"app-{n}", "app", 10 + n, "ab"[n % 2]) for n in range(endpoints)]
+    seconds, heartbeats_per_s, endpoints = 10, 20, 24
+    heartbeats = [
+        report(f"app-{n}", "app", 10 + n, "ab"[n % 2]) for n in range(endpoints)
+    ]
 
     async def scenario(fleet):
-        for beat in beats:
-            fleet.register(beat)
+        for heartbeat in heartbeats:
+            fleet.register(heartbeat)
         await asyncio.sleep(1.0)
         before = fleet.store.reads
-        for number in range(seconds * beats_per_s):
-            fleet.register(beats[number % endpoints])
-            await asyncio.sleep(1.0 / beats_per_s)
+        for number in range(seconds * heartbeats_per_s):
+            fleet.register(heartbeats[number % endpoints])
+            await asyncio.sleep(1.0 / heartbeats_per_s)
         reads_per_s = (fleet.store.reads - before) / seconds
         intervals = relay_intervals(2.0, 2.0)
-        assert reads_per_s <= 1.0 / intervals.max_pause_s + 1.0 / intervals.held_s + 0.5
+        assert (
+            reads_per_s
+            <= 1.0 / intervals.max_pause_s + 1.0 / intervals.log_wait_s + 0.5
+        )
 
     run_fleet(scenario, gateways=GATEWAYS)
 
 
-def test_news_of_a_few_endpoints_is_not_held_up():
+def test_records_of_few_endpoints_are_not_delayed():
     """Guards against an old view where a longer pause would save no call."""
     intervals = relay_intervals(2.0, 2.0)
     assert intervals.read_pause_s(5) <= 0.2
     assert intervals.read_pause_s(600) == intervals.max_pause_s
 
 
-def test_a_reader_can_tell_what_a_large_fleet_wrote_during_two_rests():
+def test_a_tail_covers_two_pauses_of_a_large_fleet():
     """Guards against followers that all read the log because their reader lacks
     records.
     """
-    endpoints, beat_s = 600, 1.2
+    endpoints, heartbeat_s = 600, 1.2
     read_pause_s = relay_intervals(3.0, 3.0).read_pause_s(endpoints)
-    in_a_rest = int(read_pause_s * endpoints / beat_s)
+    per_pause = int(read_pause_s * endpoints / heartbeat_s)
     tail = StreamTail()
     tail.apply(reading(LogPage((), 0), True, 0.0))
-    asked_from = tail.next_offset
+    first_offset = tail.next_offset
     for _ in range(2):
         begin = tail.next_offset
         records = tuple(
-            LogRecord(f"i-{n}", b"x" * 250, begin + n) for n in range(in_a_rest)
+            LogRecord(f"i-{n}", b"x" * 250, begin + n) for n in range(per_pause)
         )
-        tail.apply(reading(LogPage(records, begin + in_a_rest), False, 0.0))
-    assert tail.covers(asked_from)
+        tail.apply(reading(LogPage(records, begin + per_pause), False, 0.0))
+    assert tail.covers(first_offset)
 
 
-def test_a_leaving_endpoint_is_known_everywhere_while_it_still_serves():
+def test_all_gateways_know_a_draining_endpoint_while_it_serves():
     """Guards against requests to a removed endpoint after a long pause of reads."""
 
     async def scenario(fleet):
--- a/tests/test_gateway_removals.py
+++ b/tests/test_gateway_removals.py
@@ -6,7 +6,7 @@
 
 from acaciacove.gateway.relay import serve_records
 from acaciacove.gateway.relay.reader_order import reader_order
-from acaciacove.gateway.relay.serve_records import answer
+from acaciacove.gateway.relay.serve_records import reply_to
 from acaciacove.standins.gateway_fleet import ENDPOINTS
 from tests.gateway_world import run_fleet
 
@@ -43,11 +43,11 @@
     reject_calls(fleet, None)
 
 
-async def expire_during_outage(fleet, away_s, instances):
+async def expire_during_outage(fleet, outage_s, instances):
     """Let entries expire while the log is unavailable to all gateways."""
     await asyncio.sleep(2.0)
     fleet.store.down = "busy"
-    await asyncio.sleep(away_s)
+    await asyncio.sleep(outage_s)
     for instance in instances:
         remove(fleet, instance)
     restore_log(fleet)
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 @pytest.mark.parametrize("how", ["busy", "reset"])
-def test_one_gateways_failed_calls_put_no_departure_off(
+def test_one_gateways_failed_calls_delay_no_removal(
     how, drain_s, heartbeat_s, gateways
 ):
     """Guards against a removal taken for an expiry after one gateway's failed call."""
@@ -88,7 +88,7 @@
 
 @pytest.mark.parametrize("place", [0, 1, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_a_gateway_that_is_turned_away_learns_of_departures_from_others(drain_s, place):
+def test_a_rejected_gateway_gets_removals_from_peers(drain_s, place):
     """Guards against a long rejection of one gateway's calls taken for an outage."""
 
     async def scenario(fleet):
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("gateways", [4, 5, LARGE_FLEET])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_the_last_that_reach_the_log_tell_the_others_of_departures(drain_s, gateways):
+def test_the_last_gateways_that_reach_the_log_relay_removals(drain_s, gateways):
     """Guards against a fleet that fails to ask the one gateway that reads the log."""
 
     async def scenario(fleet):
@@ -123,18 +123,18 @@
 
 @pytest.mark.parametrize("frozen", [1, 2, 3, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_gateways_that_fall_silent_hide_no_departure(drain_s, frozen, monkeypatch):
+def test_silent_gateways_hide_no_removal(drain_s, frozen, monkeypatch):
     """Guards against a gateway that waits for every silent peer before it reads the
     log.
     """
     silent = []
 
-    async def keep_silent(ask, tail, *rest):
+    async def stay_silent(request, tail, *rest):
         if any(tail is other for other in silent):
             await asyncio.Event().wait()
-        return await answer(ask, tail, *rest)
+        return await reply_to(request, tail, *rest)
 
-    monkeypatch.setattr(serve_records, "answer", keep_silent)
+    monkeypatch.setattr(serve_records, "reply_to", stay_silent)
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -148,15 +148,15 @@
     run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
-@pytest.mark.parametrize("away_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
+@pytest.mark.parametrize("outage_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_a_departure_after_an_outage_is_believed(drain_s, away_s):
+def test_a_removal_after_an_outage_takes_effect(drain_s, outage_s):
     """Guards against calls that hang with the log and fail long after its recovery."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         restore_log(fleet)
         await asyncio.sleep(RECOVERY_S + 0.05)
         remove(fleet, "app-0")
@@ -165,17 +165,15 @@
     run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
-@pytest.mark.parametrize("away_s", [2.0, 4.9, 5.0, 5.1, 5.2, 5.3, 5.4, 5.5])
+@pytest.mark.parametrize("outage_s", [2.0, 4.9, 5.0, 5.1, 5.2, 5.3, 5.4, 5.5])
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_all_gateways_have_the_log_back_before_their_bounds_hold_again(
-    gateways, away_s
-):
+def test_all_gateways_recover_before_their_limits_apply_again(gateways, outage_s):
     """Guards against gateways that learn of a removal seconds after the others."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         restore_log(fleet)
         returned_s = fleet.boot_time_s()
         await asyncio.sleep(RECOVERY_S)
@@ -189,7 +187,7 @@
 @pytest.mark.parametrize("gateways", FLEET_SIZES)
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("how", ["busy", "reset", "silent"])
-def test_endpoints_that_lapse_and_live_go_on_being_used(how, heartbeat_s, gateways):
+def test_live_endpoints_with_expired_entries_stay_in_use(how, heartbeat_s, gateways):
     """Guards against a service without endpoints after each outage of the log."""
 
     async def scenario(fleet):
@@ -211,7 +209,7 @@
 
 
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_entries_that_lapse_after_the_logs_return_go_on_being_used(gateways):
+def test_entries_that_expire_after_the_recovery_stay_in_use(gateways):
     """Guards against an entry that the log expires late, taken for a removal."""
 
     async def scenario(fleet):
@@ -228,7 +226,7 @@
     run_fleet(scenario, gateways=gateways)
 
 
-def test_entries_that_lapsed_outlast_a_second_outage():
+def test_expired_entries_are_retained_in_a_second_outage():
     """Guards against endpoints removed while the log cannot show that they are live."""
 
     async def scenario(fleet):
@@ -245,7 +243,7 @@
     run_fleet(scenario, gateways=5)
 
 
-def test_an_endpoint_that_does_not_come_back_is_dropped():
+def test_an_endpoint_that_does_not_register_again_is_dropped():
     """Guards against requests to a dead endpoint long after an outage."""
 
     async def scenario(fleet):
@@ -257,7 +255,7 @@
 
 
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_an_endpoint_that_was_heard_after_an_outage_has_left_when_its_entry_goes(
+def test_a_removal_after_a_new_registration_is_final(
     gateways,
 ):
     """Guards against requests to an endpoint that registered again and then left."""
--- a/tests/test_gateway_routing_view.py
+++ b/tests/test_gateway_routing_view.py
@@ -31,7 +31,7 @@
     run_fleet(scenario)
 
 
-def test_a_zone_that_is_taken_out_gets_nothing():
+def test_an_excluded_zone_gets_no_requests():
     async def scenario(fleet):
         fleet.take_zone_out("a")
         await asyncio.sleep(0.3)
@@ -48,7 +48,7 @@
     run_fleet(scenario)
 
 
-def test_a_leaving_endpoint_gets_nothing_after_its_word():
+def test_a_draining_endpoint_gets_no_requests():
     async def scenario(fleet):
         fleet.announce_leaving("app-0")
         await asyncio.sleep(0.5)
@@ -59,7 +59,7 @@
     run_fleet(scenario)
 
 
-def test_records_of_other_writers_name_no_endpoint_and_hide_none():
+def test_foreign_records_add_and_remove_no_endpoint():
     """Another program writes into the same stream: fields of other types, unknown
     states, bytes that are no document. The readers must neither stop nor send requests
     to such an endpoint.
@@ -91,7 +91,7 @@
     run_fleet(scenario)
 
 
-def test_a_history_that_was_forgotten_is_read_anew():
+def test_an_expired_offset_leads_to_a_new_snapshot():
     async def scenario(fleet):
         fleet.publish(catalogue(version=2, keys=("second",)))
         fleet.store.forget_history(OPERATOR)
@@ -115,7 +115,7 @@
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
-        away_s = asyncio.get_running_loop().time()
+        outage_start_s = asyncio.get_running_loop().time()
         served_s = refused_s = None
         for number in range(70):
             answer = await call("/look/1", f"r-{number}", method="GET")
@@ -126,7 +126,7 @@
                 assert answer.status == 503 and b'"not_run":true' in answer.body
             await asyncio.sleep(0.1)
         assert refused_s is not None and served_s < refused_s
-        assert 2.5 < refused_s - away_s < 5.0
+        assert 2.5 < refused_s - outage_start_s < 5.0
         fleet.store.down = None
         await asyncio.sleep(3.0)
         assert (await call("/look/1", "r-z", method="GET")).status == 200
@@ -134,7 +134,7 @@
     run_fleet(scenario)
 
 
-def test_a_wake_after_a_pause_honours_no_key_before_a_look_at_the_log():
+def test_no_key_is_honoured_after_a_suspend_before_the_log_is_read():
     """A machine is suspended, a key is revoked meanwhile, and the machine resumes with
     a request waiting. The event loop's clock stopped, so by it the view would look
     fresh. By the clock that keeps running the view is stale.
@@ -151,7 +151,7 @@
     run_fleet(scenario)
 
 
-def test_a_taken_key_is_refused():
+def test_a_revoked_key_is_refused():
     async def scenario(fleet):
         fleet.publish(catalogue(version=2, keys=("other",)))
         await asyncio.sleep(0.3)
@@ -161,7 +161,7 @@
     run_fleet(scenario)
 
 
-def test_in_doubt_nothing_is_said_not_to_exist():
+def test_a_stale_view_answers_503_instead_of_401_or_404():
     """A key is new and the gateway has not read it yet, as the log is unavailable.
     After a 401 its holder would not retry; a 503 with Retry-After sends the caller
     elsewhere.
@@ -180,7 +180,7 @@
 
 @pytest.mark.parametrize("begin_s", [1.4, 1.6, 2.0, 2.4, 2.8])
 @pytest.mark.parametrize("propagation_s", [0.5, 1.0, 2.0])
-def test_a_new_key_is_never_refused_once_it_must_be_known(propagation_s, begin_s):
+def test_a_new_key_never_gets_401_once_it_must_be_in_force(propagation_s, begin_s):
     """Guards against a view that counts as fresh after a decision must be in force."""
 
     async def scenario(fleet):
@@ -197,7 +197,7 @@
 @pytest.mark.parametrize("gateways", [1, 5])
 @pytest.mark.parametrize("revocation_s", [1.0, 2.0, 5.0])
 @pytest.mark.parametrize("propagation_s", [0.5, 1.0, 2.0])
-def test_a_calm_log_leaves_no_doubt(propagation_s, revocation_s, gateways):
+def test_an_available_log_keeps_the_view_fresh(propagation_s, revocation_s, gateways):
     """Guards against reads of the log that are too rare to keep the view fresh."""
 
     async def scenario(fleet):
@@ -212,7 +212,7 @@
     run_fleet(scenario, gateways=gateways, **bounds)
 
 
-def test_a_start_without_the_log_says_that_it_is_not_ready():
+def test_a_start_without_the_log_is_not_ready():
     async def scenario(fleet):
         fleet.store.down = "busy"
         from acaciacove.standins.gateway_fleet import gateway_settings
@@ -231,7 +231,7 @@
     run_fleet(scenario)
 
 
-def test_entries_that_lapse_with_the_log_are_no_departures():
+def test_entries_that_expire_in_an_outage_are_retained():
     """The entries of live endpoints expire during an outage of the log and are
     registered again within two seconds of its recovery. If they were removed at once,
     every request in between would be refused although all endpoints are ready.
@@ -258,7 +258,7 @@
     run_fleet(scenario)
 
 
-def test_an_endpoint_that_left_without_a_word_is_dropped_at_once():
+def test_an_endpoint_removed_without_draining_is_dropped_at_once():
     async def scenario(fleet):
         fleet.store.append(ENDPOINTS, "app-0", b"")
         await asyncio.sleep(0.5)
@@ -282,7 +282,7 @@
     run_fleet(scenario)
 
 
-def test_a_crashed_endpoint_costs_no_lookup():
+def test_a_crashed_endpoint_fails_no_lookup():
     async def scenario(fleet):
         fleet.crash("app-0")
         answers = [await call("/look/1", f"r-{n}", method="GET") for n in range(8)]
@@ -291,7 +291,7 @@
     run_fleet(scenario)
 
 
-def test_another_life_under_the_same_name_is_met_cold():
+def test_a_new_incarnation_is_treated_as_cold():
     """An endpoint crashes and starts again under its old name. It has little capacity
     until it is warm. With the load that its previous incarnation could serve it would
     be overloaded and crash again.
@@ -299,8 +299,8 @@
 
     async def scenario(fleet):
         server = fleet.endpoints["model-0"]
-        reborn = evolve(server.report, incarnation="2", cold_remaining_s=3.0)
-        fleet.register(reborn)
+        restarted = evolve(server.report, incarnation="2", cold_remaining_s=3.0)
+        fleet.register(restarted)
         await asyncio.sleep(0.5)
         fleet.store.append(ENDPOINTS, "model-1", b"")
         await asyncio.sleep(0.5)
@@ -315,7 +315,7 @@
     run_fleet(scenario)
 
 
-def test_a_connection_that_goes_silent_is_left_for_a_fresh_one():
+def test_a_silent_connection_is_replaced():
     """The connection to the log stays open, but nothing arrives on it any more. Only
     the gateway's own timeout detects this. Without it the view would stay at the last
     read forever.
@@ -332,7 +332,7 @@
     run_fleet(scenario)
 
 
-def test_callers_on_kept_connections_meet_the_new_catalogue():
+def test_persistent_connections_use_the_new_catalogue():
     async def scenario(fleet):
         caller = await Caller().open()
         assert (await caller.request("/look/1", "r-1", method="GET")).status == 200
@@ -343,7 +343,7 @@
     run_fleet(scenario)
 
 
-def test_a_log_that_is_away_for_an_hour_ends_no_gateway():
+def test_an_outage_of_an_hour_stops_no_gateway():
     """Guards against a retry delay that grows beyond the range of a float."""
 
     async def scenario(fleet):
