--- a/acaciacove/gateway/fleet_limits.py
+++ b/acaciacove/gateway/fleet_limits.py
@@ -50,14 +50,14 @@
     per_gateway, remainder = divmod(int(CONNECTION_MARGIN * limit), count)
     if not gateway.members_loaded:
         per_gateway, remainder = max(1, per_gateway), 0
-    own = name_hash(gateway.settings.name)
+    local_hash = name_hash(gateway.settings.name)
     free = [
         state
         for state in states
         if state.load.in_flight < per_gateway
         or (
             state.load.in_flight == per_gateway
-            and is_drawn(remainder, count, state.instance_hash ^ own)
+            and is_drawn(remainder, count, state.instance_hash ^ local_hash)
         )
     ]
     if free or per_gateway:
--- a/acaciacove/gateway/gateway.py
+++ b/acaciacove/gateway/gateway.py
@@ -33,8 +33,8 @@
 # clocks, not by the clock of this process.
 RETRY_MARGIN = 0.9
 # API keys are honoured for some time without a confirmation of the decisions. The view
-# must be confirmed within this share of it: the rest is enough for two calls, the first
-# of which meets a silent connection.
+# must be confirmed within this share of it: the rest is enough for two calls, one of
+# which meets a silent connection.
 REVOCATION_SHARE = 0.4
 # The number of gateways assumed to share the limits until the members have been read.
 # After a loss of all processes, each gateway would otherwise use the full limits, and
--- a/acaciacove/gateway/log_limit.py
+++ b/acaciacove/gateway/log_limit.py
@@ -6,7 +6,7 @@
 
 
 def log_limit(log: EventLog, state: EndpointState, from_peer: bool) -> None:
-    """Log a limit or its end; ``from_peer`` if another gateway received the answer."""
+    """Log a stated limit or its end; ``from_peer`` if a peer reported it."""
     per_s = state.stated_limit.per_s
     log.write(
         Event.ENDPOINT_LIMITED,
--- a/acaciacove/gateway/outcome_recorder.py
+++ b/acaciacove/gateway/outcome_recorder.py
@@ -36,7 +36,7 @@
 
 
 class OutcomeRecorder:
-    """Records outcomes; it runs in every gateway, and the first slot records."""
+    """Runs in every gateway; usually the one with the first slot records."""
 
     def __init__(
         self, gateway: Gateway, metadata: MetadataLog, codec: RecordCodec
--- a/acaciacove/gateway/relay/relay_intervals.py
+++ b/acaciacove/gateway/relay/relay_intervals.py
@@ -14,7 +14,7 @@
 # The heartbeats of a fleet come many times a second, and each of them would end a read.
 # After a pause one call reads them all. The pause takes this share of the drain time.
 PAUSE_SHARE = 0.25
-# API keys are honoured for some seconds without a confirmation. Two calls, the first of
+# API keys are honoured for some seconds without a confirmation. Two calls, one of
 # which meets a silent connection, end within that time.
 MAX_LOG_WAIT_S = 1.5
 MAX_RELAYED_AGE_S = 2.1
--- a/acaciacove/gateway/relay/relayed_log.py
+++ b/acaciacove/gateway/relay/relayed_log.py
@@ -85,11 +85,11 @@
         """
         may_read = not self._is_rejected(stream)
         for name in self._candidates(stream, may_read):
-            told = await self._request(name, stream, offset, wait_s)
-            if isinstance(told, LogPage):
+            result = await self._request(name, stream, offset, wait_s)
+            if isinstance(result, LogPage):
                 self._log_source(stream, name)
-                return told
-            if told is RelayFailure.UNREACHED and may_read:
+                return result
+            if result is RelayFailure.UNREACHED and may_read:
                 return None
         return None
 
@@ -138,20 +138,22 @@
         try:
             page = await link.request_records(stream.value, offset, wait_s)
         except (OSError, TimeoutError) as error:
-            for told in RELAYED_STREAMS:
-                self._defer(name, told, UNREACHABLE_PAUSE_S)
-            return self._log_failure(name, stream, RelayFailure.UNREACHED, repr(error))
+            for other in RELAYED_STREAMS:
+                self._defer(name, other, UNREACHABLE_PAUSE_S)
+            return self._record_failure(
+                name, stream, RelayFailure.UNREACHED, repr(error)
+            )
         if page is None:
             self._defer(name, stream, self.relay_intervals().stale_pause_s)
             detail = "it lacks the offset or its view is too old"
-            return self._log_failure(name, stream, RelayFailure.STALE, detail)
+            return self._record_failure(name, stream, RelayFailure.STALE, detail)
         self.metrics.count(Metric.LOG_QUESTIONS, "told")
         return page
 
     def _defer(self, name: str, stream: LogStream, pause_s: float) -> None:
         self._not_before_s[(name, stream)] = self.clock_s() + pause_s
 
-    def _log_failure(
+    def _record_failure(
         self, name: str, stream: LogStream, result: RelayFailure, detail: str
     ) -> RelayFailure:
         self.metrics.count(Metric.LOG_QUESTIONS, result.value)
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -266,9 +266,9 @@
     def _on_endpoints(self, reading: LogReading) -> None:
         view = self.gateway.view
         self.gateway.tails[LogStream.ENDPOINTS].apply(reading)
-        was_known = view.endpoints_loaded
+        was_loaded = view.endpoints_loaded
         self.endpoints.apply_reading(reading)
-        if not was_known:
+        if not was_loaded:
             self.log.write(Event.READY, endpoints=len(view.endpoints))
 
     async def _trim(self) -> None:
--- a/tests/test_decisions_entry_retention.py
+++ b/tests/test_decisions_entry_retention.py
@@ -45,7 +45,7 @@
     retention.end_read(0.0)
     now_s = held_s + failed_s
     retention.begin_read(now_s, now_s, held_s)
-    kept = retention.retain_removed("i-0", now_s, drain_s)
+    retained = retention.retain_removed("i-0", now_s, drain_s)
     retention.end_read(now_s)
     lasted_s = retained_for_s(retention, now_s, drain_s)
     if failed_s < 0.85 * drain_s:
@@ -53,7 +53,7 @@
         assert failed_s + lasted_s <= drain_s
     else:
         # Gateways have to comply with their limits again by then.
-        assert kept and REREGISTRATION_S <= lasted_s <= RECOVERY_S
+        assert retained and REREGISTRATION_S <= lasted_s <= RECOVERY_S
 
 
 @given(st.floats(3.05, 30.0), SPANS_S, DRAINS_S)
--- a/tests/test_gateway_observability.py
+++ b/tests/test_gateway_observability.py
@@ -73,8 +73,8 @@
         kinds = [line["event"] for line in log.lines]
         assert kinds.count("caller_refused") == 50
         assert kinds.count("request") <= BURST_LINES * (1 - ROUTINE_RESERVE)
-        told = [line for line in log.lines if line["event"] == "lines_dropped"]
-        assert told[-1]["total"] == log.dropped > 1000
+        reported = [line for line in log.lines if line["event"] == "lines_dropped"]
+        assert reported[-1]["total"] == log.dropped > 1000
         await asyncio.sleep(1.0)
         before = len(log.lines)
         for number in range(2000):
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -75,8 +75,8 @@
     )
 )
 @settings(max_examples=50, derandomize=True)
-def test_a_reply_survives_encoding_and_decoding(told):
-    assert decode(encode(told)) == told
+def test_a_reply_survives_encoding_and_decoding(reply):
+    assert decode(encode(reply)) == reply
 
 
 @given(NAMES)
@@ -89,14 +89,14 @@
     order = reader_order(names)
     readers = order[: reader_count(len(names))]
     for name in names:
-        asked = relay_candidates(name, names - {name}, may_read=True)
-        assert name not in asked
+        candidates = relay_candidates(name, names - {name}, may_read=True)
+        assert name not in candidates
         if name in readers:
-            assert asked == []
+            assert candidates == []
             continue
-        assert asked[0] in readers
-        assert len(asked) <= len(readers) + FALLBACK_PEERS
-        for other in asked:
+        assert candidates[0] in readers
+        assert len(candidates) <= len(readers) + FALLBACK_PEERS
+        for other in candidates:
             assert other in readers or order.index(other) < order.index(name)
 
 
@@ -119,17 +119,17 @@
     """
     zone_of = {f"{n}-{z}": f"zone-{z}" for z in range(zones) for n in range(in_zone)}
     for name, zone in zone_of.items():
-        asked = relay_candidates(name, reader_group(name, zone_of), may_read=True)
-        assert all(zone_of[other] == zone for other in asked)
+        candidates = relay_candidates(name, reader_group(name, zone_of), may_read=True)
+        assert all(zone_of[other] == zone for other in candidates)
 
 
 @given(NAMES)
 @settings(max_examples=100, derandomize=True)
 def test_a_rejected_reader_asks_its_peers(names):
     order = reader_order(names)
-    asked = relay_candidates(order[0], names, may_read=False)
-    assert order[0] not in asked
-    assert bool(asked) is (len(names) > 1)
+    candidates = relay_candidates(order[0], names, may_read=False)
+    assert order[0] not in candidates
+    assert bool(candidates) is (len(names) > 1)
 
 
 @given(
@@ -138,7 +138,7 @@
     st.integers(0, 900),
 )
 @settings(max_examples=100, derandomize=True)
-def test_a_tail_returns_all_records_from_an_offset_or_none(pages, start, asked):
+def test_a_tail_returns_all_records_from_an_offset_or_none(pages, start, from_offset):
     """A missing record would be a revoked key that still works, or an excluded zone
     that still gets requests. A gateway that needs older records is refused and reads
     the log.
@@ -154,12 +154,12 @@
             )
             end += count
             tail.apply(reading(LogPage(records, end), False, 0.0))
-        if not tail.covers(asked):
-            kept = min(end - start, MAX_RECORDS)
-            assert asked > end or asked < end - kept
+        if not tail.covers(from_offset):
+            retained = min(end - start, MAX_RECORDS)
+            assert from_offset > end or from_offset < end - retained
             return
-        told = [record.offset for record in tail.since(asked)]
-        assert told == list(range(asked, end))
+        offsets = [record.offset for record in tail.since(from_offset)]
+        assert offsets == list(range(from_offset, end))
 
     run_virtual(scenario)
 
@@ -192,9 +192,9 @@
 
 
 def test_decisions_are_in_force_in_time_though_the_reader_has_lost_the_log():
-    """The log rejects the reader's calls, or its connections go silent. It still
-    answers its peers, who must not take a lack of records for a lack of changes: a
-    decision made at that moment must be in force within two seconds.
+    """The log rejects the reader's calls, or the reader's connections go silent. The
+    reader still answers its peers, who must not take a lack of records for a lack of
+    changes: a decision made at that moment must be in force within two seconds.
     """
     for how in ("busy", "reset", "silent"):
 
@@ -226,7 +226,7 @@
 
 
 def test_a_member_removed_during_a_request_is_skipped():
-    """The reader lacks the records, and the next candidate, silent for a minute, is
+    """The reader lacks the records, and the next candidate, dead for a minute, is
     removed from the members while the reader is asked. An unchecked lookup ended the
     task that follows the log: the gateway stopped, with the requests of all its
     callers.
@@ -391,14 +391,14 @@
         now_s = asyncio.get_running_loop().time
         tail = StreamTail()
         tail.apply(reading(LogPage((), 7), True, now_s()))
-        oldest_s = relay_intervals(2.0, 2.0).max_relayed_age_s
-        told = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
-        assert told.known and told.records == () and told.held_s >= 0.5
+        max_age_s = relay_intervals(2.0, 2.0).max_relayed_age_s
+        reply = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, max_age_s)
+        assert reply.known and reply.records == () and reply.held_s >= 0.5
         # A relayed page does not make the tail itself fresh.
         tail.apply(reading(LogPage((), 7, complete_after_s=0.0), False, now_s()))
-        await asyncio.sleep(oldest_s)
-        told = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, oldest_s)
-        assert not told.known
+        await asyncio.sleep(max_age_s)
+        reply = await reply_to(LogAsk("operator", 7, 0.5), tail, now_s, max_age_s)
+        assert not reply.known
 
     run_virtual(scenario)
 
@@ -482,13 +482,13 @@
     """Guards against requests to a removed endpoint after a long pause of reads."""
 
     async def scenario(fleet):
-        view = [g.gateway.view for g in fleet.gateways.values()]
+        views = [g.gateway.view for g in fleet.gateways.values()]
         for _ in range(5):
             fleet.register(report("app-0", "app", 10, "a"))
             await asyncio.sleep(0.17)
         fleet.announce_leaving("app-0")
         await asyncio.sleep(0.5 * 2.0)
-        assert all(b.endpoints["app-0"].draining for b in view)
+        assert all(v.endpoints["app-0"].draining for v in views)
 
     run_fleet(scenario, gateways=GATEWAYS)
 
--- a/tests/test_gateway_removals.py
+++ b/tests/test_gateway_removals.py
@@ -124,9 +124,7 @@
 @pytest.mark.parametrize("frozen", [1, 2, 3, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_silent_gateways_hide_no_removal(drain_s, frozen, monkeypatch):
-    """Guards against a gateway that waits for every silent peer before it reads the
-    log.
-    """
+    """Guards against a gateway that tries every silent peer before it reads the log."""
     silent = []
 
     async def stay_silent(request, tail, *rest):
@@ -151,7 +149,7 @@
 @pytest.mark.parametrize("outage_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 def test_a_removal_after_an_outage_takes_effect(drain_s, outage_s):
-    """Guards against calls that hang with the log and fail long after its recovery."""
+    """Guards against calls that hung with the log and fail seconds after recovery."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -175,11 +173,11 @@
         fleet.store.down = "silent"
         await asyncio.sleep(outage_s)
         restore_log(fleet)
-        returned_s = fleet.boot_time_s()
+        recovered_s = fleet.boot_time_s()
         await asyncio.sleep(RECOVERY_S)
-        view = [running.gateway.view for running in fleet.gateways.values()]
-        assert min(b.endpoints_confirmed_boot_s for b in view) >= returned_s
-        assert min(b.confirmed_boot_s for b in view) >= returned_s
+        views = [running.gateway.view for running in fleet.gateways.values()]
+        assert min(v.endpoints_confirmed_boot_s for v in views) >= recovered_s
+        assert min(v.confirmed_boot_s for v in views) >= recovered_s
 
     run_fleet(scenario, gateways=gateways)
 
@@ -193,14 +191,14 @@
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = how
-        lapse_s = EXPIRY_HEARTBEATS * heartbeat_s
-        await asyncio.sleep(lapse_s)
+        expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
+        await asyncio.sleep(expiry_s)
         for instance in APPS:
             remove(fleet, instance)
         await asyncio.sleep(0.5)
         restore_log(fleet)
-        back_s = min(REREGISTRATION_S, heartbeat_s)
-        await check_used(fleet, APPS, back_s)
+        reregistered_s = min(REREGISTRATION_S, heartbeat_s)
+        await check_used(fleet, APPS, reregistered_s)
         for instance in APPS:
             fleet.register(fleet.endpoints[instance].report)
         await check_used(fleet, APPS, 2 * REREGISTRATION_S)
@@ -255,9 +253,7 @@
 
 
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_a_removal_after_a_new_registration_is_final(
-    gateways,
-):
+def test_a_removal_after_a_new_registration_is_final(gateways):
     """Guards against requests to an endpoint that registered again and then left."""
 
     async def scenario(fleet):
--- a/tests/test_gateway_routing_view.py
+++ b/tests/test_gateway_routing_view.py
@@ -22,8 +22,8 @@
 def test_a_new_catalogue_is_in_force_within_a_second():
     async def scenario(fleet):
         base = catalogue()
-        kept = tuple(r for r in base.routes if r.name != "look")
-        fleet.publish(catalogue(version=2, routes=kept))
+        remaining = tuple(r for r in base.routes if r.name != "look")
+        fleet.publish(catalogue(version=2, routes=remaining))
         await asyncio.sleep(0.3)
         assert (await call("/look/1", "r-1", method="GET")).status == 404
         assert (await call("/book/1", "r-2")).status == 200
@@ -208,8 +208,8 @@
             assert (known.status, unknown.status) == (200, 404)
             await asyncio.sleep(0.05)
 
-    bounds = {"propagation_s": propagation_s, "revocation_s": revocation_s}
-    run_fleet(scenario, gateways=gateways, **bounds)
+    guarantees = {"propagation_s": propagation_s, "revocation_s": revocation_s}
+    run_fleet(scenario, gateways=gateways, **guarantees)
 
 
 def test_a_start_without_the_log_is_not_ready():
