--- a/acaciacove/decisions/entry_retention.py
+++ b/acaciacove/decisions/entry_retention.py
@@ -1,25 +1,26 @@
-"""Tells entries that lapsed while the log was away from endpoints that left."""
+"""Distinguishes entries that expired in a log outage from deregistered endpoints."""
 
 from attrs import define, field
 
 from acaciacove.decisions.retained_entry import RetainedEntry
 
-# Endpoints that live are back this long after the log's return.
+# Live endpoints register again within this time after the log has recovered.
 REREGISTRATION_S = 2.2
-# Of the time for which a leaving endpoint serves, how long it may still be sent
-# requests after its entry was last known to stand.
+# Share of an endpoint's drain time, counted from when its entry was last known to
+# exist, for which it may still be sent requests.
 RETAINED_DRAIN_SHARE = 0.85
 
 
 @define(eq=False)
 class EntryRetention:
-    """Which removed entries are kept, and for how long.
+    """Decides which removed entries are retained, and for how long.
 
-    Times are of one clock that goes on while the machine is suspended.
+    All times are read from one clock that keeps running while the machine is suspended.
 
-    Calls that fail here prove nothing: the log may turn this process away alone. An
-    entry is kept beyond the time for which a leaving endpoint serves only where calls
-    failed for long and nobody who could look says that the log was there.
+    Calls that failed only in this process prove no outage: the log may have rejected
+    this process alone. An entry is retained for longer than a draining endpoint serves
+    only if calls failed for a long time and no other gateway reports that the log was
+    available.
     """
 
     _recovered_s: float = float("-inf")
@@ -32,11 +33,12 @@
     def begin_read(
         self, now_s: float, recovered_s: float | None, failing_s: float | None
     ) -> None:
-        """Begin with a look at the log, which ``recovered_s`` says was away before.
+        """Start a read of the log.
 
-        It is None where nothing speaks for an absence since the look before. Looks
-        failed since ``failing_s``: until then a removal would have ended the one under
-        way.
+        ``recovered_s`` is when the log recovered from an outage before this read, or
+        None if there is no sign of an outage since the previous read. Reads have failed
+        since ``failing_s``. A removal before that time would have ended the read that
+        was waiting then.
         """
         self._last_read_s = now_s
         if failing_s is not None:
@@ -51,47 +53,47 @@
             entry.expires_on_read = True
 
     def end_read(self, complete_s: float) -> None:
-        """End a look: entries that were not removed stood at ``complete_s``."""
+        """Finish a read. Entries that were not removed existed at ``complete_s``."""
         self._confirmed_s = max(self._confirmed_s, complete_s)
 
     def is_retained(self, instance: str) -> bool:
-        """Tell whether an entry was removed and may come back."""
+        """Return whether an entry was removed and may still be registered again."""
         return instance in self._retained
 
     def record_write(self, instance: str) -> None:
-        """Note an entry that was written: its endpoint lives."""
-        was_kept = self._retained.pop(instance, None) is not None
-        if was_kept or not self._had_outage:
+        """Record that an entry was written, which shows that its endpoint is alive."""
+        was_retained = self._retained.pop(instance, None) is not None
+        if was_retained or not self._had_outage:
             self._reregistered.add(instance)
 
     def retain_removed(self, instance: str, now_s: float, drain_s: float) -> bool:
-        """Tell whether a removed entry may be a lapse, and is kept for a while."""
+        """Return whether a removed entry is retained, as it may only have expired."""
         if instance in self._reregistered:
             self._reregistered.discard(instance)
             return False
-        entry = self._entry(now_s, drain_s)
+        entry = self._new_entry(now_s, drain_s)
         if entry.expires_s <= now_s:
             return False
         self._retained[instance] = entry
         return True
 
-    def _entry(self, now_s: float, drain_s: float) -> RetainedEntry:
-        back_s = self._recovered_s + REREGISTRATION_S
+    def _new_entry(self, now_s: float, drain_s: float) -> RetainedEntry:
+        reregistered_s = self._recovered_s + REREGISTRATION_S
         safe_s = self._confirmed_s + RETAINED_DRAIN_SHARE * drain_s
         if self._had_outage and safe_s <= now_s:
-            return RetainedEntry(back_s, expires_on_read=True)
-        if safe_s < back_s:
+            return RetainedEntry(reregistered_s, expires_on_read=True)
+        if safe_s < reregistered_s:
             return RetainedEntry(safe_s, expires_on_read=False)
-        return RetainedEntry(back_s, expires_on_read=True)
+        return RetainedEntry(reregistered_s, expires_on_read=True)
 
     def pop_expired(self, now_s: float) -> list[str]:
-        """Return the entries that have not come back in time, and forget them."""
-        overdue = [
+        """Forget and return the entries that were not registered again in time."""
+        expired = [
             instance
             for instance, entry in self._retained.items()
             if (self._last_read_s if entry.expires_on_read else now_s)
             >= entry.expires_s
         ]
-        for instance in overdue:
+        for instance in expired:
             del self._retained[instance]
-        return overdue
+        return expired
--- a/acaciacove/gateway/endpoint_reader.py
+++ b/acaciacove/gateway/endpoint_reader.py
@@ -1,4 +1,4 @@
-"""Folds endpoints' records into beliefs."""
+"""Applies endpoints' records to the routing view."""
 
 import asyncio
 
@@ -29,22 +29,22 @@
 
     @property
     def view(self) -> RoutingView:
-        """What the records are folded into."""
+        """The view that the records are applied to."""
         return self.gateway.view
 
     @property
     def log(self) -> EventLog:
-        """Where changes of belief are told."""
+        """The log for changes of the view."""
         return self.gateway.log
 
     def apply_reading(self, reading: LogReading) -> None:
-        """Take what one look at the stream has shown."""
-        returned_s = reading.recovered_boot_s(self.gateway.settings.heartbeat_s)
+        """Apply the result of one read of the stream."""
+        recovered_s = reading.recovered_boot_s(self.gateway.settings.heartbeat_s)
         self._retention.begin_read(
-            self.view.clock_s(), returned_s, reading.failing_since_boot_s
+            self.view.clock_s(), recovered_s, reading.failing_since_boot_s
         )
-        if returned_s is not None:
-            self.gateway.tails[LogStream.ENDPOINTS].recovered_boot_s = returned_s
+        if recovered_s is not None:
+            self.gateway.tails[LogStream.ENDPOINTS].recovered_boot_s = recovered_s
         if reading.is_snapshot:
             self.apply_snapshot(reading.page.records)
         else:
@@ -54,7 +54,7 @@
         self.view.confirm_endpoints(reading.complete_boot_s)
 
     def apply_snapshot(self, records: tuple[LogRecord, ...]) -> None:
-        """Take the newest of each key; keys that are missing were removed."""
+        """Apply the newest record of each key; keys without a record were removed."""
         listed = {record.key for record in records}
         for key in [k for k in self.view.endpoints if k not in listed]:
             self._remove(key)
@@ -63,7 +63,7 @@
         self.view.endpoints_loaded = True
 
     def apply(self, record: LogRecord) -> None:
-        """Take one record."""
+        """Apply one record."""
         if record.offset <= self._offsets.get(record.key, -1):
             return
         self._offsets[record.key] = record.offset
@@ -85,7 +85,7 @@
     def _apply_report(self, report: EndpointReport) -> None:
         now_s = asyncio.get_running_loop().time()
         self._retention.record_write(report.instance)
-        before = self.view.endpoints.get(report.instance)
+        previous = self.view.endpoints.get(report.instance)
         endpoint = Endpoint(
             instance=report.instance,
             incarnation=report.incarnation,
@@ -100,10 +100,10 @@
         )
         self.view.endpoints[report.instance] = endpoint
         if (
-            before is None
-            or before.key != endpoint.key
-            or before.draining != endpoint.draining
-            or (before.cold_until_s <= now_s) != (endpoint.cold_until_s <= now_s)
+            previous is None
+            or previous.key != endpoint.key
+            or previous.draining != endpoint.draining
+            or (previous.cold_until_s <= now_s) != (endpoint.cold_until_s <= now_s)
         ):
             self.log.write(
                 Event.ENDPOINT_KNOWN,
@@ -113,7 +113,7 @@
                 zone=report.availability_zone,
                 leaving=report.draining,
                 cold_s=round(report.cold_remaining_s, 3),
-                first=before is None,
+                first=previous is None,
             )
 
     def _remove(self, instance: str) -> None:
@@ -124,13 +124,13 @@
             self.log.write(
                 Event.ENDPOINT_LAPSED,
                 endpoint=instance,
-                known_age_s=self._known_age_s(),
+                known_age_s=self._view_age_s(),
             )
             return
         self._drop(instance, "removed")
 
     def expire(self) -> None:
-        """Drop entries that may have lapsed with an outage and have not come back."""
+        """Remove retained entries whose endpoints did not register again in time."""
         for instance in self._retention.pop_expired(self.view.clock_s()):
             self._drop(instance, "not_back")
 
@@ -140,9 +140,9 @@
             Event.ENDPOINT_GONE,
             endpoint=instance,
             reason=reason,
-            known_age_s=self._known_age_s(),
+            known_age_s=self._view_age_s(),
         )
 
-    def _known_age_s(self) -> float:
-        """How long ago the entries were last known to be complete."""
+    def _view_age_s(self) -> float:
+        """Return the time since the entries were last known to be complete."""
         return round(self.view.endpoints_age_s, 3)
--- a/acaciacove/gateway/log_limit.py
+++ b/acaciacove/gateway/log_limit.py
@@ -1,4 +1,4 @@
-"""The log line for what an endpoint says of its limit."""
+"""The log line for a limit that an endpoint states."""
 
 from acaciacove.gateway.endpoint_state import EndpointState
 from acaciacove.gateway.event_log import EventLog
@@ -6,7 +6,7 @@
 
 
 def log_limit(log: EventLog, state: EndpointState, from_peer: bool) -> None:
-    """Log a limit or its end; ``from_peer`` where another gateway got the answer."""
+    """Log a stated limit or its end; ``from_peer`` if a peer reported it."""
     per_s = state.stated_limit.per_s
     log.write(
         Event.ENDPOINT_LIMITED,
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -1,17 +1,18 @@
-"""The metrics that a gateway counts while it serves."""
+"""The counters and histograms of a gateway."""
 
 from enum import Enum
 
 
 class Metric(Enum):
-    """Name, help and labels; the values of labels are closed lists.
+    """Name, help text and labels; each label has a fixed set of values.
 
-    Routes and organisations are no labels: catalogues name hundreds of them.
+    Routes and organisations are not used as labels, as catalogues contain hundreds of
+    them.
     """
 
     REQUESTS = (
         "requests_total",
-        "requests by kind of route and how they ended",
+        "requests by kind of route and result",
         ("kind", "ending"),
     )
     REFUSALS = ("refusals_total", "refusals before any attempt, by reason", ("reason",))
@@ -21,23 +22,23 @@
         "answers by model size, and those dropped for a larger one",
         ("size", "kept"),
     )
-    EJECTIONS = ("ejections_total", "times that an endpoint was left out", ())
+    EJECTIONS = ("ejections_total", "ejections of endpoints", ())
     ENDPOINT_CRASHES = (
         "endpoint_crashes_total",
-        "crashes of endpoints under requests of this gateway",
+        "crashes of endpoints during requests of this gateway",
         (),
     )
     LOG_CALLS = ("log_calls_total", "calls to the platform's log", ("call", "result"))
     LOG_QUESTIONS = (
         "log_questions_total",
-        "questions to other gateways for the log's records",
+        "requests to other gateways for records of the log",
         ("result",),
     )
-    PEER_MESSAGES = ("peer_messages_total", "reports of gateways", ("direction",))
-    PEER_BYTES = ("peer_bytes_total", "bytes of gateways' reports", ("direction",))
+    PEER_MESSAGES = ("peer_messages_total", "gossip messages", ("direction",))
+    PEER_BYTES = ("peer_bytes_total", "bytes of gossip messages", ("direction",))
     FIRST_CHUNK_SECONDS = (
         "first_piece_seconds",
-        "from a request's first byte to the first piece of its answer",
+        "from a request's first byte to the first chunk of its answer",
         ("kind",),
     )
     REQUEST_SECONDS = (
@@ -53,15 +54,15 @@
 
     @property
     def help(self) -> str:
-        """One line for people."""
+        """The help text."""
         return self.value[1]
 
     @property
     def labels(self) -> tuple[str, ...]:
-        """Names of the labels, in the order in which values are given."""
+        """Names of the labels, in the order in which their values are given."""
         return self.value[2]
 
     @property
     def is_histogram(self) -> bool:
-        """Tell whether values are observed rather than counted."""
+        """Return whether the metric is a histogram; otherwise it is a counter."""
         return self.suffix.endswith("_seconds")
--- a/acaciacove/gateway/relay/reader_link.py
+++ b/acaciacove/gateway/relay/reader_link.py
@@ -1,4 +1,4 @@
-"""Questions to one other gateway for records of one stream."""
+"""Requests to one other gateway for records of one stream."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 
 
 class ReaderLink:
-    """One kept connection; a question at a time."""
+    """One persistent connection, used for one request at a time."""
 
     def __init__(
         self,
@@ -23,7 +23,7 @@
         clock_s: Callable[[], float],
         intervals: Callable[[], RelayIntervals],
     ) -> None:
-        """Begin unconnected; ``clock_s`` goes on while the machine is suspended."""
+        """Start without a connection; ``clock_s`` keeps running during a suspend."""
         self.address = (host, port)
         self._clock_s = clock_s
         self._intervals = intervals
@@ -32,13 +32,13 @@
     async def request_records(
         self, stream: str, offset: int, wait_s: float
     ) -> LogPage | None:
-        """Return what the other knows, None if it knows nothing of use.
+        """Return the records that the other gateway has, None if its view is too old.
 
-        Raises OSError or TimeoutError when it cannot be reached.
+        Raises OSError or TimeoutError if the other gateway cannot be reached.
         """
         intervals = self._intervals()
         hold_s = min(wait_s, intervals.request_wait_s)
-        answered = False
+        completed = False
         requested_boot_s = self._clock_s()
         try:
             if self._connection is None:
@@ -46,37 +46,42 @@
                     self._connection = await connect(*self.address)
             async with asyncio.timeout(hold_s + intervals.reply_margin_s):
                 await self._connection.send(LogAsk(stream, offset, hold_s))
-                told = await self._connection.receive()
-            if not isinstance(told, LogTold):
-                raise ConnectionResetError("the other gateway closed the connection")
-            answered = True
+                reply = await self._connection.receive()
+            if not isinstance(reply, LogTold):
+                raise ConnectionResetError(
+                    f"no LogTold reply from gateway {self.address}"
+                    f" for stream {stream} from offset {offset}"
+                )
+            completed = True
         finally:
-            # After a failure an answer may still be on its way; on a kept connection
-            # it would be taken for that to the next question.
-            if not answered:
+            # After a failure a reply may still be in transit. If the connection were
+            # kept, that reply would be taken for the one to the next request.
+            if not completed:
                 self.close()
-        return _page(told, self._clock_s() - requested_boot_s) if told.known else None
+        return _page(reply, self._clock_s() - requested_boot_s) if reply.known else None
 
     def close(self) -> None:
-        """End the connection."""
+        """Close the connection."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
 
-def _page(told: LogTold, took_s: float) -> LogPage:
-    """Read an answer.
+def _page(reply: LogTold, took_s: float) -> LogPage:
+    """Convert a reply to a page.
 
-    It was made no earlier than the question plus its hold. Counted from its arrival,
-    an answer that waited in a suspended machine's socket would look fresh.
+    The reply was made no earlier than the request plus the time for which it was held.
+    Counted from its arrival instead, a reply that waited in the socket of a suspended
+    machine would look fresh.
     """
     records = tuple(
-        LogRecord(r.key, None if r.removed else r.value, r.offset) for r in told.records
+        LogRecord(r.key, None if r.removed else r.value, r.offset)
+        for r in reply.records
     )
-    held_s = max(0.0, min(told.held_s, took_s))
+    held_s = max(0.0, min(reply.held_s, took_s))
     return LogPage(
         records=records,
-        next_offset=told.next_offset,
-        complete_after_s=held_s - max(0.0, told.age_s),
-        recovered_after_s=None if told.present_s is None else held_s - told.present_s,
+        next_offset=reply.next_offset,
+        complete_after_s=held_s - max(0.0, reply.age_s),
+        recovered_after_s=None if reply.present_s is None else held_s - reply.present_s,
     )
--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -1,4 +1,4 @@
-"""One gateway process: its listeners, followers and duties, and its end."""
+"""One gateway process: its listeners, its tasks, and its shutdown."""
 
 import asyncio
 import socket
@@ -33,34 +33,34 @@
 from acaciacove.gateway.serve_request import serve_request
 from acaciacove.settings.gateway_settings import GatewaySettings
 
-# While other gateways ask this one, its reads are held for less, so that an asker
-# notices in time when it has lost the log. A question this long ago says that nobody
-# asks any more.
+# While other gateways read through this one, its own reads of the log have shorter
+# waits, so that the others notice in time if it loses the log. After this time without
+# a request no other gateway reads through it any more.
 RELAY_REQUEST_MEMORY_S = 5.0
 TRIM_EVERY_S = 1.0
 METRICS_PATH = "/metrics"
 LISTEN_BACKLOG = 1024
-# Callers give an unread request a second. A start that has no beliefs by half of
-# that tells them so, in time to try elsewhere.
+# Callers give an unread request one second. A start without a usable view after half of
+# that refuses them, in time for an attempt elsewhere.
 START_WAIT_S = 0.5
 START_POLL_S = 0.005
-# Of the time between SIGTERM and SIGKILL, what is kept for the end itself.
+# The part of the time between SIGTERM and SIGKILL that is reserved for the exit.
 SHUTDOWN_MARGIN_S = 0.4
-# After SIGTERM the balancer needs two misses, a second apart, to send no more
-# callers here. A request that comes later could not be finished for certain, so
-# from then on none is taken.
+# After SIGTERM the balancer needs two failed probes, one second apart, before it sends
+# no more callers here. A request that arrives later might not be finished before the
+# exit, so none is accepted after this time.
 ACCEPT_AFTER_STOP_S = 2.6
-# Where the process has less time than for that, it takes callers for a part of it.
+# If the process has less time than that, it accepts callers for this share of it.
 ACCEPT_AFTER_STOP_SHARE = 0.5
 SHUTDOWN_MARGIN_SHARE = 0.1
 SHUTDOWN_POLL_S = 0.05
 
 
 async def load_and_gossip(gateway: Gateway, metadata: MetadataLog) -> None:
-    """Talk to other gateways until cancelled.
+    """Exchange gossip with other gateways until cancelled.
 
-    Their codec is slow to load and nothing that a request needs at once, so it is
-    not imported with this module.
+    The gossip codec is slow to load, and a request does not need it immediately, so it
+    is not imported with this module.
     """
     from acaciacove.gateway.peers.serve_peers import serve_peers
 
@@ -69,7 +69,7 @@
 
 @define(eq=False)
 class RunningGateway:
-    """The tasks of one gateway and what they share."""
+    """The tasks of one gateway and the state that they share."""
 
     settings: GatewaySettings
     dialect: Dialect
@@ -85,7 +85,7 @@
     connections: set[FrontConnection] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Make the state that the tasks share."""
+        """Create the state that the tasks share."""
         view = RoutingView(self.clock_s)
         self.gateway = Gateway(self.settings, self.dialect, view, self.log)
         self.metadata = self._relayed(
@@ -108,7 +108,7 @@
         )
 
     async def run(self, stop: asyncio.Event) -> None:
-        """Serve until ``stop`` is set, then let callers go."""
+        """Serve until ``stop`` is set, then drain the callers' connections."""
         self.log.write(Event.STARTED, zone=self.settings.availability_zone)
         ready = await self._listen(self.settings.readiness_address, self._probe)
         metrics = await self._listen(self.settings.metrics_address, self._probe)
@@ -131,14 +131,14 @@
         self.log.write(Event.STOPPED, open_connections=len(self.connections))
 
     async def _wait_for_view(self) -> None:
-        """Leave callers in the kernel's queue for as long as a start takes.
+        """Leave callers in the kernel's accept queue until the view is usable.
 
-        The first answers of the log take milliseconds. A caller that is turned
-        away in that time comes back seconds later, or not at all.
+        The first answers of the log take milliseconds. A caller that is refused in that
+        time retries seconds later, or not at all.
         """
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + START_WAIT_S
-        while not self.gateway.view.is_usable and loop.time() < until_s:
+        deadline_s = loop.time() + START_WAIT_S
+        while not self.gateway.view.is_usable and loop.time() < deadline_s:
             await asyncio.sleep(START_POLL_S)
 
     async def _listen_to_callers(self) -> asyncio.Server:
@@ -154,7 +154,7 @@
         await asyncio.Event().wait()
 
     async def _join_gossip(self) -> None:
-        """Join the other gateways once callers can be served."""
+        """Start gossip with the other gateways once callers can be served."""
         while not self.gateway.view.is_usable:
             await asyncio.sleep(START_POLL_S)
         await self.open_peers(self.gateway, self.metadata)
@@ -212,7 +212,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the balancer should send callers here."""
         return self.gateway.view.is_usable and not self.gateway.shutting_down
 
     def _followers(self) -> list[Coroutine[Any, Any, None]]:
@@ -221,7 +221,7 @@
             FollowedStream(
                 LogStream.OPERATOR,
                 lambda: self._wait_s(
-                    LogStream.OPERATOR, self.gateway.relay_intervals.held_s
+                    LogStream.OPERATOR, self.gateway.relay_intervals.log_wait_s
                 ),
                 lambda: 0.0,
                 lambda: self.gateway.relay_intervals.retry_s,
@@ -242,7 +242,7 @@
         ]
 
     def _read_pause_s(self) -> float:
-        """Return the rest between reads of endpoints: the more, the more they write."""
+        """Return the pause between reads of endpoints, longer for more endpoints."""
         return self.gateway.relay_intervals.read_pause_s(
             len(self.gateway.view.endpoints)
         )
@@ -253,9 +253,9 @@
         )
 
     def _wait_s(self, stream: LogStream, relay_wait_s: float) -> float:
-        """Return how long a read may be held: ``relay_wait_s`` while peers ask."""
-        last_boot_s = self.gateway.tails[stream].requested_boot_s
-        is_relaying = self.clock_s() - last_boot_s < RELAY_REQUEST_MEMORY_S
+        """Return how long a read may wait, less while peers read through this one."""
+        requested_boot_s = self.gateway.tails[stream].requested_boot_s
+        is_relaying = self.clock_s() - requested_boot_s < RELAY_REQUEST_MEMORY_S
         unshared_wait_s = self.gateway.relay_intervals.unshared_wait_s
         return min(unshared_wait_s, relay_wait_s) if is_relaying else unshared_wait_s
 
@@ -266,9 +266,9 @@
     def _on_endpoints(self, reading: LogReading) -> None:
         view = self.gateway.view
         self.gateway.tails[LogStream.ENDPOINTS].apply(reading)
-        was_known = view.endpoints_loaded
+        was_loaded = view.endpoints_loaded
         self.endpoints.apply_reading(reading)
-        if not was_known:
+        if not was_loaded:
             self.log.write(Event.READY, endpoints=len(view.endpoints))
 
     async def _trim(self) -> None:
@@ -282,7 +282,7 @@
             self.endpoints.expire()
 
     async def _shut_down(self, front: asyncio.Server) -> None:
-        """Take no new callers, finish the requests that are here, and go."""
+        """Stop accepting callers and finish the requests in progress."""
         loop = asyncio.get_running_loop()
         began_s = loop.time()
         self.gateway.shutting_down = True
@@ -290,10 +290,10 @@
         grace_s = self.settings.grace_s
         await asyncio.sleep(min(ACCEPT_AFTER_STOP_S, ACCEPT_AFTER_STOP_SHARE * grace_s))
         front.close()
-        last_s = (
+        deadline_s = (
             began_s + grace_s - min(SHUTDOWN_MARGIN_S, SHUTDOWN_MARGIN_SHARE * grace_s)
         )
-        while self.connections and loop.time() < last_s:
+        while self.connections and loop.time() < deadline_s:
             for connection in list(self.connections):
                 connection.close_if_idle()
             await asyncio.sleep(SHUTDOWN_POLL_S)
--- a/tests/test_gateway_removals.py
+++ b/tests/test_gateway_removals.py
@@ -1,4 +1,4 @@
-"""Departures of endpoints and lapses of their entries, beside calls that fail."""
+"""Removed and expired entries of endpoints, combined with failing calls to the log."""
 
 import asyncio
 
@@ -6,7 +6,7 @@
 
 from acaciacove.gateway.relay import serve_records
 from acaciacove.gateway.relay.reader_order import reader_order
-from acaciacove.gateway.relay.serve_records import answer
+from acaciacove.gateway.relay.serve_records import reply_to
 from acaciacove.standins.gateway_fleet import ENDPOINTS
 from tests.gateway_world import run_fleet
 
@@ -14,16 +14,16 @@
 HEARTBEATS_S = (0.2, 1.2, 2.0)
 FLEET_SIZES = (1, 5)
 LARGE_FLEET = 28
-# From the end of trouble until a gateway is held to its bounds again.
+# Gateways comply with their limits again this long after a failure has ended.
 RECOVERY_S = 3.0
-# Entries that lapsed with the log are back this long after its return.
+# Entries that expired in an outage are registered again within this time.
 REREGISTRATION_S = 2.0
 EXPIRY_HEARTBEATS = 3
 APPS = ("app-0", "app-1")
 
 
 def gateways_with(fleet, instance):
-    """Gateways that would still send to an endpoint."""
+    """Return the gateways that would still send requests to an endpoint."""
     return [
         name
         for name, running in fleet.gateways.items()
@@ -43,11 +43,11 @@
     reject_calls(fleet, None)
 
 
-async def expire_during_outage(fleet, away_s, instances):
-    """Let entries lapse while the log is away for all."""
+async def expire_during_outage(fleet, outage_s, instances):
+    """Let entries expire while the log is unavailable to all gateways."""
     await asyncio.sleep(2.0)
     fleet.store.down = "busy"
-    await asyncio.sleep(away_s)
+    await asyncio.sleep(outage_s)
     for instance in instances:
         remove(fleet, instance)
     restore_log(fleet)
@@ -69,10 +69,10 @@
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("drain_s", DRAINS_S)
 @pytest.mark.parametrize("how", ["busy", "reset"])
-def test_one_gateways_failed_calls_put_no_departure_off(
+def test_one_gateways_failed_calls_delay_no_removal(
     how, drain_s, heartbeat_s, gateways
 ):
-    """Guards against a departure that is taken for a lapse after an own failed call."""
+    """Guards against a removal taken for an expiry after one gateway's failed call."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -88,8 +88,8 @@
 
 @pytest.mark.parametrize("place", [0, 1, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_a_gateway_that_is_turned_away_learns_of_departures_from_others(drain_s, place):
-    """Guards against a long refusal of one gateway that is taken for an outage."""
+def test_a_rejected_gateway_gets_removals_from_peers(drain_s, place):
+    """Guards against a long rejection of one gateway's calls taken for an outage."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("gateways", [4, 5, LARGE_FLEET])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_the_last_that_reach_the_log_tell_the_others_of_departures(drain_s, gateways):
-    """Guards against a fleet in which nobody asks the one that still reads the log."""
+def test_the_last_gateways_that_reach_the_log_relay_removals(drain_s, gateways):
+    """Guards against a fleet that fails to ask the one gateway that reads the log."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -123,22 +123,22 @@
 
 @pytest.mark.parametrize("frozen", [1, 2, 3, 4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_gateways_that_fall_silent_hide_no_departure(drain_s, frozen, monkeypatch):
-    """Guards against a gateway that asks all silent ones in turn before it looks."""
+def test_silent_gateways_hide_no_removal(drain_s, frozen, monkeypatch):
+    """Guards against a gateway that tries every silent peer before it reads the log."""
     silent = []
 
-    async def keep_silent(ask, tail, *rest):
+    async def stay_silent(request, tail, *rest):
         if any(tail is other for other in silent):
             await asyncio.Event().wait()
-        return await answer(ask, tail, *rest)
+        return await reply_to(request, tail, *rest)
 
-    monkeypatch.setattr(serve_records, "answer", keep_silent)
+    monkeypatch.setattr(serve_records, "reply_to", stay_silent)
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         for name in reader_order(fleet.gateways)[:frozen]:
             silent.extend(fleet.gateways.pop(name).gateway.tails.values())
-        # Questions that were under way are still answered.
+        # Requests that are already waiting still get a reply.
         await asyncio.sleep(0.55)
         remove(fleet, "app-0")
         await check_dropped(fleet, "app-0", drain_s)
@@ -146,15 +146,15 @@
     run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
-@pytest.mark.parametrize("away_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
+@pytest.mark.parametrize("outage_s", [4.9, 5.0, 5.1, 5.2, 5.3, 5.4])
 @pytest.mark.parametrize("drain_s", DRAINS_S)
-def test_a_departure_after_an_outage_is_believed(drain_s, away_s):
-    """Guards against calls that hung with the log and fail seconds after its return."""
+def test_a_removal_after_an_outage_takes_effect(drain_s, outage_s):
+    """Guards against calls that hung with the log and fail seconds after recovery."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         restore_log(fleet)
         await asyncio.sleep(RECOVERY_S + 0.05)
         remove(fleet, "app-0")
@@ -163,23 +163,21 @@
     run_fleet(scenario, gateways=5, drain_s=drain_s)
 
 
-@pytest.mark.parametrize("away_s", [2.0, 4.9, 5.0, 5.1, 5.2, 5.3, 5.4, 5.5])
+@pytest.mark.parametrize("outage_s", [2.0, 4.9, 5.0, 5.1, 5.2, 5.3, 5.4, 5.5])
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_all_gateways_have_the_log_back_before_their_bounds_hold_again(
-    gateways, away_s
-):
-    """Guards against gateways that learn of a departure seconds after the others."""
+def test_all_gateways_recover_before_their_limits_apply_again(gateways, outage_s):
+    """Guards against gateways that learn of a removal seconds after the others."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "silent"
-        await asyncio.sleep(away_s)
+        await asyncio.sleep(outage_s)
         restore_log(fleet)
-        returned_s = fleet.boot_time_s()
+        recovered_s = fleet.boot_time_s()
         await asyncio.sleep(RECOVERY_S)
-        view = [running.gateway.view for running in fleet.gateways.values()]
-        assert min(b.endpoints_confirmed_boot_s for b in view) >= returned_s
-        assert min(b.confirmed_boot_s for b in view) >= returned_s
+        views = [running.gateway.view for running in fleet.gateways.values()]
+        assert min(v.endpoints_confirmed_boot_s for v in views) >= recovered_s
+        assert min(v.confirmed_boot_s for v in views) >= recovered_s
 
     run_fleet(scenario, gateways=gateways)
 
@@ -187,20 +185,20 @@
 @pytest.mark.parametrize("gateways", FLEET_SIZES)
 @pytest.mark.parametrize("heartbeat_s", HEARTBEATS_S)
 @pytest.mark.parametrize("how", ["busy", "reset", "silent"])
-def test_endpoints_that_lapse_and_live_go_on_being_used(how, heartbeat_s, gateways):
+def test_live_endpoints_with_expired_entries_stay_in_use(how, heartbeat_s, gateways):
     """Guards against a service without endpoints after each outage of the log."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = how
-        lapse_s = EXPIRY_HEARTBEATS * heartbeat_s
-        await asyncio.sleep(lapse_s)
+        expiry_s = EXPIRY_HEARTBEATS * heartbeat_s
+        await asyncio.sleep(expiry_s)
         for instance in APPS:
             remove(fleet, instance)
         await asyncio.sleep(0.5)
         restore_log(fleet)
-        back_s = min(REREGISTRATION_S, heartbeat_s)
-        await check_used(fleet, APPS, back_s)
+        reregistered_s = min(REREGISTRATION_S, heartbeat_s)
+        await check_used(fleet, APPS, reregistered_s)
         for instance in APPS:
             fleet.register(fleet.endpoints[instance].report)
         await check_used(fleet, APPS, 2 * REREGISTRATION_S)
@@ -209,8 +207,8 @@
 
 
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_entries_that_lapse_after_the_logs_return_go_on_being_used(gateways):
-    """Guards against a lapse that the log notices late, taken for a departure."""
+def test_entries_that_expire_after_the_recovery_stay_in_use(gateways):
+    """Guards against an entry that the log expires late, taken for a removal."""
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
@@ -226,8 +224,8 @@
     run_fleet(scenario, gateways=gateways)
 
 
-def test_entries_that_lapsed_outlast_a_second_outage():
-    """Guards against endpoints dropped while the log cannot say whether they live."""
+def test_expired_entries_are_retained_in_a_second_outage():
+    """Guards against endpoints removed while the log cannot show that they are live."""
 
     async def scenario(fleet):
         await expire_during_outage(fleet, 3.0, APPS)
@@ -243,8 +241,8 @@
     run_fleet(scenario, gateways=5)
 
 
-def test_an_endpoint_that_does_not_come_back_is_dropped():
-    """Guards against callers sent to a dead endpoint long after an outage."""
+def test_an_endpoint_that_does_not_register_again_is_dropped():
+    """Guards against requests to a dead endpoint long after an outage."""
 
     async def scenario(fleet):
         await expire_during_outage(fleet, 3.0, ["app-0"])
@@ -255,10 +253,8 @@
 
 
 @pytest.mark.parametrize("gateways", [*FLEET_SIZES, LARGE_FLEET])
-def test_an_endpoint_that_was_heard_after_an_outage_has_left_when_its_entry_goes(
-    gateways,
-):
-    """Guards against requests to an endpoint that came back and left."""
+def test_a_removal_after_a_new_registration_is_final(gateways):
+    """Guards against requests to an endpoint that registered again and then left."""
 
     async def scenario(fleet):
         await expire_during_outage(fleet, 4.0, APPS)
@@ -268,7 +264,8 @@
         remove(fleet, "app-0")
         await asyncio.sleep(0.6)
         assert gateways_with(fleet, "app-0") == []
-        # Of this one nothing was heard since: it may have lapsed with the outage.
+        # This one has not registered since, so its entry may have expired in the
+        # outage.
         assert len(gateways_with(fleet, "app-1")) == gateways
 
     run_fleet(scenario, gateways=gateways)
