--- a/acaciacove/gateway/gauges.py
+++ b/acaciacove/gateway/gauges.py
@@ -25,10 +25,10 @@
         ("catalogue_version", "version of the catalogue in force"): {
             (): float(catalogue.version if catalogue else -1)
         },
-        ("confirmed_age_seconds", "age of the view of decisions"): {
+        ("confirmed_age_seconds", "since decisions were known complete"): {
             (): min(view.confirmed_age_s, 1e9)
         },
-        ("endpoints_age_seconds", "age of the view of endpoints"): {
+        ("endpoints_age_seconds", "since endpoints' entries were known complete"): {
             (): min(view.endpoints_age_s, 1e9)
         },
         ("endpoints", "endpoints by state"): _endpoint_states(gateway, now_s),
@@ -46,35 +46,35 @@
         ("handshakes", "connections made to endpoints"): {
             (): float(sum(s.pool.handshakes for s in gateway.states.all()))
         },
-        ("retry_budget_left", "retries that may be sent now"): {
+        ("retry_budget_left", "repeats that may be sent now"): {
             (("service", name),): budget.remaining(now_s, gateway.gateway_count)
             for name, budget in gateway.budgets.items()
         },
-        ("usual_wait_seconds", "baseline wait before prefill at endpoints"): {
+        ("usual_wait_seconds", "wait before prompts are read at endpoints"): {
             (): baseline_wait_s((s.backlog for s in gateway.states.all()), now_s)
         },
         ("rollout", "1 for the phase of a roll-out under way"): {
             (("service", name), ("phase", progress.phase.value)): 1.0
             for name, progress in gateway.rollouts.items()
         },
-        ("rollout_answers", "answers since the roll-out order, by version"): {
+        ("rollout_answers", "answers since the order, by version"): {
             (("service", name), ("version", label)): float(
                 sum(c.answers for c in progress.cells(is_target).values())
             )
             for name, progress in gateway.rollouts.items()
             for label, is_target in (("old", False), ("new", True))
         },
-        ("rollout_failures", "failures since the roll-out order, by version"): {
+        ("rollout_failures", "failures since the order, by version"): {
             (("service", name), ("version", label)): float(
                 sum(c.failures for c in progress.cells(is_target).values())
             )
             for name, progress in gateway.rollouts.items()
             for label, is_target in (("old", False), ("new", True))
         },
-        ("gateways", "gateways that share the limits"): {
+        ("gateways", "gateways that share the promised bounds"): {
             (): float(gateway.gateway_count)
         },
-        ("log_lines_dropped", "log lines dropped by the rate limit"): {
+        ("log_lines_dropped", "log lines left out by the budget"): {
             (): float(gateway.log.dropped)
         },
         ("cpu_seconds", "processor time of the process"): {
--- a/acaciacove/gateway/metric.py
+++ b/acaciacove/gateway/metric.py
@@ -12,7 +12,7 @@
 
     REQUESTS = (
         "requests_total",
-        "requests by kind of route and result",
+        "requests by kind of route and how they ended",
         ("kind", "ending"),
     )
     REFUSALS = ("refusals_total", "refusals before any attempt, by reason", ("reason",))
@@ -22,23 +22,23 @@
         "answers by model size, and those dropped for a larger one",
         ("size", "kept"),
     )
-    EJECTIONS = ("ejections_total", "ejections of endpoints", ())
+    EJECTIONS = ("ejections_total", "times that an endpoint was left out", ())
     ENDPOINT_CRASHES = (
         "endpoint_crashes_total",
-        "crashes of endpoints during requests of this gateway",
+        "crashes of endpoints under requests of this gateway",
         (),
     )
     LOG_CALLS = ("log_calls_total", "calls to the platform's log", ("call", "result"))
     LOG_QUESTIONS = (
         "log_questions_total",
-        "requests to other gateways for records of the log",
+        "questions to other gateways for the log's records",
         ("result",),
     )
-    PEER_MESSAGES = ("peer_messages_total", "gossip messages", ("direction",))
-    PEER_BYTES = ("peer_bytes_total", "bytes of gossip messages", ("direction",))
+    PEER_MESSAGES = ("peer_messages_total", "reports of gateways", ("direction",))
+    PEER_BYTES = ("peer_bytes_total", "bytes of gateways' reports", ("direction",))
     FIRST_CHUNK_SECONDS = (
         "first_piece_seconds",
-        "from a request's first byte to the first chunk of its answer",
+        "from a request's first byte to the first piece of its answer",
         ("kind",),
     )
     REQUEST_SECONDS = (
