--- a/acaciacove/bench/promise_entry.py
+++ b/acaciacove/bench/promise_entry.py
@@ -175,7 +175,7 @@
             idempotency_key=request.key,
             deadline_s=max(0.0, deadline_s - self.now_s()),
             non_idempotent=bool(request.key),
-            billed=self.outbox.confirmations(endpoint),
+            billed=self.outbox.take_confirmations(endpoint),
         )
 
     async def _ask(
--- a/acaciacove/entry/bill_request.py
+++ b/acaciacove/entry/bill_request.py
@@ -54,6 +54,6 @@
         for link in entry.links.values():
             if link.peer is None:
                 continue
-            request_ids = entry.billing.confirmations(link.peer.instance)
+            request_ids = entry.billing.take_confirmations(link.peer.instance)
             if request_ids:
                 link.tell(Billed(request_ids))
--- a/acaciacove/entry/sidecar_link.py
+++ b/acaciacove/entry/sidecar_link.py
@@ -74,7 +74,7 @@
         if self._connection is None:
             return
         try:
-            self._connection.send_soon((message,))
+            self._connection.send_nowait((message,))
         except ConnectionError:
             return
 
@@ -99,7 +99,7 @@
     async def _open(self) -> None:
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             connection = await connect(*self._address)
-        connection.send_soon((self._hello(),))
+        connection.send_nowait((self._hello(),))
         self._connection = connection
         self._reader = asyncio.create_task(self._read(connection))
 
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -164,5 +164,5 @@
         headers=request.headers,
         body=request.body,
         received_tokens=progress.delivered_tokens,
-        billed=entry.billing.confirmations(endpoint.name),
+        billed=entry.billing.take_confirmations(endpoint.name),
     )
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -192,7 +192,7 @@
 def _claim_owner(
     settings: SidecarSettings, shared: SharedState, rng: Random
 ) -> ClaimOwner:
-    async def ask_owner(name: str, query: ClaimQuery) -> ClaimAnswer | None:
+    async def query_owner(name: str, query: ClaimQuery) -> ClaimAnswer | None:
         return await ask_claim_owner(shared, name, query)
 
     return ClaimOwner(
@@ -205,7 +205,7 @@
         ),
         random=rng,
         wall_s=time,
-        ask_owner=ask_owner,
+        query_owner=query_owner,
         is_gone=_is_gone(shared),
     )
 
--- a/acaciacove/state/billing_ledger.py
+++ b/acaciacove/state/billing_ledger.py
@@ -8,23 +8,23 @@
 from acaciacove.state.billing_codec import decode_billing_record
 from acaciacove.state.billing_record import BillingRecord
 
-REMEMBERED_IDS = 1_000_000
+MAX_RETAINED_IDS = 1_000_000
 
 
 class BillingLedger:
     """Totals of the billing stream, by organisation.
 
-    ``copies`` counts further records for a request, which change nothing: they
+    ``duplicates`` counts further records for a request, which change nothing: they
     are expected after faults. ``requests`` and ``cost`` leave unanswered out.
     """
 
-    def __init__(self, remembered_ids: int = REMEMBERED_IDS) -> None:
+    def __init__(self, max_retained_ids: int = MAX_RETAINED_IDS) -> None:
         """Start before the first record."""
         self.requests: Counter[str] = Counter()
         self.cost: dict[str, float] = {}
-        self.copies = 0
+        self.duplicates = 0
         self.malformed = 0
-        self._remembered_ids = remembered_ids
+        self._max_retained_ids = max_retained_ids
         self._records: OrderedDict[str, BillingRecord] = OrderedDict()
 
     def record_of(self, request_id: str) -> BillingRecord | None:
@@ -47,10 +47,10 @@
 
     def _fold(self, record: BillingRecord) -> None:
         if record.request_id in self._records:
-            self.copies += 1
+            self.duplicates += 1
             return
         self._records[record.request_id] = record
-        if len(self._records) > self._remembered_ids:
+        if len(self._records) > self._max_retained_ids:
             self._records.popitem(last=False)
         if record.answered:
             organisation = record.organisation
--- a/acaciacove/state/billing_outbox.py
+++ b/acaciacove/state/billing_outbox.py
@@ -7,15 +7,15 @@
 
 from acaciacove.errors import LogQueueFullError
 from acaciacove.state.append_result import AppendResult
-from acaciacove.state.awaited_copy import AwaitedCopy
 from acaciacove.state.billing_codec import encode_billing_record
 from acaciacove.state.billing_record import BILLING_STREAM, BillingRecord
-from acaciacove.state.billing_row import holders_of, pack_row, unpack_row
+from acaciacove.state.billing_row import pack_row, unpack_holders, unpack_row
 from acaciacove.state.billing_settings import BillingSettings
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.priority import Priority
+from acaciacove.state.unconfirmed_copy import UnconfirmedCopy
 
-Due = tuple[float, int, str]
+DueTime = tuple[float, int, str]
 
 
 class BillingOutbox:
@@ -39,9 +39,9 @@
         self._rows: dict[str, bytes] = {}
         self._ready: deque[str] = deque()
         self._submitted: set[str] = set()
-        self._copies: dict[str, AwaitedCopy] = {}
-        self._due: list[Due] = []
-        self._confirmed: dict[str, deque[str]] = defaultdict(deque)
+        self._copies: dict[str, UnconfirmedCopy] = {}
+        self._due: list[DueTime] = []
+        self._unsent_confirmations: dict[str, deque[str]] = defaultdict(deque)
         self._sequence = 0
 
     @property
@@ -65,25 +65,27 @@
         record for an id changes nothing but adds its holders, who are told as well.
         """
         request_id = record.request_id
-        asked = tuple(dict.fromkeys(holders))
-        if self._is_own(request_id):
+        sidecars = tuple(dict.fromkeys(holders))
+        if self._is_local(request_id):
             row = self._rows[request_id]
             first = unpack_row(request_id, self._name, row)
-            told = dict.fromkeys((*(holders_of(row) or ()), *asked))
-            self._rows[request_id] = pack_row(first, told)
+            all_holders = dict.fromkeys((*(unpack_holders(row) or ()), *sidecars))
+            self._rows[request_id] = pack_row(first, all_holders)
         else:
             self._copies.pop(request_id, None)
-            self._rows[request_id] = pack_row(record, asked)
+            self._rows[request_id] = pack_row(record, sidecars)
             self._ready.append(request_id)
         self.tick(now_s)
 
     def hold(self, record: BillingRecord, entry: str, now_s: float) -> None:
         """Keep a copy until the entry confirms it; the sidecar's part."""
         request_id = record.request_id
-        if self._is_own(request_id):
+        if self._is_local(request_id):
             return
         self._rows[request_id] = pack_row(record, None)
-        self._await(request_id, AwaitedCopy(entry, now_s + self._settings.confirm_s))
+        self._schedule_copy(
+            request_id, UnconfirmedCopy(entry, now_s + self._settings.confirm_s)
+        )
 
     def confirm(self, request_ids: Iterable[str]) -> None:
         """Drop copies of records that the entry has in the log."""
@@ -91,20 +93,20 @@
             if request_id not in self._submitted:
                 self._rows.pop(request_id, None)
                 self._copies.pop(request_id, None)
-        self._prune()
+        self._compact_ready()
 
-    def confirmations(self, sidecar: str) -> tuple[str, ...]:
+    def take_confirmations(self, sidecar: str) -> tuple[str, ...]:
         """Take request ids to tell a sidecar, on a data message or a Billed."""
-        waiting = self._confirmed.get(sidecar)
-        if not waiting:
+        confirmed = self._unsent_confirmations.get(sidecar)
+        if not confirmed:
             return ()
-        count = min(len(waiting), self._settings.confirm_batch)
-        return tuple(waiting.popleft() for _ in range(count))
+        count = min(len(confirmed), self._settings.confirm_batch)
+        return tuple(confirmed.popleft() for _ in range(count))
 
     def tick(self, now_s: float, is_gone: Callable[[str], bool] | None = None) -> None:
         """Submit what is due; ``is_gone`` tells whether an entry has gone."""
         if is_gone is not None:
-            self._hasten(now_s, is_gone)
+            self._expedite_copies(now_s, is_gone)
         while self._due and self._due[0][0] <= now_s:
             request_id = heapq.heappop(self._due)[2]
             copy = self._copies.get(request_id)
@@ -118,14 +120,14 @@
             self._make_ready(request_id)
         self.tick(now_s)
 
-    def _is_own(self, request_id: str) -> bool:
+    def _is_local(self, request_id: str) -> bool:
         """Tell whether a record is one's own, or a copy that has become so."""
         row = self._rows.get(request_id)
         if row is None:
             return False
-        return request_id in self._submitted or holders_of(row) is not None
+        return request_id in self._submitted or unpack_holders(row) is not None
 
-    def _await(self, request_id: str, copy: AwaitedCopy) -> None:
+    def _schedule_copy(self, request_id: str, copy: UnconfirmedCopy) -> None:
         self._copies[request_id] = copy
         self._sequence += 1
         heapq.heappush(self._due, (copy.due_s, self._sequence, request_id))
@@ -134,7 +136,7 @@
         del self._copies[request_id]
         self._ready.append(request_id)
 
-    def _prune(self) -> None:
+    def _compact_ready(self) -> None:
         """Forget ready ids that were confirmed once they outnumber the others.
 
         A sidecar without the log whose entry is late with every confirmation would
@@ -153,16 +155,16 @@
         waits = request_id in self._copies or request_id in self._submitted
         return request_id in self._rows and not waits
 
-    def _hasten(self, now_s: float, is_gone: Callable[[str], bool]) -> None:
+    def _expedite_copies(self, now_s: float, is_gone: Callable[[str], bool]) -> None:
         """Bring copies forward whose entry has gone, since nobody else bills them."""
         soon_s = now_s + self._settings.gone_s
         entries = {copy.entry for copy in self._copies.values()}
-        gone = {entry for entry in entries if is_gone(entry)}
-        if not gone:
+        ended = {entry for entry in entries if is_gone(entry)}
+        if not ended:
             return
         for request_id, copy in self._copies.items():
-            if copy.entry in gone and copy.due_s > soon_s:
-                self._await(request_id, AwaitedCopy(copy.entry, soon_s))
+            if copy.entry in ended and copy.due_s > soon_s:
+                self._schedule_copy(request_id, UnconfirmedCopy(copy.entry, soon_s))
 
     def _submit_ready(self) -> None:
         """Hand over records in order, while the writer may have more of them."""
@@ -181,10 +183,12 @@
         except LogQueueFullError:
             return False
         self._submitted.add(request_id)
-        done.add_done_callback(lambda done: self._landed(request_id, done))
+        done.add_done_callback(lambda done: self._on_appended(request_id, done))
         return True
 
-    def _landed(self, request_id: str, done: "asyncio.Future[AppendResult]") -> None:
+    def _on_appended(
+        self, request_id: str, done: "asyncio.Future[AppendResult]"
+    ) -> None:
         """Forget a record that is in the log, and have its holders told.
 
         The next one takes its place with the writer at once. If that waited for a
@@ -197,6 +201,6 @@
             self._ready.appendleft(request_id)
             return
         row = self._rows.pop(request_id)
-        for holder in holders_of(row) or ():
-            self._confirmed[holder].append(request_id)
+        for holder in unpack_holders(row) or ():
+            self._unsent_confirmations[holder].append(request_id)
         self._submit_ready()
--- a/acaciacove/state/billing_price.py
+++ b/acaciacove/state/billing_price.py
@@ -3,7 +3,7 @@
 from acaciacove.fleet.version import Version
 from acaciacove.state.claim_key import claim_key
 
-TOKENS_PER_PRICE = 1000.0
+TOKENS_PER_PRICE_UNIT = 1000.0
 
 
 def price(version: Version, prompt_tokens: int, completion_tokens: int) -> float:
@@ -11,7 +11,7 @@
     tokens = prompt_tokens + completion_tokens
     if tokens == 0:
         return version.cost_per_1k_tokens
-    return version.cost_per_1k_tokens * tokens / TOKENS_PER_PRICE
+    return version.cost_per_1k_tokens * tokens / TOKENS_PER_PRICE_UNIT
 
 
 def billing_id(
--- a/acaciacove/state/billing_row.py
+++ b/acaciacove/state/billing_row.py
@@ -39,7 +39,7 @@
     return BillingRecord(*values)
 
 
-def holders_of(row: bytes) -> Holders | None:
+def unpack_holders(row: bytes) -> Holders | None:
     """Return the sidecars that may hold a copy; None when the row is a copy itself."""
     holders = orjson.loads(row)[-1]
     return None if holders is None else tuple(holders)
--- a/acaciacove/state/claim_codec.py
+++ b/acaciacove/state/claim_codec.py
@@ -14,14 +14,14 @@
 
 ClaimRecord = Claim | Outcome | Release
 
-KIND = "kind"
+KIND_FIELD = "kind"
 STREAM_PREFIX = "claims/"
-_KINDS: dict[str, type[ClaimRecord]] = {
+_TYPE_BY_KIND: dict[str, type[ClaimRecord]] = {
     "claim": Claim,
     "outcome": Outcome,
     "release": Release,
 }
-_NAMES = {cls: kind for kind, cls in _KINDS.items()}
+_KIND_BY_TYPE = {cls: kind for kind, cls in _TYPE_BY_KIND.items()}
 
 _converter = make_converter()
 _converter.register_unstructure_hook(bytes, lambda data: b64encode(data).decode())
@@ -36,13 +36,13 @@
 def encode_claim_record(record: ClaimRecord) -> bytes:
     """Write a record as an item of a group commit."""
     body = _converter.unstructure(record)
-    return orjson.dumps({KIND: _NAMES[type(record)], **body})
+    return orjson.dumps({KIND_FIELD: _KIND_BY_TYPE[type(record)], **body})
 
 
 def decode_claim_record(item: dict[str, Any]) -> ClaimRecord:
     """Read an item of a group commit; raises MalformedMessageError."""
     try:
-        cls = _KINDS[item[KIND]]
+        cls = _TYPE_BY_KIND[item[KIND_FIELD]]
         record: ClaimRecord = _converter.structure(item, cls)
     except (KeyError, TypeError, ValueError, BaseValidationError) as error:
         raise MalformedMessageError(f"not a claim record: {error}") from error
--- a/acaciacove/state/claim_key.py
+++ b/acaciacove/state/claim_key.py
@@ -5,8 +5,8 @@
 
 DIGEST_BYTES = 16
 UUID_LENGTH = 36
-UUID7 = 7
-TIME_SHIFT_BITS = 80
+UUID7_VERSION = 7
+UUID7_TIME_SHIFT_BITS = 80
 MS_PER_S = 1000.0
 
 
@@ -28,9 +28,9 @@
         uuid = UUID(idempotency_key)
     except ValueError:
         return None
-    if uuid.version != UUID7:
+    if uuid.version != UUID7_VERSION:
         return None
-    return (uuid.int >> TIME_SHIFT_BITS) / MS_PER_S
+    return (uuid.int >> UUID7_TIME_SHIFT_BITS) / MS_PER_S
 
 
 def _digest(*parts: str) -> str:
--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -55,19 +55,19 @@
         self._settings = settings
         self._random = random
         self._partitions: dict[int, ClaimPartition] = {}
-        self._unsent: deque[ClaimRecord] = deque()
-        self._settling = 0
-        writer.listen(self._appended)
+        self._unsubmitted: deque[ClaimRecord] = deque()
+        self._pending_claims = 0
+        writer.listen(self._on_appended)
 
     def table(self, key: str) -> ClaimTable:
         """Return the table of a key's partition, as far as it was read."""
-        return self._open(self._number(key)).table
+        return self._open_partition(self._partition_number(key)).table
 
     def holder(self, key: str) -> HeldClaim | None:
         """Return the claim that holds a key, as far as was read."""
         return self.table(key).holder(key)
 
-    async def settle(self, claim: Claim, until_s: float) -> Refusal | None:
+    async def append_claim(self, claim: Claim, deadline_s: float) -> Refusal | None:
         """Append a claim and read up to it; a refusal when that takes too long.
 
         A refused claim is released, should it be in the log all the same. While the
@@ -76,19 +76,21 @@
         and calls that need no claim would queue behind them.
         """
         down = self._writer.health.status is LogStatus.DOWN
-        if down and self._settling > 0:
+        if down and self._pending_claims > 0:
             return claim_unavailable("the log is down")
-        self._settling += 1
+        self._pending_claims += 1
         try:
-            return await self._settle(claim, until_s)
+            return await self._append_and_read(claim, deadline_s)
         finally:
-            self._settling -= 1
+            self._pending_claims -= 1
 
-    async def _settle(self, claim: Claim, until_s: float) -> Refusal | None:
-        stream = claims_stream(self._number(claim.key))
+    async def _append_and_read(self, claim: Claim, deadline_s: float) -> Refusal | None:
+        stream = claims_stream(self._partition_number(claim.key))
         item = encode_claim_record(claim)
         try:
-            appended = await self._writer.append(stream, item, Priority.CLAIM, until_s)
+            appended = await self._writer.append(
+                stream, item, Priority.CLAIM, deadline_s
+            )
         except LogQueueFullError as error:
             return claim_unavailable(str(error))
         if appended.state is AppendState.NOT_APPENDED:
@@ -100,21 +102,21 @@
             self.record(release)
             return claim_unavailable("the log did not confirm the claim in time")
         try:
-            async with asyncio.timeout_at(until_s):
-                tail = self._open(self._number(claim.key)).tail
+            async with asyncio.timeout_at(deadline_s):
+                tail = self._open_partition(self._partition_number(claim.key)).tail
                 await tail.catch_up(appended.offset + 1)
         except (PlatformUnavailableError, TimeoutError):
             self.record(release)
             return claim_unavailable("the log could not be read up to the claim")
         return None
 
-    async def read_on(self, key: str) -> bool:
+    async def read_to_end(self, key: str) -> bool:
         """Read a key's partition to its end; false when the log does not answer."""
-        return await self.refresh(self._number(key))
+        return await self.refresh_partition(self._partition_number(key))
 
-    async def refresh(self, number: int) -> bool:
+    async def refresh_partition(self, partition_number: int) -> bool:
         """Read a partition to its end; false when the log does not answer."""
-        tail = self._open(number).tail
+        tail = self._open_partition(partition_number).tail
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
                 await tail.catch_up_to_end()
@@ -123,21 +125,21 @@
         self._writer.note_end(tail.stream, tail.next_offset)
         return True
 
-    def forget(self, wall_s: float) -> None:
+    def remove_expired(self, wall_s: float) -> None:
         """Drop keys past their time from every table."""
         for partition in self._partitions.values():
-            partition.table.forget(wall_s)
+            partition.table.remove_expired(wall_s)
 
     def record(self, record: ClaimRecord) -> None:
         """Have a record appended, however long that takes."""
-        self._unsent.append(record)
-        self.resend()
+        self._unsubmitted.append(record)
+        self.submit_pending()
 
-    def resend(self) -> None:
+    def submit_pending(self) -> None:
         """Hand records over for which the writer had no room."""
-        while self._unsent:
-            record = self._unsent[0]
-            stream = claims_stream(self._number(record.key))
+        while self._unsubmitted:
+            record = self._unsubmitted[0]
+            stream = claims_stream(self._partition_number(record.key))
             item = encode_claim_record(record)
             try:
                 # A record that follows a call is in nobody's way. Sent at once it
@@ -146,53 +148,53 @@
                 self._writer.submit(stream, item, Priority.CLAIM, linger_s)
             except LogQueueFullError:
                 return
-            self._unsent.popleft()
+            self._unsubmitted.popleft()
 
     async def flush(self, deadline_s: float) -> bool:
         """Wait until every record is in the log; false at the deadline."""
-        self.resend()
-        return await self._writer.flush(deadline_s) and not self._unsent
+        self.submit_pending()
+        return await self._writer.flush(deadline_s) and not self._unsubmitted
 
-    async def kept_answer(self, held: HeldClaim) -> ServiceAnswer | None:
+    async def read_answer(self, held: HeldClaim) -> ServiceAnswer | None:
         """Read an answer back from the log."""
-        stream = claims_stream(self._number(held.claim.key))
+        stream = claims_stream(self._partition_number(held.claim.key))
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
                 entries = await self._log.read(stream, held.outcome_offset, 1)
         except (PlatformUnavailableError, OffsetExpiredError, TimeoutError):
             return None
-        for record in _records(entries):
+        for record in _decode_records(entries):
             if isinstance(record, Outcome) and record.claim_id == held.claim.claim_id:
                 return ServiceAnswer(record.status, record.headers, record.body)
         return None
 
-    def _number(self, key: str) -> int:
+    def _partition_number(self, key: str) -> int:
         return partition_of(key, self._settings.partitions)
 
-    def _open(self, number: int) -> ClaimPartition:
-        partition = self._partitions.get(number)
+    def _open_partition(self, partition_number: int) -> ClaimPartition:
+        partition = self._partitions.get(partition_number)
         if partition is None:
             table = ClaimTable(self._settings.remembered_s)
             tail = LogTail(
                 self._log,
-                claims_stream(number),
+                claims_stream(partition_number),
                 table.offer,
                 table.note_gap,
                 self._random,
                 self._writer.health,
             )
             partition = ClaimPartition(table, tail)
-            self._partitions[number] = partition
+            self._partitions[partition_number] = partition
         return partition
 
-    def _appended(self, stream: str, offset: int, payload: bytes) -> None:
+    def _on_appended(self, stream: str, offset: int, payload: bytes) -> None:
         """Fold what this process appended without reading it back, if it can."""
         for partition in self._partitions.values():
             if partition.tail.stream == stream:
                 partition.tail.accept(LogEntry(offset, payload))
 
 
-def _records(entries: list[LogEntry]) -> Iterator[ClaimRecord]:
+def _decode_records(entries: list[LogEntry]) -> Iterator[ClaimRecord]:
     """Read the records of entries that were folded once already."""
     for entry in entries:
         for item in decode_batch(entry.payload).items:
--- a/acaciacove/state/claim_owner.py
+++ b/acaciacove/state/claim_owner.py
@@ -19,12 +19,12 @@
     key_reused,
     outcome_unknown,
 )
-from acaciacove.state.claim_resolver import AskOwner, ClaimResolver, IsGone, Result
+from acaciacove.state.claim_resolver import ClaimResolver, IsGone, QueryOwner, Result
 from acaciacove.state.claim_settings import ClaimSettings
 from acaciacove.state.claim_status import ClaimStatus
+from acaciacove.state.local_call import LocalCall
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.outcome import Outcome
-from acaciacove.state.own_call import OwnCall
 from acaciacove.state.release import Release
 
 Call = Callable[[], Awaitable[Result]]
@@ -35,7 +35,7 @@
 class ClaimOwner:
     """The claims of one sidecar.
 
-    ``ask_owner`` sends a query to another sidecar and returns its answer, or None
+    ``query_owner`` sends a query to another sidecar and returns its answer, or None
     when it cannot be reached. ``is_gone`` tells whether an incarnation of an
     instance has ended. ``wall_s`` returns Unix time. ``run`` is the task that
     keeps the partitions read; claims also work without it, more slowly.
@@ -50,7 +50,7 @@
         settings: ClaimSettings,
         random: Random,
         wall_s: Callable[[], float],
-        ask_owner: AskOwner,
+        query_owner: QueryOwner,
         is_gone: IsGone,
     ) -> None:
         """Take what the owner works with; nothing is read before it is needed."""
@@ -59,7 +59,7 @@
         self._settings = settings
         self._random = random
         self._wall_s = wall_s
-        self._own: dict[str, OwnCall] = {}
+        self._local_calls: dict[str, LocalCall] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._claims = ClaimLog(log, writer, settings, random)
         self._resolver = ClaimResolver(
@@ -68,15 +68,17 @@
             self._claims,
             settings,
             wall_s,
-            ask_owner,
+            query_owner,
             is_gone,
-            lambda key: key in self._own,
+            lambda key: key in self._local_calls,
         )
 
     @property
     def running(self) -> int:
         """Return how many claimed calls are under way."""
-        return sum(1 for own in self._own.values() if not own.done.done())
+        return sum(
+            1 for local_call in self._local_calls.values() if not local_call.done.done()
+        )
 
     async def run_once(
         self,
@@ -100,7 +102,7 @@
             return refusal
         loop = asyncio.get_running_loop()
         while True:
-            result = await self._try(
+            result = await self._run_or_resolve(
                 key, fingerprint, deadline_s, call, organisation, issued_s
             )
             if result is not None:
@@ -110,14 +112,14 @@
                     "the key was released too late to claim it anew"
                 )
 
-    async def run(self, usual: Callable[[], Iterable[int]]) -> None:
+    async def run(self, preferred_partitions: Callable[[], Iterable[int]]) -> None:
         """Keep the partitions read for which this process is the usual owner."""
         while True:
-            for number in usual():
-                await self._claims.refresh(number)
-            self._claims.forget(self._wall_s())
-            self._forget_own()
-            self._claims.resend()
+            for partition_number in preferred_partitions():
+                await self._claims.refresh_partition(partition_number)
+            self._claims.remove_expired(self._wall_s())
+            self._evict_answers()
+            self._claims.submit_pending()
             await asyncio.sleep(self._settings.refresh_s)
 
     async def finish(self, deadline_s: float) -> bool:
@@ -129,11 +131,11 @@
 
     def on_query(self, query: ClaimQuery) -> ClaimAnswer:
         """Answer another owner that met a claim of this process."""
-        own = self._own.get(query.key)
-        status = ClaimStatus.NOT_HELD if own is None else own.status
+        local_call = self._local_calls.get(query.key)
+        status = ClaimStatus.NOT_HELD if local_call is None else local_call.status
         answer = ServiceAnswer(0)
-        if own is not None and status is ClaimStatus.DONE:
-            result = own.done.result()
+        if local_call is not None and status is ClaimStatus.DONE:
+            result = local_call.done.result()
             assert isinstance(result, ServiceAnswer)
             answer = result
         return ClaimAnswer(
@@ -161,7 +163,7 @@
             return Refusal(Reason.KEY_EXPIRED, True, "the key is from the future")
         return None
 
-    async def _try(
+    async def _run_or_resolve(
         self,
         key: str,
         fingerprint: str,
@@ -171,21 +173,21 @@
         issued_s: float | None,
     ) -> Result | None:
         """Run, join or look up the call of a key; None when the key came free."""
-        own = self._own.get(key)
-        if own is None:
+        local_call = self._local_calls.get(key)
+        if local_call is None:
             held = self._claims.holder(key)
             if held is not None:
                 return await self._resolver.resolve(held, fingerprint, deadline_s)
             claim = self._new_claim(key, fingerprint, org)
-            own = self._start(claim, deadline_s, call, issued_s)
-        elif own.claim.fingerprint != fingerprint:
+            local_call = self._start_call(claim, deadline_s, call, issued_s)
+        elif local_call.claim.fingerprint != fingerprint:
             return key_reused()
-        return await self._join(own, deadline_s)
+        return await self._wait_for_call(local_call, deadline_s)
 
     def _new_claim(self, key: str, fingerprint: str, organisation: str) -> Claim:
         return Claim(
             key=key,
-            claim_id=f"{self._name}/{self._incarnation}/{self._new_id()}",
+            claim_id=f"{self._name}/{self._incarnation}/{self._random_id()}",
             owner=self._name,
             incarnation=self._incarnation,
             fingerprint=fingerprint,
@@ -193,54 +195,62 @@
             organisation=organisation,
         )
 
-    def _start(
+    def _start_call(
         self, claim: Claim, deadline_s: float, call: Call, issued_s: float | None
-    ) -> OwnCall:
+    ) -> LocalCall:
         """Claim a key in a task of its own, which a caller that leaves cannot end."""
         done = asyncio.get_running_loop().create_future()
-        own = OwnCall(claim, deadline_s, done, issued_s)
-        self._own[claim.key] = own
-        task = asyncio.create_task(self._drive(own, call))
+        local_call = LocalCall(claim, deadline_s, done, issued_s)
+        self._local_calls[claim.key] = local_call
+        task = asyncio.create_task(self._claim_and_call(local_call, call))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        return own
+        return local_call
 
-    async def _join(self, own: OwnCall, deadline_s: float) -> Result | None:
+    async def _wait_for_call(
+        self, local_call: LocalCall, deadline_s: float
+    ) -> Result | None:
         """Wait for a call of this process."""
         timeout_s = deadline_s - asyncio.get_running_loop().time()
-        done, _ = await asyncio.wait({own.done}, timeout=max(0.0, timeout_s))
+        done, _ = await asyncio.wait({local_call.done}, timeout=max(0.0, timeout_s))
         if done:
-            return own.done.result()
-        if own.started or own.deadline_s > deadline_s:
+            return local_call.done.result()
+        if local_call.started or local_call.deadline_s > deadline_s:
             return in_progress()
         # The claim's task decides in this same moment whether the call is still
         # started. Saying "not run" before it has decided could turn out false.
-        return await asyncio.shield(own.done)
+        return await asyncio.shield(local_call.done)
 
-    async def _drive(self, own: OwnCall, call: Call) -> None:
+    async def _claim_and_call(self, local_call: LocalCall, call: Call) -> None:
         """Claim, call and record; the only place where a call is made."""
         loop = asyncio.get_running_loop()
-        until_s = min(own.deadline_s, loop.time() + self._settings.claim_wait_s)
-        refusal = await self._claims.settle(own.claim, until_s)
+        claim_deadline_s = min(
+            local_call.deadline_s, loop.time() + self._settings.claim_wait_s
+        )
+        refusal = await self._claims.append_claim(local_call.claim, claim_deadline_s)
         if refusal is not None:
-            self._give_up(own, refusal)
+            self._finish_not_run(local_call, refusal)
             return
-        if not self._holds(own):
-            del self._own[own.claim.key]
-            own.done.set_result(None)
+        if not self._holds_key(local_call):
+            del self._local_calls[local_call.claim.key]
+            local_call.done.set_result(None)
             return
-        late = self._too_late(own) or self._not_covered(own)
-        if late is not None:
-            self._claims.record(Release(own.claim.key, own.claim.claim_id))
-            self._give_up(own, late)
+        refusal = self._refuse_late_start(local_call) or self._refuse_unknown_history(
+            local_call
+        )
+        if refusal is not None:
+            self._claims.record(
+                Release(local_call.claim.key, local_call.claim.claim_id)
+            )
+            self._finish_not_run(local_call, refusal)
             return
-        await self._make_call(own, call)
+        await self._make_call(local_call, call)
 
-    def _holds(self, own: OwnCall) -> bool:
-        held = self._claims.holder(own.claim.key)
-        return held is not None and held.claim.claim_id == own.claim.claim_id
+    def _holds_key(self, local_call: LocalCall) -> bool:
+        held = self._claims.holder(local_call.claim.key)
+        return held is not None and held.claim.claim_id == local_call.claim.claim_id
 
-    def _too_late(self, own: OwnCall) -> Refusal | None:
+    def _refuse_late_start(self, local_call: LocalCall) -> Refusal | None:
         """Refuse to start a call whose caller has gone.
 
         A process can be paused for hours between its claim and this line. Nobody
@@ -248,65 +258,65 @@
         window the key may be forgotten elsewhere. The runtime's clock may stand
         still while a machine is suspended, so Unix time is checked as well.
         """
-        expired = asyncio.get_running_loop().time() >= own.deadline_s
-        age_s = self._wall_s() - own.claim.at_s
+        expired = asyncio.get_running_loop().time() >= local_call.deadline_s
+        age_s = self._wall_s() - local_call.claim.at_s
         if expired or age_s > self._settings.start_limit_s:
             detail = "the deadline passed before the call was started"
             return Refusal(Reason.DEADLINE_EXCEEDED, True, detail)
         return None
 
-    def _not_covered(self, own: OwnCall) -> Refusal | None:
+    def _refuse_unknown_history(self, local_call: LocalCall) -> Refusal | None:
         """Refuse a key that may have been claimed in records that have expired."""
-        if own.issued_s is None:
+        if local_call.issued_s is None:
             return None
-        covered_s = self._claims.table(own.claim.key).covered_since_s
-        if own.issued_s + self._settings.clock_error_s >= covered_s:
+        covered_s = self._claims.table(local_call.claim.key).covered_since_s
+        if local_call.issued_s + self._settings.clock_error_s >= covered_s:
             return None
         return key_expired("the key is older than the records that the log has kept")
 
-    async def _make_call(self, own: OwnCall, call: Call) -> None:
+    async def _make_call(self, local_call: LocalCall, call: Call) -> None:
         """Make the one call and record how it ended."""
-        key, claim_id = own.claim.key, own.claim.claim_id
-        own.started = True
+        key, claim_id = local_call.claim.key, local_call.claim.claim_id
+        local_call.started = True
         try:
             result = await call()
         except Exception as error:  # noqa: BLE001 - whatever failed, it may have run
             result = Refusal(Reason.ENDPOINT_FAILED, False, type(error).__name__)
         if isinstance(result, ServiceAnswer):
-            own.status = ClaimStatus.DONE
-            self._claims.record(self._outcome(own, result))
-            own.done.set_result(result)
+            local_call.status = ClaimStatus.DONE
+            self._claims.record(self._outcome(local_call, result))
+            local_call.done.set_result(result)
         elif result.not_run:
             self._claims.record(Release(key, claim_id))
-            self._give_up(own, result)
+            self._finish_not_run(local_call, result)
         else:
-            own.status = ClaimStatus.OUTCOME_UNKNOWN
+            local_call.status = ClaimStatus.OUTCOME_UNKNOWN
             self._claims.record(Outcome(key, claim_id, known=False))
-            own.done.set_result(outcome_unknown(result.detail))
+            local_call.done.set_result(outcome_unknown(result.detail))
 
-    def _outcome(self, own: OwnCall, answer: ServiceAnswer) -> Outcome:
-        key, claim_id = own.claim.key, own.claim.claim_id
+    def _outcome(self, local_call: LocalCall, answer: ServiceAnswer) -> Outcome:
+        key, claim_id = local_call.claim.key, local_call.claim.claim_id
         if len(answer.body) > self._settings.kept_body_bytes:
             return Outcome(key, claim_id, known=True, status=answer.status)
         return Outcome(
             key, claim_id, True, True, answer.status, answer.headers, answer.body
         )
 
-    def _give_up(self, own: OwnCall, refusal: Refusal) -> None:
+    def _finish_not_run(self, local_call: LocalCall, refusal: Refusal) -> None:
         """Forget a claim that was not run; its task has ended, so it never will be."""
-        del self._own[own.claim.key]
-        own.done.set_result(refusal)
+        del self._local_calls[local_call.claim.key]
+        local_call.done.set_result(refusal)
 
-    def _forget_own(self) -> None:
+    def _evict_answers(self) -> None:
         """Drop the oldest answers whose outcomes are in the log."""
-        surplus = len(self._own) - self._settings.kept_answers
-        for key, own in list(self._own.items()):
+        surplus = len(self._local_calls) - self._settings.kept_answers
+        for key, local_call in list(self._local_calls.items()):
             if surplus <= 0:
                 return
             held = self._claims.holder(key)
-            if own.done.done() and (held is None or held.outcome is not None):
-                del self._own[key]
+            if local_call.done.done() and (held is None or held.outcome is not None):
+                del self._local_calls[key]
                 surplus -= 1
 
-    def _new_id(self) -> str:
+    def _random_id(self) -> str:
         return f"{self._random.getrandbits(CLAIM_ID_BITS):016x}"
--- a/acaciacove/state/claim_refusals.py
+++ b/acaciacove/state/claim_refusals.py
@@ -3,12 +3,12 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-RETRY_LATER_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 def claim_unavailable(detail: str) -> Refusal:
     """Refuse since the claim could not be made in time; the call was not run."""
-    return Refusal(Reason.CLAIM_UNAVAILABLE, True, detail, RETRY_LATER_S)
+    return Refusal(Reason.CLAIM_UNAVAILABLE, True, detail, RETRY_AFTER_S)
 
 
 def outcome_unknown(detail: str) -> Refusal:
@@ -16,7 +16,7 @@
     return Refusal(Reason.OUTCOME_UNKNOWN, False, detail)
 
 
-def answer_dropped() -> Refusal:
+def answer_not_retained() -> Refusal:
     """Refuse since the call has finished and its answer is gone."""
     return outcome_unknown("the call has finished; its answer is no longer kept")
 
@@ -24,7 +24,7 @@
 def in_progress() -> Refusal:
     """Refuse since an earlier attempt with the key is not settled."""
     detail = "an earlier attempt with this key is still running"
-    return Refusal(Reason.IN_PROGRESS, False, detail, RETRY_LATER_S)
+    return Refusal(Reason.IN_PROGRESS, False, detail, RETRY_AFTER_S)
 
 
 def key_reused() -> Refusal:
--- a/acaciacove/state/claim_resolver.py
+++ b/acaciacove/state/claim_resolver.py
@@ -10,7 +10,7 @@
 from acaciacove.state.claim import Claim
 from acaciacove.state.claim_log import ClaimLog
 from acaciacove.state.claim_refusals import (
-    answer_dropped,
+    answer_not_retained,
     claim_unavailable,
     in_progress,
     key_expired,
@@ -23,16 +23,17 @@
 from acaciacove.state.outcome import Outcome
 
 Result = ServiceAnswer | Refusal
-AskOwner = Callable[[str, ClaimQuery], Awaitable[ClaimAnswer | None]]
+QueryOwner = Callable[[str, ClaimQuery], Awaitable[ClaimAnswer | None]]
 IsGone = Callable[[str, int], bool]
 
-SHORTEST_POLL_S = 0.001
+MIN_POLL_S = 0.001
 
 
 class ClaimResolver:
     """Finds the answer of a claim: in the log, or with its owner.
 
-    ``runs`` tells whether this process has a call for a key under way or answered.
+    ``has_local_call`` returns whether this process has a call for a key, running or
+    answered.
     """
 
     def __init__(
@@ -42,9 +43,9 @@
         claims: ClaimLog,
         settings: ClaimSettings,
         wall_s: Callable[[], float],
-        ask_owner: AskOwner,
+        query_owner: QueryOwner,
         is_gone: IsGone,
-        runs: Callable[[str], bool],
+        has_local_call: Callable[[str], bool],
     ) -> None:
         """Take what the resolver works with."""
         self._name = name
@@ -52,10 +53,10 @@
         self._claims = claims
         self._settings = settings
         self._wall_s = wall_s
-        self._ask_owner = ask_owner
+        self._query_owner = query_owner
         self._is_gone = is_gone
-        self._runs = runs
-        self._queries = 0
+        self._has_local_call = has_local_call
+        self._query_count = 0
 
     async def resolve(
         self, held: HeldClaim, fingerprint: str, deadline_s: float
@@ -71,53 +72,55 @@
             current = self._claims.holder(claim.key)
             if current is None or current.claim.claim_id != claim.claim_id:
                 return None
-            result = await self._answer_of(current)
+            result = await self._find_result(current)
             if result is not None:
                 return result
-            left_s = deadline_s - loop.time()
-            if left_s <= 0.0:
-                return self._unresolved(current)
+            remaining_s = deadline_s - loop.time()
+            if remaining_s <= 0.0:
+                return self._refuse_unresolved(current)
             await asyncio.sleep(
-                max(SHORTEST_POLL_S, min(self._settings.poll_s, left_s))
+                max(MIN_POLL_S, min(self._settings.poll_s, remaining_s))
             )
-            await self._claims.read_on(claim.key)
+            await self._claims.read_to_end(claim.key)
 
-    def _unresolved(self, held: HeldClaim) -> Refusal:
+    def _refuse_unresolved(self, held: HeldClaim) -> Refusal:
         """Refuse a retry when the time is up and nobody could say more."""
-        if self._gave_up(held):
+        if self._is_abandoned(held):
             return claim_unavailable(
                 "the release of an earlier claim is not in the log yet"
             )
         return in_progress()
 
-    def _is_own(self, claim: Claim) -> bool:
+    def _is_local(self, claim: Claim) -> bool:
         return (claim.owner, claim.incarnation) == (self._name, self._incarnation)
 
-    def _gave_up(self, held: HeldClaim) -> bool:
+    def _is_abandoned(self, held: HeldClaim) -> bool:
         """Tell whether this process holds a key that it never ran nor will run."""
-        forgotten = not self._runs(held.claim.key)
-        return self._is_own(held.claim) and held.outcome is None and forgotten
+        no_local_call = not self._has_local_call(held.claim.key)
+        return self._is_local(held.claim) and held.outcome is None and no_local_call
 
-    async def _answer_of(self, held: HeldClaim) -> Result | None:
+    async def _find_result(self, held: HeldClaim) -> Result | None:
         """Return the answer of a claim that is in the log; None to ask again."""
         claim, outcome = held.claim, held.outcome
         if outcome is not None and not outcome.known:
             return outcome_unknown("the endpoint gave no answer")
         if outcome is not None and outcome.answer_kept:
-            return await self._claims.kept_answer(held)
-        if self._is_own(claim):
-            return None if outcome is None else answer_dropped()
+            return await self._claims.read_answer(held)
+        if self._is_local(claim):
+            return None if outcome is None else answer_not_retained()
         answer = None
         if claim.owner != self._name:
-            answer = await self._query(claim)
+            answer = await self._send_query(claim)
         if answer is not None and answer.incarnation == claim.incarnation:
-            return self._from_owner(answer, outcome)
-        gone = answer is not None or self._is_gone(claim.owner, claim.incarnation)
-        if gone and not await self._changed(held):
+            return self._result_from_owner(answer, outcome)
+        owner_ended = answer is not None or self._is_gone(
+            claim.owner, claim.incarnation
+        )
+        if owner_ended and not await self._outcome_changed(held):
             return outcome_unknown("the owner of the call is gone")
         return None
 
-    def _from_owner(
+    def _result_from_owner(
         self, answer: ClaimAnswer, outcome: Outcome | None
     ) -> Result | None:
         match answer.status:
@@ -126,23 +129,23 @@
             case ClaimStatus.OUTCOME_UNKNOWN:
                 return outcome_unknown("the endpoint gave no answer")
             case ClaimStatus.NOT_HELD if outcome is not None:
-                return answer_dropped()
+                return answer_not_retained()
         return None
 
-    async def _changed(self, held: HeldClaim) -> bool:
+    async def _outcome_changed(self, held: HeldClaim) -> bool:
         """Read on, since an owner that has gone may have left its outcome."""
         before = held.outcome
-        if not await self._claims.read_on(held.claim.key):
+        if not await self._claims.read_to_end(held.claim.key):
             return False
         current = self._claims.holder(held.claim.key)
         return current is not held or current.outcome is not before
 
-    async def _query(self, claim: Claim) -> ClaimAnswer | None:
-        self._queries += 1
-        query_id = f"{self._name}/{self._incarnation}/{self._queries}"
+    async def _send_query(self, claim: Claim) -> ClaimAnswer | None:
+        self._query_count += 1
+        query_id = f"{self._name}/{self._incarnation}/{self._query_count}"
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
-                return await self._ask_owner(
+                return await self._query_owner(
                     claim.owner, ClaimQuery(query_id, claim.key)
                 )
         except TimeoutError:
--- a/acaciacove/state/claim_segment.py
+++ b/acaciacove/state/claim_segment.py
@@ -9,8 +9,8 @@
 
 from acaciacove.state.claim_row import ClaimRow
 
-LAYOUT = Struct("<16sQIIHHB")
-HASHES = "Q"
+ROW_LAYOUT = Struct("<16sQIIHHB")
+HASH_TYPECODE = "Q"
 
 
 @frozen
@@ -25,37 +25,37 @@
         """Return how many rows there are."""
         return len(self.hashes)
 
-    def find(self, hashed: int) -> ClaimRow | None:
+    def find(self, key_hash: int) -> ClaimRow | None:
         """Return the row of a hash."""
-        place = bisect_left(self.hashes, hashed)
-        if place == len(self.hashes) or self.hashes[place] != hashed:
+        index = bisect_left(self.hashes, key_hash)
+        if index == len(self.hashes) or self.hashes[index] != key_hash:
             return None
-        return ClaimRow(*LAYOUT.unpack_from(self.rows, place * LAYOUT.size))
+        return ClaimRow(*ROW_LAYOUT.unpack_from(self.rows, index * ROW_LAYOUT.size))
 
     def items(self) -> Iterable[tuple[int, bytes]]:
         """Yield hashes with their packed rows, in order."""
-        starts = range(0, len(self.rows), LAYOUT.size)
-        for hashed, start in zip(self.hashes, starts, strict=True):
-            yield hashed, self.rows[start : start + LAYOUT.size]
+        row_offsets = range(0, len(self.rows), ROW_LAYOUT.size)
+        for key_hash, row_offset in zip(self.hashes, row_offsets, strict=True):
+            yield key_hash, self.rows[row_offset : row_offset + ROW_LAYOUT.size]
 
 
-def segment_of(rows: dict[int, ClaimRow]) -> ClaimSegment:
+def build_segment(rows: dict[int, ClaimRow]) -> ClaimSegment:
     """Sort and pack rows by hash."""
-    hashes = array(HASHES, sorted(rows))
-    packed = b"".join(_pack(rows[hashed]) for hashed in hashes)
+    hashes = array(HASH_TYPECODE, sorted(rows))
+    packed = b"".join(_pack(rows[key_hash]) for key_hash in hashes)
     return ClaimSegment(hashes, packed, max(row.at_s for row in rows.values()))
 
 
-def merged(one: ClaimSegment, other: ClaimSegment) -> ClaimSegment:
+def merge_segments(first: ClaimSegment, second: ClaimSegment) -> ClaimSegment:
     """Join two segments, whose hashes differ."""
-    pairs = sorted([*one.items(), *other.items()])
-    hashes = array(HASHES, (hashed for hashed, _ in pairs))
+    pairs = sorted([*first.items(), *second.items()])
+    hashes = array(HASH_TYPECODE, (key_hash for key_hash, _ in pairs))
     rows = b"".join(row for _, row in pairs)
-    return ClaimSegment(hashes, rows, max(one.newest_s, other.newest_s))
+    return ClaimSegment(hashes, rows, max(first.newest_s, second.newest_s))
 
 
 def _pack(row: ClaimRow) -> bytes:
-    return LAYOUT.pack(
+    return ROW_LAYOUT.pack(
         row.fingerprint,
         row.number,
         row.at_s,
--- a/acaciacove/state/claim_table.py
+++ b/acaciacove/state/claim_table.py
@@ -25,7 +25,7 @@
     def __init__(self, remembered_s: float) -> None:
         """Start before the first record."""
         self.covered_since_s = 0.0
-        self._gap = False
+        self._has_gap = False
         self._remembered_s = remembered_s
         self._held: dict[str, HeldClaim] = {}
         self._settled = SettledClaims()
@@ -55,17 +55,17 @@
 
     def note_gap(self, earliest_offset: int) -> None:
         """Learn that records before an offset have expired unread."""
-        self._gap = earliest_offset > 0
+        self._has_gap = earliest_offset > 0
 
-    def forget(self, now_s: float) -> int:
+    def remove_expired(self, now_s: float) -> int:
         """Drop keys past their time (Unix time); return how many."""
         oldest_s = now_s - self._remembered_s
-        old = [k for k, held in self._held.items() if held.claim.at_s < oldest_s]
-        for key in old:
+        expired = [k for k, held in self._held.items() if held.claim.at_s < oldest_s]
+        for key in expired:
             del self._held[key]
-        settled = self._settled.forget(oldest_s)
+        settled = self._settled.remove_expired(oldest_s)
         self._released = {c: s for c, s in self._released.items() if s >= oldest_s}
-        return len(old) + settled
+        return len(expired) + settled
 
     def _fold(self, offset: int, record: ClaimRecord) -> None:
         match record:
@@ -94,8 +94,8 @@
         retry of that booking would be refused.
         """
         self._newest_s = max(self._newest_s, claim.at_s)
-        if self._gap:
-            self._gap = False
+        if self._has_gap:
+            self._has_gap = False
             self.covered_since_s = claim.at_s
         if claim.claim_id in self._released or self.holder(claim.key) is not None:
             return
--- a/acaciacove/state/own_call.py
+++ b/acaciacove/state/local_call.py
@@ -11,7 +11,7 @@
 
 
 @define(eq=False)
-class OwnCall:
+class LocalCall:
     """``done`` holds the answer or refusal, or None when the claim was lost."""
 
     claim: Claim
--- a/acaciacove/state/token_bucket.py
+++ b/acaciacove/state/token_bucket.py
@@ -2,7 +2,7 @@
 
 from attrs import define, field
 
-ROUNDING = 1e-6
+ROUNDING_TOLERANCE = 1e-6
 
 
 @define
@@ -27,7 +27,7 @@
 
     def take(self, now_s: float, tokens: float = 1.0) -> bool:
         """Take tokens if there are enough."""
-        if self.refill(now_s) + ROUNDING < tokens:
+        if self.refill(now_s) + ROUNDING_TOLERANCE < tokens:
             return False
         self.tokens -= tokens
         return True
@@ -44,5 +44,9 @@
 
     def wait_s(self, now_s: float, tokens: float = 1.0) -> float:
         """Return the seconds until ``tokens`` can be taken."""
-        lacking = tokens - self.refill(now_s)
-        return lacking / self.rate_per_s if lacking > ROUNDING else 0.0
+        missing_tokens = tokens - self.refill(now_s)
+        return (
+            missing_tokens / self.rate_per_s
+            if missing_tokens > ROUNDING_TOLERANCE
+            else 0.0
+        )
--- a/acaciacove/state/awaited_copy.py
+++ b/acaciacove/state/unconfirmed_copy.py
@@ -4,7 +4,7 @@
 
 
 @define(eq=False)
-class AwaitedCopy:
+class UnconfirmedCopy:
     """Becomes one's own to append at ``due_s`` (the loop's time) unless confirmed.
 
     ``entry`` is the process expected to append it.
--- a/acaciacove/wire/codec.py
+++ b/acaciacove/wire/codec.py
@@ -21,9 +21,9 @@
 TRAVERSAL_LIMIT_WORDS = 2**24
 
 _schema = capnp.load(str(SCHEMA_PATH))
-_ABSENT_NUMBER = math.nan
+_NONE_AS_NUMBER = math.nan
 
-_Converter = Callable[[Any], Any]
+_Reader = Callable[[Any], Any]
 _Writer = Callable[[Any, str, Any], None]
 
 
@@ -35,7 +35,7 @@
     """
     frame = _schema.Frame.new_message()
     cls: Any = type(message)
-    _write(frame.init(_union_name(cls)), message)
+    _write_fields(frame.init(_union_field_name(cls)), message)
     data: bytes = frame.to_bytes()
     return data
 
@@ -47,25 +47,27 @@
             data, traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS
         ) as frame:
             name = str(frame.which())
-            message: Message = _from_reader(_classes()[name], getattr(frame, name))
+            message: Message = _read_struct(
+                _classes_by_union_name()[name], getattr(frame, name)
+            )
             return message
     except (capnp.KjException, KeyError, ValueError, UnicodeDecodeError) as error:
         raise MalformedMessageError(str(error)) from error
 
 
 @cache
-def _union_name(cls: type) -> str:
+def _union_field_name(cls: type) -> str:
     """Return the name of a class in the frame's union."""
-    return _camel(cls.__name__, first_upper=False)
+    return _camel_case(cls.__name__, first_upper=False)
 
 
 @cache
-def _classes() -> dict[str, type]:
+def _classes_by_union_name() -> dict[str, type]:
     """Map the names of the frame's union to message classes."""
-    return {_camel(c.__name__, first_upper=False): c for c in get_args(Message)}
+    return {_camel_case(c.__name__, first_upper=False): c for c in get_args(Message)}
 
 
-def _camel(name: str, first_upper: bool) -> str:
+def _camel_case(name: str, first_upper: bool) -> str:
     """Spell a class or field name as the schema does."""
     if "_" in name or name.islower():
         head, *rest = name.split("_")
@@ -73,12 +75,12 @@
     return name if first_upper else name[0].lower() + name[1:]
 
 
-def _keep(value: Any) -> Any:
+def _identity(value: Any) -> Any:
     """Leave a plain value as it is."""
     return value
 
 
-def _number_in(value: float) -> float | None:
+def _read_optional_number(value: float) -> float | None:
     """Read NaN as an absent number."""
     return None if math.isnan(value) else value
 
@@ -88,13 +90,13 @@
     """List a class's fields with their schema names and writers."""
     hints = get_type_hints(cls)
     return tuple(
-        (f.name, _camel(f.name, first_upper=False), _writer(hints[f.name]))
+        (f.name, _camel_case(f.name, first_upper=False), _writer(hints[f.name]))
         for f in attrs.fields(cls)
     )
 
 
 @cache
-def _readers(cls: type) -> tuple[tuple[Any, _Converter], ...]:
+def _readers(cls: type) -> tuple[tuple[Any, _Reader], ...]:
     """List a class's schema fields with their readers, in order of its fields.
 
     Reading by schema field spares the search by name, which takes most of the time
@@ -104,7 +106,7 @@
     schema_fields = getattr(_schema, cls.__name__).schema.fields
     return tuple(
         (
-            schema_fields[_camel(f.name, first_upper=False)],
+            schema_fields[_camel_case(f.name, first_upper=False)],
             _reader(hints[f.name]),
         )
         for f in attrs.fields(cls)
@@ -116,41 +118,41 @@
     if attrs.has(hint):
         return _write_struct
     if isinstance(hint, UnionType):
-        return _write_number
+        return _write_optional_number
     if get_args(hint):
         return _write_structs if attrs.has(get_args(hint)[0]) else _write_list
     return setattr
 
 
-def _reader(hint: Any) -> _Converter:
+def _reader(hint: Any) -> _Reader:
     """Choose how values of a type are read."""
     if attrs.has(hint):
-        return lambda value: _from_reader(hint, value)
+        return lambda value: _read_struct(hint, value)
     if isinstance(hint, UnionType):
-        return _number_in
+        return _read_optional_number
     if get_args(hint):
         return _list_reader(_reader(get_args(hint)[0]))
-    return _keep
+    return _identity
 
 
-def _list_reader(item: _Converter) -> _Converter:
+def _list_reader(item: _Reader) -> _Reader:
     return lambda values: tuple(item(value) for value in values)
 
 
-def _write(builder: Any, value: Any) -> None:
+def _write_fields(builder: Any, value: Any) -> None:
     """Write every field of an attrs value into a struct."""
     cls: Any = type(value)
     for field, name, write in _writers(cls):
         write(builder, name, getattr(value, field))
 
 
-def _write_number(builder: Any, name: str, value: float | None) -> None:
+def _write_optional_number(builder: Any, name: str, value: float | None) -> None:
     """Write an absent number as NaN."""
-    setattr(builder, name, _ABSENT_NUMBER if value is None else value)
+    setattr(builder, name, _NONE_AS_NUMBER if value is None else value)
 
 
 def _write_struct(builder: Any, name: str, value: Any) -> None:
-    _write(builder.init(name), value)
+    _write_fields(builder.init(name), value)
 
 
 def _write_structs(builder: Any, name: str, values: tuple[Any, ...]) -> None:
@@ -158,7 +160,7 @@
         return
     items = builder.init(name, len(values))
     for item, value in zip(items, values, strict=True):
-        _write(item, value)
+        _write_fields(item, value)
 
 
 def _write_list(builder: Any, name: str, values: tuple[Any, ...]) -> None:
@@ -166,7 +168,7 @@
         setattr(builder, name, list(values))
 
 
-def _from_reader(cls: type, reader: Any) -> Any:
+def _read_struct(cls: type, reader: Any) -> Any:
     """Build an attrs value from a struct that was read."""
     get = reader._get_by_field
     return cls(*[read(get(field)) for field, read in _readers(cls)])
--- a/acaciacove/wire/connection.py
+++ b/acaciacove/wire/connection.py
@@ -25,7 +25,7 @@
         """Take over a stream that is already open."""
         self._reader = reader
         self._writer = writer
-        _send_at_once(writer)
+        _disable_nagle(writer)
 
     async def send(self, message: Message) -> None:
         """Send one message; raises ConnectionError when the peer is gone."""
@@ -33,14 +33,16 @@
 
     async def send_all(self, messages: Iterable[Message]) -> None:
         """Send messages in one write; raises ConnectionError."""
-        self.send_soon(messages)
+        self.send_nowait(messages)
         await self._writer.drain()
 
-    def send_soon(self, messages: Iterable[Message]) -> None:
+    def send_nowait(self, messages: Iterable[Message]) -> None:
         """Queue messages in one write, without waiting for the peer to read."""
         if self._writer.is_closing():
             raise ConnectionResetError("the connection is closed")
-        self._writer.write(b"".join(_framed(encode(message)) for message in messages))
+        self._writer.write(
+            b"".join(_add_length_prefix(encode(message)) for message in messages)
+        )
 
     async def receive(self) -> Message | None:
         """Wait for a message; None once the peer has closed or sent no message."""
@@ -68,7 +70,7 @@
     return Connection(reader, writer)
 
 
-def _send_at_once(writer: StreamWriter) -> None:
+def _disable_nagle(writer: StreamWriter) -> None:
     """Switch Nagle's algorithm off.
 
     asyncio does so only for sockets that name their protocol. A small frame would
@@ -79,5 +81,5 @@
         connection.setsockopt(IPPROTO_TCP, TCP_NODELAY, 1)
 
 
-def _framed(data: bytes) -> bytes:
+def _add_length_prefix(data: bytes) -> bytes:
     return len(data).to_bytes(LENGTH_BYTES, "big") + data
--- a/acaciacove/wire/outbox.py
+++ b/acaciacove/wire/outbox.py
@@ -5,7 +5,7 @@
 from acaciacove.messages.message import Message
 from acaciacove.wire.connection import Connection
 
-CAPACITY = 1024
+MAX_QUEUED_MESSAGES = 1024
 
 
 class Outbox:
@@ -18,7 +18,7 @@
     def __init__(self, connection: Connection) -> None:
         """Write to a connection that somebody else reads."""
         self._connection = connection
-        self._messages: asyncio.Queue[Message] = asyncio.Queue(CAPACITY)
+        self._messages: asyncio.Queue[Message] = asyncio.Queue(MAX_QUEUED_MESSAGES)
 
     async def put(self, message: Message) -> None:
         """Queue a message, waiting while the queue is full."""
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -19,22 +19,22 @@
 
     def __init__(self, log):
         self.log = log
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.resumed = asyncio.Event()
+        self.resumed.set()
 
     async def append(self, stream, payload):
-        await self.awake.wait()
+        await self.resumed.wait()
         try:
             return await self.log.append(stream, payload)
         finally:
-            await self.awake.wait()
+            await self.resumed.wait()
 
     async def read(self, stream, from_offset, limit, wait_s=0.0):
-        await self.awake.wait()
+        await self.resumed.wait()
         try:
             return await self.log.read(stream, from_offset, limit, wait_s)
         finally:
-            await self.awake.wait()
+            await self.resumed.wait()
 
 
 class World:
@@ -60,7 +60,7 @@
         writer = LogWriter(log, name, incarnation, settings, rng)
         owner = ClaimOwner(
             name, incarnation, log, writer, self.settings, rng,
-            self.wall_s, self.ask, self.is_gone,
+            self.wall_s, self.query_owner, self.is_gone,
         )  # fmt: skip
         self.owners[name], self.logs[name] = owner, log
         self.tasks[name] = [asyncio.create_task(writer.run())]
@@ -70,15 +70,15 @@
         owner = self.owners.pop(name)
         for task in [*self.tasks.pop(name), *owner._tasks]:
             task.cancel()
-        self.logs.pop(name).awake.clear()
+        self.logs.pop(name).resumed.clear()
 
     def wall_s(self):
         return UNIX_S + self.suspended_s + asyncio.get_running_loop().time()
 
-    async def ask(self, name, query):
+    async def query_owner(self, name, query):
         await asyncio.sleep(0.001)
         owner = self.owners.get(name)
-        if owner is None or not self.logs[name].awake.is_set():
+        if owner is None or not self.logs[name].resumed.is_set():
             return None
         return owner.on_query(query)
 
--- a/tests/test_state_billing.py
+++ b/tests/test_state_billing.py
@@ -11,7 +11,7 @@
 from acaciacove.state.billing_ledger import BillingLedger
 from acaciacove.state.billing_outbox import BillingOutbox
 from acaciacove.state.billing_record import BILLING_STREAM, BillingRecord
-from acaciacove.state.billing_row import holders_of, pack_row, unpack_row
+from acaciacove.state.billing_row import pack_row, unpack_holders, unpack_row
 from acaciacove.state.billing_settings import BillingSettings
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.log_writer_settings import LogWriterSettings
@@ -29,13 +29,13 @@
         self.name = name
         self.writer = LogWriter(log, name, 1, LogWriterSettings(), Random(name))
         self.outbox = BillingOutbox(name, self.writer, BillingSettings(**settings_))
-        self.gone = lambda entry: False
+        self.is_gone = lambda entry: False
         self.tasks = [asyncio.create_task(self.writer.run())]
         self.tasks.append(asyncio.create_task(self._tick()))
 
     async def _tick(self):
         while True:
-            self.outbox.tick(asyncio.get_running_loop().time(), self.gone)
+            self.outbox.tick(asyncio.get_running_loop().time(), self.is_gone)
             await asyncio.sleep(0.5)
 
     def kill(self):
@@ -58,7 +58,7 @@
     st.sampled_from([0.0, 0.3]),
 )
 @settings(derandomize=True, deadline=None, max_examples=40, phases=[Phase.generate])
-def test_every_request_is_billed_once_though_one_holder_is_lost(
+def test_every_request_is_billed_once_when_one_holder_is_killed(
     seed, killed, outage, lost, late
 ):
     # An entry or a sidecar is killed at any moment, the log is down for a minute
@@ -71,7 +71,7 @@
         entry, sidecars = Process("e1", log), [Process(f"s{n}", log) for n in (1, 2)]
         alive = {"e1", "s1", "s2"}
         for process in sidecars:
-            process.gone = lambda name: name not in alive
+            process.is_gone = lambda name: name not in alive
         for n in range(80):
             now_s = asyncio.get_running_loop().time()
             log.down = outage and 10 <= now_s < 70
@@ -80,7 +80,7 @@
                 victim.kill()
                 alive.discard(victim.name)
             if "e1" in alive:
-                _serve(f"r{n}", entry, sidecars, alive, random, now_s, answered)
+                _serve_request(f"r{n}", entry, sidecars, alive, random, now_s, answered)
             await asyncio.sleep(1.0)
         log.lost_reply_share = log.late_share = 0.0
         await asyncio.sleep(300)
@@ -93,13 +93,13 @@
     assert all(ledger.record_of(request_id).answered for request_id in answered)
 
 
-def _serve(request_id, entry, sidecars, alive, random, now_s, answered):
+def _serve_request(request_id, entry, sidecars, alive, random, now_s, answered):
     """Let one or, as a cascade or hedge does, two sidecars work for a request."""
-    asked = [s for s in sidecars if s.name in alive][: random.choice([1, 2])]
-    for sidecar in asked:
+    working = [s for s in sidecars if s.name in alive][: random.choice([1, 2])]
+    for sidecar in working:
         sidecar.outbox.hold(record(request_id), "e1", now_s)
-        sidecar.outbox.confirm(entry.outbox.confirmations(sidecar.name))
-    entry.outbox.bill(record(request_id, 2.0), [s.name for s in asked], now_s)
+        sidecar.outbox.confirm(entry.outbox.take_confirmations(sidecar.name))
+    entry.outbox.bill(record(request_id, 2.0), [s.name for s in working], now_s)
     answered.append(request_id)
 
 
@@ -114,17 +114,17 @@
             sidecar.outbox.hold(record(request_id), "e1", 0.0)
             entry.outbox.bill(record(request_id, 2.0, answered), ["s1"], 0.0)
         await asyncio.sleep(5)
-        sidecar.outbox.confirm(entry.outbox.confirmations("s1")[:1])
+        sidecar.outbox.confirm(entry.outbox.take_confirmations("s1")[:1])
         assert sidecar.outbox.held == 1
         await asyncio.sleep(300)
 
     run_virtual(main)
     ledger = ledger_of(log)
     assert ledger.requests == {"kiosk": 1} and ledger.cost == {"kiosk": 2.0}
-    assert ledger.copies == 1
+    assert ledger.duplicates == 1
 
 
-def test_a_long_outage_stops_new_requests_before_memory_runs_out():
+def test_a_long_log_outage_stops_new_requests_at_max_held():
     log = FaultyLog(Random(1))
 
     async def main():
@@ -143,7 +143,7 @@
     assert ledger_of(log).requests == {"kiosk": 50}
 
 
-def test_a_process_that_ends_bills_what_it_holds():
+def test_a_process_that_shuts_down_appends_its_copies():
     log = FaultyLog(Random(1))
 
     async def main():
@@ -156,7 +156,7 @@
     assert ledger_of(log).requests == {"kiosk": 1}
 
 
-def test_a_process_that_ends_bills_more_than_its_writer_takes_at_once():
+def test_a_process_that_shuts_down_appends_more_than_max_submitted():
     # After an outage a process is told to end. Its writer has a part of the bills;
     # taken for all of them, the others would be lost with the process.
     log = FaultyLog(Random(1))
@@ -173,15 +173,15 @@
         entry.outbox.append_all(now_s)
         assert await entry.writer.flush(now_s + 60.0)
         assert entry.outbox.held == 0
-        told = [entry.outbox.confirmations("s1") for _ in range(12)]
-        assert sum(told, ()) == tuple(f"r{n}" for n in range(3000))
+        confirmed = [entry.outbox.take_confirmations("s1") for _ in range(12)]
+        assert sum(confirmed, ()) == tuple(f"r{n}" for n in range(3000))
 
     run_virtual(main)
     ledger = ledger_of(log)
-    assert ledger.requests == {"kiosk": 3000} and ledger.copies == 0
+    assert ledger.requests == {"kiosk": 3000} and ledger.duplicates == 0
 
 
-def test_a_second_record_for_an_id_changes_nothing_and_its_holders_are_told():
+def test_a_second_record_for_an_id_only_adds_holders_to_confirm():
     # A caller repeats a call while its first bill waits. The amount of the repeat
     # must not replace the first, and no sidecar may keep its copy for ever.
     log = FaultyLog(Random(1))
@@ -196,14 +196,14 @@
         await asyncio.sleep(30)
         assert entry.outbox.held == 0
         for sidecar in ("s1", "s2"):
-            assert entry.outbox.confirmations(sidecar) == ("r0", "r1")
+            assert entry.outbox.take_confirmations(sidecar) == ("r0", "r1")
 
     run_virtual(main)
     ledger = ledger_of(log)
-    assert ledger.cost == {"kiosk": 2.0} and ledger.copies == 0
+    assert ledger.cost == {"kiosk": 2.0} and ledger.duplicates == 0
 
 
-def test_a_copy_held_anew_waits_for_its_entry_again():
+def test_a_copy_that_is_held_again_waits_for_its_entry_again():
     # A copy was due while the log was down, was confirmed, and the caller repeated
     # the call. Appended from its old place, the copy would count before its entry.
     log = FaultyLog(Random(1))
@@ -240,7 +240,7 @@
     st.none() | st.lists(NAMES, max_size=3).map(tuple),
 )  # fmt: skip
 @settings(derandomize=True, deadline=None)
-def test_a_packed_record_is_the_same_when_it_is_unpacked(bill, holders):
+def test_packed_records_unpack_unchanged(bill, holders):
     row = pack_row(bill, holders)
     assert unpack_row(bill.request_id, bill.writer, row) == bill
-    assert holders_of(row) == holders
+    assert unpack_holders(row) == holders
--- a/tests/test_state_claims.py
+++ b/tests/test_state_claims.py
@@ -18,11 +18,11 @@
 OLD_UUID7 = "01890a5d-ac96-774b-bcce-b302099a8057"
 
 
-def test_a_booking_without_faults_costs_one_trip_to_the_log():
+def test_a_booking_without_faults_needs_one_log_round_trip():
     async def main():
         world = World(latency_s=0.010)
         owner = world.start("s1")
-        await asyncio.wait_for(_until_read(owner), 10)
+        await asyncio.wait_for(_read_partitions(owner), 10)
         loop = asyncio.get_running_loop()
         for n in range(20):
             before_s = loop.time()
@@ -33,7 +33,7 @@
     run_virtual(main)
 
 
-async def _until_read(owner):
+async def _read_partitions(owner):
     task = asyncio.create_task(owner.run(lambda: range(2)))
     await asyncio.sleep(1.0)
     task.cancel()
@@ -54,7 +54,7 @@
     run_virtual(main)
 
 
-def test_an_owner_killed_at_any_moment_never_leads_to_a_second_run():
+def test_a_call_is_not_repeated_when_its_owner_is_killed_at_any_moment():
     # The sidecar dies before, during or after its call, and the caller retries
     # elsewhere. A rerun would redeem the voucher twice.
     async def main(kill_after_s):
@@ -78,7 +78,7 @@
     assert seen == {"Refusal", "ServiceAnswer"}
 
 
-def test_an_owner_paused_past_any_lease_does_not_run_what_another_was_told():
+def test_a_paused_owner_does_not_run_a_call_that_another_owner_reported_on():
     # The owner's machine freezes after its claim has landed and before it has read
     # it. Under a lease another owner would take over, and both would run.
     async def main():
@@ -87,11 +87,11 @@
         world.start("s2")
         first = asyncio.create_task(world.book("s1", "shuttle", "first"))
         await asyncio.sleep(0.004)
-        world.logs["s1"].awake.clear()
+        world.logs["s1"].resumed.clear()
         second = await world.book("s2", "shuttle", "second", timeout_s=3.0)
         assert isinstance(second, Refusal) and not second.not_run
         await asyncio.sleep(7200)
-        world.logs["s1"].awake.set()
+        world.logs["s1"].resumed.set()
         paused = await first
         assert isinstance(paused, Refusal) and paused.not_run
         assert world.calls["shuttle"] == 0
@@ -141,7 +141,7 @@
     run_virtual(main)
 
 
-def test_a_claim_in_doubt_is_not_run_and_its_not_run_stays_true():
+def test_an_unconfirmed_claim_is_never_run():
     # The claim lands, and the reply to it is lost while the log goes down. The
     # caller is told that nothing was booked; a minute later the log is back.
     async def main():
@@ -189,7 +189,7 @@
     run_virtual(main)
 
 
-def test_a_retry_gets_the_same_answer_after_its_owner_has_gone():
+def test_a_retry_gets_the_same_answer_after_its_owner_was_killed():
     # The caller's connection broke after the booking was made, and the endpoint
     # was replaced before the caller tried again.
     async def main():
@@ -205,7 +205,7 @@
     run_virtual(main)
 
 
-def test_a_large_answer_is_fetched_from_its_owner_and_never_made_again():
+def test_a_large_answer_is_fetched_from_its_owner_and_the_call_not_repeated():
     async def main():
         world = World()
         world.answer_body = b"x" * 10_000
@@ -222,7 +222,7 @@
     run_virtual(main)
 
 
-def test_a_call_that_broke_off_is_reported_as_unknown_and_not_repeated():
+def test_a_call_with_a_lost_connection_is_outcome_unknown_and_not_repeated():
     # The endpoint's connection broke after the request had left. Nobody knows
     # whether the driver was booked, so nobody may try again on his own.
     async def main():
@@ -244,7 +244,7 @@
     run_virtual(main)
 
 
-def test_a_call_that_never_left_frees_its_key():
+def test_a_call_that_was_not_sent_releases_its_key():
     async def main():
         world = World()
         owner = world.start("s1")
@@ -273,14 +273,14 @@
         old = await world.book("s1", "dated", issued_s=issued_s)
         assert old.reason is Reason.KEY_EXPIRED
         await asyncio.sleep(3700)
-        owner._claims.forget(world.wall_s())
+        owner._claims.remove_expired(world.wall_s())
         assert (await world.book("s2", "k")).reason is Reason.KEY_EXPIRED
         assert world.calls == {"k": 1}
 
     run_virtual(main)
 
 
-def test_a_dated_key_from_before_the_kept_records_is_refused():
+def test_a_dated_key_older_than_the_retained_records_is_refused():
     # The log keeps records for a shorter time than was promised, and a fresh
     # sidecar cannot know whether the key was used before them.
     async def main():
@@ -300,7 +300,7 @@
     run_virtual(main)
 
 
-def test_keys_of_other_teams_and_requests_differ():
+def test_claim_keys_differ_by_organisation_and_fingerprints_by_request():
     assert claim_key("a", "bc", "k") != claim_key("ab", "c", "k")
     assert request_fingerprint("POST", "/x", b"1") != request_fingerprint(
         "POST", "/x", b"2"
@@ -308,7 +308,7 @@
     assert key_issued_s("order-17") is None
 
 
-def test_only_the_partitions_of_a_lost_owner_change_hands():
+def test_only_the_partitions_of_a_removed_owner_are_reassigned():
     names = [f"s{n}" for n in range(7)]
     for partition in range(64):
         owner = usual_owner(partition, names)
@@ -327,43 +327,45 @@
 
 @given(st.integers(0, 2**32), faults)
 @settings(derandomize=True, deadline=None, max_examples=40, phases=[Phase.generate])
-def test_nothing_runs_twice_or_after_not_run_under_faults_in_pairs(seed, faults):
+def test_no_call_runs_twice_or_after_not_run_under_pairs_of_faults(seed, faults):
     # Bookings with retries through random sidecars while the log and sidecars
     # fail. A second run is a lost Saturday for a driver; a false "not run" makes
     # the caller book again.
     random = Random(seed)
 
-    async def booking(world, key, told):
+    async def booking(world, key, calls_by_attempt):
         for number in range(random.randint(1, 4)):
             attempt = f"{key}/{number}/{random.random()}"
             name = random.choice(sorted(world.owners))
             timeout_s = random.uniform(0.3, 4.0)
-            asking = world.book(name, key, attempt, timeout_s)
-            told[attempt] = asyncio.create_task(asking)
+            call = world.book(name, key, attempt, timeout_s)
+            calls_by_attempt[attempt] = asyncio.create_task(call)
             # A killed or paused sidecar leaves its caller without a word.
-            await asyncio.wait({told[attempt]}, timeout=timeout_s + 1.0)
+            await asyncio.wait({calls_by_attempt[attempt]}, timeout=timeout_s + 1.0)
             await asyncio.sleep(random.uniform(0.0, 2.0))
 
     async def main():
         world = World(seed)
         for name in ("s1", "s2", "s3"):
             world.start(name)
-        told, tasks = {}, []
+        calls_by_attempt, tasks = {}, []
         for n in range(30):
             for _ in range(random.choice([1, 1, 2])):
-                tasks.append(asyncio.create_task(booking(world, f"k{n}", told)))
+                tasks.append(
+                    asyncio.create_task(booking(world, f"k{n}", calls_by_attempt))
+                )
             await asyncio.sleep(random.uniform(0.0, 0.5))
-            _fail(world, faults, random)
+            _toggle_faults(world, faults, random)
         for task in asyncio.as_completed(tasks, timeout=600):
             await task
         for log in world.logs.values():
-            log.awake.set()
+            log.resumed.set()
         world.log.down = False
         await asyncio.sleep(300)
         assert max(world.calls.values(), default=0) <= 1
         answers = {}
-        for attempt, asking in told.items():
-            result = asking.result() if asking.done() else None
+        for attempt, call in calls_by_attempt.items():
+            result = call.result() if call.done() else None
             if isinstance(result, ServiceAnswer):
                 answers.setdefault(attempt.partition("/")[0], set()).add(result.body)
             elif result is not None and result.not_run:
@@ -374,7 +376,7 @@
     run_virtual(main)
 
 
-def _fail(world, faults, random):
+def _toggle_faults(world, faults, random):
     """Switch faults on and off at random."""
     for fault in faults:
         on = random.random() < 0.3
@@ -393,4 +395,4 @@
                 world.start(name)
             case "pause":
                 log = world.logs[random.choice(sorted(world.owners))]
-                log.awake.clear() if on else log.awake.set()
+                log.resumed.clear() if on else log.resumed.set()
--- a/tests/test_state_settled_claims.py
+++ b/tests/test_state_settled_claims.py
@@ -15,7 +15,7 @@
 from acaciacove.state.held_claim import HeldClaim
 from acaciacove.state.outcome import Outcome
 from acaciacove.state.release import Release
-from acaciacove.state.settled_claims import FIRST_SEGMENT, SettledClaims
+from acaciacove.state.settled_claims import MIN_SEGMENT_ROWS, SettledClaims
 
 DAY_S = 86_400.0
 
@@ -37,9 +37,9 @@
     return HeldClaim(claim, outcome, number)
 
 
-def test_a_settled_claim_is_found_as_it_was_whatever_came_after():
+def test_settled_claims_are_found_unchanged_in_all_segments():
     claims = SettledClaims()
-    count = 5 * FIRST_SEGMENT + 7
+    count = 5 * MIN_SEGMENT_ROWS + 7
     assert all(claims.add(settled(n, known=n % 5 > 0)) for n in range(count))
     assert len(claims) == count
     for number in Random(1).sample(range(count), 500):
@@ -50,7 +50,7 @@
     assert claims.find(claim_of(count).key) is None
 
 
-def test_a_claim_is_kept_whole_while_it_is_needed_whole():
+def test_claims_that_no_row_can_represent_are_not_added():
     # A large answer is with its owner alone; a retry elsewhere has to ask the owner.
     # An open claim has no outcome, and an id of another form could not be rebuilt.
     claims = SettledClaims()
@@ -58,25 +58,25 @@
     assert not claims.add(HeldClaim(held.claim))
     large = evolve(held.outcome, answer_kept=False)
     assert not claims.add(HeldClaim(held.claim, large, 1))
-    odd = evolve(held.claim, claim_id="odd")
-    assert not claims.add(HeldClaim(odd, held.outcome, 1))
+    other_format = evolve(held.claim, claim_id="odd")
+    assert not claims.add(HeldClaim(other_format, held.outcome, 1))
     assert claims.add(held)
     assert not claims.add(held)
 
 
-def test_settled_claims_are_forgotten_after_their_time():
+def test_settled_claims_are_removed_when_they_expire():
     claims = SettledClaims()
-    for number in range(2 * FIRST_SEGMENT):
+    for number in range(2 * MIN_SEGMENT_ROWS):
         claims.add(settled(number, at_s=1000.0 + number))
-    claims.forget(1000.0 + FIRST_SEGMENT)
+    claims.remove_expired(1000.0 + MIN_SEGMENT_ROWS)
     assert claims.find(claim_of(0).key) is None
-    assert claims.find(claim_of(FIRST_SEGMENT - 1).key) is None
-    assert claims.find(claim_of(FIRST_SEGMENT).key) is not None
-    claims.forget(1e6)
+    assert claims.find(claim_of(MIN_SEGMENT_ROWS - 1).key) is None
+    assert claims.find(claim_of(MIN_SEGMENT_ROWS).key) is not None
+    claims.remove_expired(1e6)
     assert len(claims) == 0
 
 
-class PlainTable:
+class ReferenceTable:
     """The rule in a few lines: of a key's claims the first in the log holds it."""
 
     def __init__(self):
@@ -118,17 +118,17 @@
 
 @given(st.lists(records, max_size=40))
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_the_table_gives_each_key_to_the_same_claim_as_the_plain_rule(drawn):
+def test_the_table_agrees_with_a_reference_model(drawn):
     # Were a settled key taken for a free one, its booking would run a second time.
-    plain, table = PlainTable(), ClaimTable(DAY_S)
-    for offset, parts in enumerate(drawn):
-        record = record_of(*parts)
-        plain.fold(record)
+    reference, table = ReferenceTable(), ClaimTable(DAY_S)
+    for offset, record_args in enumerate(drawn):
+        record = record_of(*record_args)
+        reference.fold(record)
         payload = encode_batch("w", 1, offset, [encode_claim_record(record)])
         table.offer([LogEntry(offset, payload)])
     for number in range(4):
         key = claim_of(number).key
-        held, expected = table.holder(key), plain.held.get(key)
+        held, expected = table.holder(key), reference.held.get(key)
         assert (held is None) == (expected is None)
         if held is not None:
             assert held.claim == expected[0]
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -27,20 +27,20 @@
 
 @given(messages)
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_a_message_reads_back_as_it_was(message):
+def test_messages_decode_unchanged(message):
     assert decode(encode(message)) == message
 
 
 @given(st.binary(max_size=64))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_junk_is_refused_with_a_type(data):
+def test_random_bytes_decode_or_raise_malformed_message_error(data):
     try:
         decode(data)
     except MalformedMessageError:
         return
 
 
-def test_a_truncated_message_is_refused():
+def test_a_truncated_message_raises_malformed_message_error():
     data = encode(Run("r", 1, 0, "org", "guide", "m@1", body=b"x" * 100))
     with pytest.raises(MalformedMessageError):
         decode(data[: len(data) // 2])
