--- a/acaciacove/messages/__init__.py
+++ b/acaciacove/messages/__init__.py
@@ -1,1 +1,1 @@
-"""The typed messages that processes and tasks exchange, one a file."""
+"""Types of the messages between processes and tasks, one per module."""
--- a/acaciacove/messages/billed.py
+++ b/acaciacove/messages/billed.py
@@ -1,4 +1,4 @@
-"""Requests whose billing record is known to be in the log."""
+"""Message of an entry that confirms billing records to a sidecar."""
 
 from attrs import frozen
 
--- a/acaciacove/messages/cancel.py
+++ b/acaciacove/messages/cancel.py
@@ -1,11 +1,11 @@
-"""The caller has left, or another attempt won: stop this one."""
+"""Message of an entry that cancels an attempt."""
 
 from attrs import frozen
 
 
 @frozen
 class Cancel:
-    """The caller has left, or another attempt won: stop this one."""
+    """Cancels an attempt: the caller disconnected, or another attempt won."""
 
     request_id: str
     attempt: int
--- a/acaciacove/messages/chunk.py
+++ b/acaciacove/messages/chunk.py
@@ -1,14 +1,15 @@
-"""A piece of an answer; sequences start at 0 and have no gaps."""
+"""Message with one chunk of an answer."""
 
 from attrs import frozen
 
 
 @frozen
 class Chunk:
-    """A piece of an answer; sequences start at 0 and have no gaps.
+    """One chunk of an answer; ``sequence`` starts at 0 and has no gaps.
 
-    ``data`` goes to the caller as it is: body bytes, or whole server-sent events.
-    ``tokens`` counts the generated tokens in it, from which a stream is resumed.
+    ``data`` is forwarded to the caller unchanged: body bytes, or complete
+    server-sent events. ``tokens`` counts the generated tokens in ``data``; an
+    interrupted stream is resumed after them.
     """
 
     request_id: str
--- a/acaciacove/messages/claim_answer.py
+++ b/acaciacove/messages/claim_answer.py
@@ -1,4 +1,4 @@
-"""What the owner of a claim knows: see ``state.claims`` for ``status``."""
+"""Answer of the owner of a claim to a ``ClaimQuery``."""
 
 from attrs import frozen
 
@@ -7,10 +7,10 @@
 
 @frozen
 class ClaimAnswer:
-    """What the owner of a claim knows: see ``state.claim_status`` for ``status``.
+    """State of a claim at its owner; ``status`` is a ``ClaimStatus``.
 
-    ``incarnation`` is that of the process that answers; a claim of an earlier one
-    has lost its owner.
+    ``incarnation`` is that of the process that answers. The owner of a claim of an
+    earlier incarnation no longer runs.
     """
 
     query_id: str
--- a/acaciacove/messages/claim_query.py
+++ b/acaciacove/messages/claim_query.py
@@ -1,11 +1,11 @@
-"""Asks the owner of a claim for the answer it keeps."""
+"""Query to the owner of a claim."""
 
 from attrs import frozen
 
 
 @frozen
 class ClaimQuery:
-    """Asks the owner of a claim for the answer it keeps."""
+    """Requests the state of a claim, and the answer if the owner retains it."""
 
     query_id: str
     key: str
--- a/acaciacove/messages/crash_seen.py
+++ b/acaciacove/messages/crash_seen.py
@@ -1,11 +1,15 @@
-"""A crash of an endpoint, as one gateway saw it."""
+"""Crash of an endpoint as one gateway detected it."""
 
 from attrs import frozen
 
 
 @frozen
 class CrashSeen:
-    """``endpoint`` stands for one life of it, ``suspects`` were lost with it."""
+    """Crash of an endpoint.
+
+    ``endpoint`` identifies one incarnation of it. ``suspects`` are the fingerprints
+    of the requests that were lost in the crash.
+    """
 
     endpoint: int
     suspects: tuple[int, ...]
--- a/acaciacove/messages/digest.py
+++ b/acaciacove/messages/digest.py
@@ -1,14 +1,15 @@
-"""What a process knows, told to a few random peers now and then."""
+"""Message with a summary of a process's state, sent periodically to peers."""
 
 from attrs import frozen
 
 
 @frozen
 class Digest:
-    """What a process knows, told to a few random peers now and then.
+    """Summary of a process's state, sent periodically to a few random peers.
 
-    ``status`` is the sender's InstanceStatus; ``peers`` may name instances it has
-    just lost or seen leaving, as ``name/incarnation/status``.
+    ``status`` is the sender's ``InstanceStatus``. ``peers`` may list instances to
+    which it has just lost the connection or that are shutting down, as
+    ``name/incarnation/status``.
     """
 
     instance: str
--- a/acaciacove/messages/end.py
+++ b/acaciacove/messages/end.py
@@ -1,4 +1,4 @@
-"""The whole answer was sent: ``chunks`` pieces of it."""
+"""Message that ends a complete answer."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class End:
-    """The whole answer was sent: ``chunks`` pieces of it."""
+    """The answer was sent completely, in ``chunks`` chunks."""
 
     request_id: str
     attempt: int
--- a/acaciacove/messages/evidence.py
+++ b/acaciacove/messages/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on versions, between sidecars and the entries that judge versions."""
+"""Message with evidence on versions, between sidecars and judging entries."""
 
 from attrs import frozen
 
@@ -7,10 +7,11 @@
 
 @frozen
 class Evidence:
-    """Counters that only grow, so that a lost or doubled message does no harm.
+    """Monotonic counters, so that lost and duplicate messages are harmless.
 
-    ``window`` is the sender's: windows are counted in ratings, which only the
-    judging entries read, so their answer, without cells, tells the sidecar.
+    ``window`` is the sender's current window. Windows are counted in ratings, which
+    only the judging entries read. A sidecar therefore takes the window from their
+    reply, which has no cells.
     """
 
     cells: tuple[EvidenceCell, ...] = ()
--- a/acaciacove/messages/evidence_cell.py
+++ b/acaciacove/messages/evidence_cell.py
@@ -1,11 +1,11 @@
-"""One counter of evidence on a version, as one origin has counted it."""
+"""One counter of evidence on a version, of one origin."""
 
 from attrs import frozen
 
 
 @frozen
 class EvidenceCell:
-    """The wire form of ``decisions.shared_cell.SharedCell``."""
+    """Wire format of ``decisions.shared_cell.SharedCell``."""
 
     origin: str
     name: tuple[str, ...]
--- a/acaciacove/messages/gateway_report.py
+++ b/acaciacove/messages/gateway_report.py
@@ -1,4 +1,4 @@
-"""What one gateway tells another."""
+"""State report from one gateway to another."""
 
 from attrs import frozen
 
@@ -8,14 +8,14 @@
 
 @frozen
 class GatewayReport:
-    """Age of beliefs, and evidence on roll-outs that are under way.
+    """Age of the sender's routing view, and evidence on the current roll-outs.
 
-    ``confirmed_age_s`` is how long ago the sender last asked the log and learnt
-    that ``revision`` is the newest decision; infinite when never. ``echo`` is
-    the ``nonce`` of the receiver's last report: it proves that this one was made
-    after that one was sent, however long it has waited in a queue.
-    ``address`` is IP:PORT. ``outcomes_offset`` is where the log of roll-outs' outcomes
-    ended when the sender read it.
+    ``confirmed_age_s`` is the time since the log last confirmed to the sender that
+    ``revision`` is the newest decision; infinite if it never has. ``echo`` is the
+    ``nonce`` of the receiver's last report. It proves that this report was created
+    after that one was sent, however long it has waited in a queue. ``address`` is
+    IP:PORT. ``outcomes_offset`` is the end of the log of roll-out outcomes when the
+    sender read it.
     """
 
     instance: str
--- a/acaciacove/messages/head.py
+++ b/acaciacove/messages/head.py
@@ -1,4 +1,4 @@
-"""Status and headers of an answer, before its chunks."""
+"""Message with the status and headers of an answer."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Head:
-    """Status and headers of an answer, before its chunks."""
+    """Status and headers of an answer; sent before its chunks."""
 
     request_id: str
     attempt: int
--- a/acaciacove/messages/hello.py
+++ b/acaciacove/messages/hello.py
@@ -1,11 +1,11 @@
-"""The first message each way on a connection between processes."""
+"""Handshake message of a connection between processes."""
 
 from attrs import frozen
 
 
 @frozen
 class Hello:
-    """The first message each way on a connection between processes."""
+    """First message in each direction on a connection between processes."""
 
     instance: str
     incarnation: int
--- a/acaciacove/messages/limit_news.py
+++ b/acaciacove/messages/limit_news.py
@@ -1,4 +1,4 @@
-"""Word of limits that endpoints state."""
+"""Gossip message on rate limits that endpoints state."""
 
 from attrs import frozen
 
@@ -7,6 +7,9 @@
 
 @frozen
 class LimitNews:
-    """Told to a few gateways, which pass on what changes theirs."""
+    """Limits, sent to a subset of the gateways.
+
+    A receiver forwards those that change its own state.
+    """
 
     limits: tuple[LimitSeen, ...]
--- a/acaciacove/messages/limit_seen.py
+++ b/acaciacove/messages/limit_seen.py
@@ -1,13 +1,14 @@
-"""What an endpoint was last seen to say of its limit."""
+"""Rate limit that an endpoint last stated."""
 
 from attrs import frozen
 
 
 @frozen
 class LimitSeen:
-    """``endpoint`` stands for one life of it; ``per_s`` is None for a lifted limit.
+    """Limit of an endpoint; ``per_s`` is None if the endpoint has lifted it.
 
-    ``age_s`` is how long ago a gateway got the answer.
+    ``endpoint`` identifies one incarnation of the endpoint. ``age_s`` is the time
+    since a gateway received the answer that stated the limit.
     """
 
     endpoint: int
--- a/acaciacove/messages/load.py
+++ b/acaciacove/messages/load.py
@@ -1,14 +1,15 @@
-"""What an endpoint bears just now, carried on every answer of its sidecar."""
+"""Current load of an endpoint."""
 
 from attrs import frozen
 
 
 @frozen
 class Load:
-    """What an endpoint bears just now, carried on every answer of its sidecar.
+    """Current load of an endpoint, included in every answer of its sidecar.
 
-    ``limit`` is how many requests the sidecar admits at once; ``queue_delay_s`` is
-    what the last admitted request waited, ``service_s`` a smoothed time to answer one.
+    ``limit`` is the number of concurrent requests that the sidecar admits.
+    ``queue_delay_s`` is the queue time of the last admitted request, ``service_s``
+    the smoothed time to answer one request.
     """
 
     in_flight: int = 0
--- a/acaciacove/messages/log_ask.py
+++ b/acaciacove/messages/log_ask.py
@@ -1,13 +1,13 @@
-"""A gateway's question to another for records of the platform's log."""
+"""Request of a gateway to another for records of the platform's log."""
 
 from attrs import frozen
 
 
 @frozen
 class LogAsk:
-    """Asks for the records of ``stream`` from ``offset`` on.
+    """Requests the records of ``stream`` from ``offset`` on.
 
-    The answer may be held for up to ``wait_s`` while there is none.
+    While there are none, the response may be delayed by up to ``wait_s``.
     """
 
     stream: str
--- a/acaciacove/messages/log_told.py
+++ b/acaciacove/messages/log_told.py
@@ -1,4 +1,4 @@
-"""A gateway's answer to another that asked for records of the platform's log."""
+"""Response of a gateway with records of the platform's log."""
 
 from attrs import frozen
 
@@ -7,12 +7,13 @@
 
 @frozen
 class LogTold:
-    """Records from the asked offset on, and how fresh that knowledge is.
+    """Records from the requested offset on, and the age of the sender's state.
 
-    ``known`` is false when the teller cannot answer: it lacks the offset, or its
-    knowledge is too old. ``held_s`` is how long it held the question, and ``age_s``
-    how long before this answer it knew that nothing else had been written. The log
-    has been there for ``present_s``; None where the teller knows of no absence.
+    ``known`` is false if the sender cannot answer: it does not have the offset, or
+    its state is too old. ``held_s`` is the time for which it delayed the response.
+    ``age_s`` is the time between its last confirmation that nothing else had been
+    written and the response. ``present_s`` is the time since the log became
+    available again; None if the sender knows of no outage.
     """
 
     known: bool
--- a/acaciacove/messages/message.py
+++ b/acaciacove/messages/message.py
@@ -1,4 +1,4 @@
-"""The union of all messages that travel between processes."""
+"""Union of all messages between processes."""
 
 from acaciacove.messages.billed import Billed
 from acaciacove.messages.cancel import Cancel
--- a/acaciacove/messages/pull.py
+++ b/acaciacove/messages/pull.py
@@ -1,11 +1,11 @@
-"""A request for records of the release stream from an offset on."""
+"""Message that requests records of the release stream."""
 
 from attrs import frozen
 
 
 @frozen
 class Pull:
-    """A request for records of the release stream from an offset on."""
+    """Requests up to ``limit`` records of the release stream from an offset on."""
 
     from_offset: int
     limit: int = 256
--- a/acaciacove/messages/records.py
+++ b/acaciacove/messages/records.py
@@ -1,4 +1,4 @@
-"""Records that a peer lacked, after a snapshot if they had expired."""
+"""Message with records of the release stream, in reply to a ``Pull``."""
 
 from attrs import frozen
 
@@ -7,9 +7,10 @@
 
 @frozen
 class Records:
-    """Records that a peer lacked, after a snapshot if they had expired.
+    """Records that a peer requested.
 
-    ``snapshot`` is empty when the records alone suffice.
+    If the oldest of them have expired, ``snapshot`` replaces them and ``records``
+    follow it; otherwise ``snapshot`` is empty.
     """
 
     revision: int
--- a/acaciacove/messages/refused.py
+++ b/acaciacove/messages/refused.py
@@ -1,4 +1,4 @@
-"""The sidecar's refusal of an attempt, or its failure."""
+"""Message of a sidecar that an attempt was refused or failed."""
 
 from attrs import frozen
 
@@ -7,9 +7,10 @@
 
 @frozen
 class Refused:
-    """The sidecar's refusal of an attempt, or its failure.
+    """An attempt was refused by the sidecar, or failed.
 
-    ``not_run`` is true only if the endpoint has not seen the request and will not.
+    ``not_run`` is true only if the endpoint has not received the request and will
+    not receive it.
     """
 
     request_id: str
--- a/acaciacove/messages/request_news.py
+++ b/acaciacove/messages/request_news.py
@@ -1,4 +1,4 @@
-"""Word of crashes, and of requests that may have caused them."""
+"""Gossip message on crashes and on requests that may have caused them."""
 
 from attrs import frozen
 
@@ -8,7 +8,10 @@
 
 @frozen
 class RequestNews:
-    """Told to a few gateways, which pass on what they did not know."""
+    """Crashes and verdicts, sent to a subset of the gateways.
+
+    A receiver forwards those that are new to it.
+    """
 
     crashes: tuple[CrashSeen, ...] = ()
     verdicts: tuple[RequestVerdict, ...] = ()
--- a/acaciacove/messages/request_verdict.py
+++ b/acaciacove/messages/request_verdict.py
@@ -1,8 +1,8 @@
-"""What gateways hold of one request under which endpoints crashed."""
+"""Verdict of the gateways on a request that may crash endpoints."""
 
 from attrs import frozen
 
-# Values of ``kind``; numbers, as they travel.
+# Values of ``kind`` on the wire.
 TRIED = 1
 QUARANTINED = 2
 CLEARED = 3
@@ -10,10 +10,12 @@
 
 @frozen
 class RequestVerdict:
-    """``trials`` counts the tries since it was suspected, ``endpoint`` is the last's.
+    """Verdict on the request with this fingerprint.
 
-    Of two gateways that claim the same try the one with the lower ``claim`` has it.
-    ``left_s`` is for how long a quarantine, or the word that it is over, goes on.
+    ``trials`` counts the attempts since the request became suspect, and
+    ``endpoint`` is that of the last one. If two gateways claim the same attempt,
+    the one with the lower ``claim`` may make it. ``left_s`` is the remaining time
+    of a quarantine, or for which a ``CLEARED`` verdict remains valid.
     """
 
     fingerprint: int
--- a/acaciacove/messages/rollout_view.py
+++ b/acaciacove/messages/rollout_view.py
@@ -1,11 +1,15 @@
-"""How one gateway sees a roll-out that is under way."""
+"""State of a current roll-out at one gateway."""
 
 from attrs import frozen
 
 
 @frozen
 class RolloutView:
-    """``age_s`` since the order was first seen; requests on old versions."""
+    """State of a roll-out at one gateway.
+
+    ``age_s`` is the time since the gateway first read the order, ``old_in_flight``
+    the number of its requests in flight at old versions.
+    """
 
     service: str
     revision: int
--- a/acaciacove/messages/run.py
+++ b/acaciacove/messages/run.py
@@ -1,4 +1,4 @@
-"""One attempt at a request, from an entry to a sidecar."""
+"""Message of an entry that starts an attempt at a sidecar."""
 
 from attrs import frozen
 
@@ -9,9 +9,10 @@
 class Run:
     """One attempt at a request, from an entry to a sidecar.
 
-    ``deadline_s`` is the time left when it was sent, since clocks differ. ``revision``
-    is the entry's. ``received_tokens`` and ``received_text`` are non-empty when a
-    broken stream is resumed. ``billed`` names requests whose bill is in the log.
+    ``deadline_s`` is the remaining time when it was sent, since clocks differ.
+    ``revision`` is the entry's. ``received_tokens`` and ``received_text`` are
+    non-empty when an interrupted stream is resumed. ``billed`` lists requests whose
+    billing record is in the log.
     """
 
     request_id: str
--- a/acaciacove/messages/told_record.py
+++ b/acaciacove/messages/told_record.py
@@ -1,11 +1,11 @@
-"""One record of the platform's log, told by a gateway."""
+"""Record of the platform's log that a gateway relays to another."""
 
 from attrs import frozen
 
 
 @frozen
 class ToldRecord:
-    """The record of ``key`` at ``offset``; ``removed`` means that it has no value."""
+    """Record of ``key`` at ``offset``; ``removed`` means that it has no value."""
 
     key: str
     value: bytes
--- a/acaciacove/messages/version_cell.py
+++ b/acaciacove/messages/version_cell.py
@@ -1,16 +1,17 @@
-"""What one gateway saw of one version in one kind of request."""
+"""Counters of one gateway for one version and one kind of request."""
 
 from attrs import frozen
 
 
 @frozen
 class VersionCell:
-    """Counts since a roll-out's order, never falling in one life of a gateway.
+    """Counts since the order of a roll-out; monotonic per incarnation of a gateway.
 
-    ``revision`` is the order's log offset, ``is_target`` tells the new version
-    from the old ones. ``name`` is a route with a model size, or an endpoint.
-    ``log_time_sum`` adds the natural logarithms of ``timed`` times in seconds;
-    ``late`` of ``judged`` requests took much longer than is usual for their kind.
+    ``revision`` is the log offset of the order. ``is_target`` is true for the new
+    version and false for the old ones. ``name`` is a route with a model size, or an
+    endpoint. ``log_time_sum`` is the sum of the natural logarithms of ``timed``
+    times in seconds. ``late`` of ``judged`` requests took much longer than the
+    baseline of their kind.
     """
 
     service: str
--- a/acaciacove/messages/work_sent.py
+++ b/acaciacove/messages/work_sent.py
@@ -1,15 +1,15 @@
-"""Word of a long prompt that a gateway has just sent to an endpoint."""
+"""Gossip message on a long prompt that a gateway has just sent to an endpoint."""
 
 from attrs import frozen
 
 
 @frozen
 class WorkSent:
-    """Told to the other gateways, which send to the same endpoint.
+    """Long prompt, reported to the other gateways that use the same endpoint.
 
-    ``endpoint`` is its id and ``parts`` are keys of the prompt's shared parts, as
-    ``acaciacove.gateway.choice.stable_hash`` numbers them. ``work_s`` is how long the
-    endpoint is expected to read.
+    ``endpoint`` is the endpoint's id. ``parts`` are keys of the prompt's shared
+    parts, computed by ``acaciacove.gateway.choice.stable_hash``. ``work_s`` is the
+    expected time for which the endpoint processes the prompt.
     """
 
     endpoint: int
--- a/acaciacove/wire/__init__.py
+++ b/acaciacove/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Framing and codec of messages between the system's own processes."""
+"""Framing and codec of the messages between processes."""
--- a/acaciacove/wire/codec.py
+++ b/acaciacove/wire/codec.py
@@ -1,7 +1,7 @@
-"""Bytes of messages between processes: Cap'n Proto, mapped by field name.
+"""Codec of the messages between processes: Cap'n Proto, mapped by field name.
 
-The schema is read when this module is imported; Cap'n Proto's reader takes old
-and new fields alike, so processes of neighbouring releases understand each other.
+The schema is loaded when this module is imported. Cap'n Proto tolerates missing and
+unknown fields, so that processes of adjacent releases are compatible.
 """
 
 import math
@@ -28,10 +28,10 @@
 
 
 def encode(message: Message) -> bytes:
-    """Write one message as a Cap'n Proto frame.
+    """Encode a message as a Cap'n Proto frame.
 
-    Fields are set one by one: handing the builder nested dictionaries costs several
-    times as much, on every token of every stream.
+    Fields are set one by one. Passing nested dictionaries to the builder takes
+    several times as long, for every token of every stream.
     """
     frame = _schema.Frame.new_message()
     cls: Any = type(message)
@@ -41,7 +41,7 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read one message; raises MalformedMessageError."""
+    """Decode a message; raises MalformedMessageError."""
     try:
         with _schema.Frame.from_bytes(
             data, traversal_limit_in_words=TRAVERSAL_LIMIT_WORDS
@@ -52,23 +52,25 @@
             )
             return message
     except (capnp.KjException, KeyError, ValueError, UnicodeDecodeError) as error:
-        raise MalformedMessageError(str(error)) from error
+        raise MalformedMessageError(
+            f"expected a Cap'n Proto Frame, got {len(data)} bytes: {error}"
+        ) from error
 
 
 @cache
 def _union_field_name(cls: type) -> str:
-    """Return the name of a class in the frame's union."""
+    """Return the name of a message class in the union of the frame."""
     return _camel_case(cls.__name__, first_upper=False)
 
 
 @cache
 def _classes_by_union_name() -> dict[str, type]:
-    """Map the names of the frame's union to message classes."""
+    """Return the message classes by their names in the union of the frame."""
     return {_camel_case(c.__name__, first_upper=False): c for c in get_args(Message)}
 
 
 def _camel_case(name: str, first_upper: bool) -> str:
-    """Spell a class or field name as the schema does."""
+    """Convert a class or field name to the camelCase of the schema."""
     if "_" in name or name.islower():
         head, *rest = name.split("_")
         return head + "".join(part.capitalize() for part in rest)
@@ -76,18 +78,18 @@
 
 
 def _identity(value: Any) -> Any:
-    """Leave a plain value as it is."""
+    """Return a plain value unchanged."""
     return value
 
 
 def _read_optional_number(value: float) -> float | None:
-    """Read NaN as an absent number."""
+    """Decode NaN as None."""
     return None if math.isnan(value) else value
 
 
 @cache
 def _writers(cls: Any) -> tuple[tuple[str, str, _Writer], ...]:
-    """List a class's fields with their schema names and writers."""
+    """Return the fields of a class with their schema names and writers."""
     hints = get_type_hints(cls)
     return tuple(
         (f.name, _camel_case(f.name, first_upper=False), _writer(hints[f.name]))
@@ -97,10 +99,10 @@
 
 @cache
 def _readers(cls: type) -> tuple[tuple[Any, _Reader], ...]:
-    """List a class's schema fields with their readers, in order of its fields.
+    """Return the schema fields of a class with their readers, in field order.
 
-    Reading by schema field spares the search by name, which takes most of the time
-    of reading a message.
+    Reading by schema field avoids the look-up by name, which takes most of the time
+    of decoding a message.
     """
     hints = get_type_hints(cls)
     schema_fields = getattr(_schema, cls.__name__).schema.fields
@@ -114,7 +116,7 @@
 
 
 def _writer(hint: Any) -> _Writer:
-    """Choose how values of a type are written."""
+    """Return the function that writes values of a type."""
     if attrs.has(hint):
         return _write_struct
     if isinstance(hint, UnionType):
@@ -125,7 +127,7 @@
 
 
 def _reader(hint: Any) -> _Reader:
-    """Choose how values of a type are read."""
+    """Return the function that reads values of a type."""
     if attrs.has(hint):
         return lambda value: _read_struct(hint, value)
     if isinstance(hint, UnionType):
@@ -140,14 +142,14 @@
 
 
 def _write_fields(builder: Any, value: Any) -> None:
-    """Write every field of an attrs value into a struct."""
+    """Write all fields of an attrs value into a struct."""
     cls: Any = type(value)
     for field, name, write in _writers(cls):
         write(builder, name, getattr(value, field))
 
 
 def _write_optional_number(builder: Any, name: str, value: float | None) -> None:
-    """Write an absent number as NaN."""
+    """Encode None as NaN."""
     setattr(builder, name, _NONE_AS_NUMBER if value is None else value)
 
 
@@ -169,6 +171,6 @@
 
 
 def _read_struct(cls: type, reader: Any) -> Any:
-    """Build an attrs value from a struct that was read."""
+    """Create an attrs value from a struct."""
     get = reader._get_by_field
     return cls(*[read(get(field)) for field, read in _readers(cls)])
--- a/acaciacove/wire/connection.py
+++ b/acaciacove/wire/connection.py
@@ -1,4 +1,4 @@
-"""One TCP connection between two processes: length-prefixed Cap'n Proto frames."""
+"""TCP connection between two processes with length-prefixed Cap'n Proto frames."""
 
 from asyncio import (
     IncompleteReadError,
@@ -19,16 +19,16 @@
 
 
 class Connection:
-    """Sends and receives messages; a lost peer reads as None, never as an error."""
+    """Sends and receives messages; ``receive`` returns None after a disconnect."""
 
     def __init__(self, reader: StreamReader, writer: StreamWriter) -> None:
-        """Take over a stream that is already open."""
+        """Use a stream that is already open."""
         self._reader = reader
         self._writer = writer
         _disable_nagle(writer)
 
     async def send(self, message: Message) -> None:
-        """Send one message; raises ConnectionError when the peer is gone."""
+        """Send one message; raises ConnectionError when the peer has disconnected."""
         await self.send_all((message,))
 
     async def send_all(self, messages: Iterable[Message]) -> None:
@@ -39,13 +39,13 @@
     def send_nowait(self, messages: Iterable[Message]) -> None:
         """Queue messages in one write, without waiting for the peer to read."""
         if self._writer.is_closing():
-            raise ConnectionResetError("the connection is closed")
+            raise ConnectionResetError("cannot send messages: the connection is closed")
         self._writer.write(
             b"".join(_add_length_prefix(encode(message)) for message in messages)
         )
 
     async def receive(self) -> Message | None:
-        """Wait for a message; None once the peer has closed or sent no message."""
+        """Wait for a message; None after a disconnect, or on malformed bytes."""
         try:
             prefix = await self._reader.readexactly(LENGTH_BYTES)
             size_bytes = int.from_bytes(prefix, "big")
@@ -55,12 +55,12 @@
         except (IncompleteReadError, LimitOverrunError, OSError):
             return None
         except MalformedMessageError:
-            # Bytes that are no message leave no way to find the next frame. The
-            # connection is given up, so that what follows is not misread.
+            # After malformed bytes the start of the next frame is unknown. Callers
+            # drop the connection, so that the following bytes are not misread.
             return None
 
     def close(self) -> None:
-        """Close without waiting; the peer reads None."""
+        """Close without waiting; ``receive`` of the peer returns None."""
         self._writer.close()
 
 
@@ -71,10 +71,11 @@
 
 
 def _disable_nagle(writer: StreamWriter) -> None:
-    """Switch Nagle's algorithm off.
+    """Disable Nagle's algorithm.
 
-    asyncio does so only for sockets that name their protocol. A small frame would
-    otherwise wait up to 40 ms for an acknowledgement, seen as slow streams.
+    asyncio does so only for sockets that were created with an explicit protocol. A
+    small frame would otherwise wait up to 40 ms for an acknowledgement, which
+    slows streams down.
     """
     connection = writer.get_extra_info("socket")
     if connection is not None and connection.family == AF_INET:
--- a/acaciacove/wire/outbox.py
+++ b/acaciacove/wire/outbox.py
@@ -1,4 +1,4 @@
-"""Messages on their way to one peer, written by one task."""
+"""Send queue of a connection."""
 
 import asyncio
 
@@ -9,14 +9,15 @@
 
 
 class Outbox:
-    """A bounded queue in front of a connection; ``run`` is the task that writes.
+    """Bounded send queue of a connection; ``run`` is the task that writes.
 
-    What has gathered while the peer was busy is written in one go, so that the cost
-    of a message falls as load grows. A full queue makes senders wait.
+    Messages that were queued while the peer was busy are written in one batch, so
+    that the cost per message decreases under load. Senders wait while the queue is
+    full.
     """
 
     def __init__(self, connection: Connection) -> None:
-        """Write to a connection that somebody else reads."""
+        """Start with an empty queue; messages are received elsewhere."""
         self._connection = connection
         self._messages: asyncio.Queue[Message] = asyncio.Queue(MAX_QUEUED_MESSAGES)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -1,4 +1,4 @@
-"""Messages survive their way through the codec, and junk is a typed error."""
+"""The codec restores messages, and malformed bytes raise MalformedMessageError."""
 
 import pytest
 from hypothesis import given, settings
