--- a/acaciacove/state/billing_codec.py
+++ b/acaciacove/state/billing_codec.py
@@ -1,4 +1,4 @@
-"""Billing records as JSON objects of a group commit."""
+"""Codec of billing records: JSON objects, the items of a batch in the log."""
 
 from typing import Any
 
@@ -13,17 +13,17 @@
 
 
 def encode_billing_record(record: BillingRecord) -> bytes:
-    """Write a record as an item of a group commit.
+    """Encode a record as an item of a batch.
 
-    The encoder hands out its whole buffer of 4 kB. Records wait in memory through
-    an outage of the log, so a copy of the bytes that are used is kept instead.
+    The bytes object of the encoder keeps its complete 4 kB buffer. Records stay in
+    memory during an outage of the log, so the used bytes are copied.
     """
     return bytes(memoryview(orjson.dumps(_converter.unstructure(record))))
 
 
 def decode_billing_record(item: dict[str, Any]) -> BillingRecord:
-    """Read an item of a group commit; raises MalformedMessageError."""
+    """Decode an item of a batch; raises MalformedMessageError."""
     try:
         return _converter.structure(item, BillingRecord)
     except (KeyError, TypeError, ValueError, BaseValidationError) as error:
-        raise MalformedMessageError(f"not a billing record: {error}") from error
+        raise MalformedMessageError(f"expected a billing record: {error}") from error
--- a/acaciacove/state/billing_ledger.py
+++ b/acaciacove/state/billing_ledger.py
@@ -1,4 +1,4 @@
-"""Reads the billing stream: the first record for a request counts."""
+"""Totals of the billing stream, in which the first record for a request counts."""
 
 from collections import Counter, OrderedDict
 
@@ -12,14 +12,15 @@
 
 
 class BillingLedger:
-    """Totals of the billing stream, by organisation.
+    """Totals of the billing stream by organisation.
 
-    ``duplicates`` counts further records for a request, which change nothing: they
-    are expected after faults. ``requests`` and ``cost`` leave unanswered out.
+    ``duplicates`` counts further records for a request, which are expected after
+    faults and are ignored. ``requests`` and ``cost`` do not include records without
+    an answer.
     """
 
     def __init__(self, max_retained_ids: int = MAX_RETAINED_IDS) -> None:
-        """Start before the first record."""
+        """Start before the first record of the stream."""
         self.requests: Counter[str] = Counter()
         self.cost: dict[str, float] = {}
         self.duplicates = 0
@@ -32,7 +33,7 @@
         return self._records.get(request_id)
 
     def offer(self, entries: list[LogEntry]) -> None:
-        """Fold entries, as a LogTail hands them over."""
+        """Apply log entries in the order in which a LogTail delivers them."""
         for entry in entries:
             try:
                 batch = decode_batch(entry.payload)
--- a/acaciacove/state/billing_outbox.py
+++ b/acaciacove/state/billing_outbox.py
@@ -1,4 +1,4 @@
-"""Holds billing records until they are known to be in the log."""
+"""Retains billing records until they are confirmed to be in the log."""
 
 import asyncio
 import heapq
@@ -15,24 +15,25 @@
 from acaciacove.state.priority import Priority
 from acaciacove.state.unconfirmed_copy import UnconfirmedCopy
 
-DueTime = tuple[float, int, str]
+DueCopy = tuple[float, int, str]
 
 
 class BillingOutbox:
-    """The unbilled requests of one entry or sidecar.
+    """Billing records of one entry or sidecar that are not yet in the log.
 
-    The entry bills a request with ``bill`` once it has ended; each sidecar that
-    worked for it keeps a copy with ``hold``. ``tick`` is called a few times a
-    second. Two processes that bill the same request do no harm: the first record
-    for an id counts.
+    The entry bills a request with ``bill`` when it has ended. Each sidecar that
+    worked for it retains a copy with ``hold``. ``tick`` is called a few times per
+    second. Duplicate records of two processes are harmless: the first record for an
+    id counts.
 
-    Every held record is a packed row under its id. Ids that are due wait in order,
-    and the log writer has only a bounded number of them at a time: an outage of an
-    hour leaves tens of thousands, and an item in the writer weighs several rows.
+    Each record is held as a packed row under its id. Due ids are queued in order,
+    and only a bounded number of them is submitted to the log writer at a time. An
+    outage of one hour leaves tens of thousands of records, and an item in the
+    writer takes the memory of several rows.
     """
 
     def __init__(self, name: str, writer: LogWriter, settings: BillingSettings) -> None:
-        """Start with nothing held."""
+        """Start without records."""
         self._name = name
         self._writer = writer
         self._settings = settings
@@ -40,29 +41,30 @@
         self._ready: deque[str] = deque()
         self._submitted: set[str] = set()
         self._copies: dict[str, UnconfirmedCopy] = {}
-        self._due: list[DueTime] = []
+        self._due: list[DueCopy] = []
         self._unsent_confirmations: dict[str, deque[str]] = defaultdict(deque)
         self._sequence = 0
 
     @property
     def held(self) -> int:
-        """Return how many records are not known to be in the log."""
+        """Return the number of records that are not confirmed to be in the log."""
         return len(self._rows)
 
     @property
     def has_room(self) -> bool:
-        """Tell whether a new request may be taken on.
+        """Return whether a new request may be admitted.
 
-        Without the bound, a log that is down for hours would fill the memory of
-        every process until the platform killed it, and its records were lost.
+        Without this limit, a log outage of several hours would fill the memory of
+        every process until the platform killed it, and its records would be lost.
         """
         return len(self._rows) < self._settings.max_held
 
     def bill(self, record: BillingRecord, holders: Iterable[str], now_s: float) -> None:
-        """Append a record as soon as the log takes it; the entry's part.
+        """Append a record as soon as the log accepts it; called by the entry.
 
-        ``holders`` are the sidecars that were asked, and may hold a copy. A further
-        record for an id changes nothing but adds its holders, who are told as well.
+        ``holders`` are the sidecars that received the request and may hold a copy. A
+        further record for an id only adds its holders, which then also receive the
+        confirmation.
         """
         request_id = record.request_id
         sidecars = tuple(dict.fromkeys(holders))
@@ -78,7 +80,7 @@
         self.tick(now_s)
 
     def hold(self, record: BillingRecord, entry: str, now_s: float) -> None:
-        """Keep a copy until the entry confirms it; the sidecar's part."""
+        """Retain a copy until the entry confirms it; called by the sidecar."""
         request_id = record.request_id
         if self._is_local(request_id):
             return
@@ -88,7 +90,7 @@
         )
 
     def confirm(self, request_ids: Iterable[str]) -> None:
-        """Drop copies of records that the entry has in the log."""
+        """Remove copies of records that the entry has appended to the log."""
         for request_id in request_ids:
             if request_id not in self._submitted:
                 self._rows.pop(request_id, None)
@@ -96,7 +98,7 @@
         self._compact_ready()
 
     def take_confirmations(self, sidecar: str) -> tuple[str, ...]:
-        """Take request ids to tell a sidecar, on a data message or a Billed."""
+        """Take the next ids to confirm to a sidecar, in a Run or Billed message."""
         confirmed = self._unsent_confirmations.get(sidecar)
         if not confirmed:
             return ()
@@ -104,7 +106,7 @@
         return tuple(confirmed.popleft() for _ in range(count))
 
     def tick(self, now_s: float, is_gone: Callable[[str], bool] | None = None) -> None:
-        """Submit what is due; ``is_gone`` tells whether an entry has gone."""
+        """Submit due records; ``is_gone`` returns whether an entry has ended."""
         if is_gone is not None:
             self._expedite_copies(now_s, is_gone)
         while self._due and self._due[0][0] <= now_s:
@@ -115,13 +117,17 @@
         self._submit_ready()
 
     def append_all(self, now_s: float) -> None:
-        """Make everything due: this process is about to end."""
+        """Submit all records now, because this process is about to shut down."""
         for request_id in list(self._copies):
             self._make_ready(request_id)
         self.tick(now_s)
 
     def _is_local(self, request_id: str) -> bool:
-        """Tell whether a record is one's own, or a copy that has become so."""
+        """Return whether this process appends the record.
+
+        That is the case for its own records, and for copies that were not confirmed
+        in time and have been submitted.
+        """
         row = self._rows.get(request_id)
         if row is None:
             return False
@@ -137,26 +143,27 @@
         self._ready.append(request_id)
 
     def _compact_ready(self) -> None:
-        """Forget ready ids that were confirmed once they outnumber the others.
+        """Remove confirmed ids from the ready queue when they outnumber the others.
 
-        A sidecar without the log whose entry is late with every confirmation would
-        otherwise collect their ids for as long as the outage lasts.
+        If the log is unavailable to a sidecar and all confirmations of its entry are
+        late, these ids would otherwise accumulate throughout the outage.
         """
         if len(self._ready) <= 2 * len(self._rows) + self._settings.max_submitted:
             return
         self._ready = deque(i for i in dict.fromkeys(self._ready) if self._is_ready(i))
 
     def _is_ready(self, request_id: str) -> bool:
-        """Tell whether a record is held, due, and not with the writer yet.
+        """Return whether a record is held, due, and not yet submitted.
 
-        A copy that was confirmed and is held anew has an old place among the ready;
-        submitted from there, it would get ahead of its entry.
+        A copy that was confirmed and is then held again may still have its old place
+        in the ready queue. Submitted from there, it would precede the record of its
+        entry.
         """
-        waits = request_id in self._copies or request_id in self._submitted
-        return request_id in self._rows and not waits
+        pending = request_id in self._copies or request_id in self._submitted
+        return request_id in self._rows and not pending
 
     def _expedite_copies(self, now_s: float, is_gone: Callable[[str], bool]) -> None:
-        """Bring copies forward whose entry has gone, since nobody else bills them."""
+        """Make copies of ended entries due soon; no other process appends them."""
         soon_s = now_s + self._settings.gone_s
         entries = {copy.entry for copy in self._copies.values()}
         ended = {entry for entry in entries if is_gone(entry)}
@@ -167,7 +174,7 @@
                 self._schedule_copy(request_id, UnconfirmedCopy(copy.entry, soon_s))
 
     def _submit_ready(self) -> None:
-        """Hand over records in order, while the writer may have more of them."""
+        """Submit ready records in order, up to ``max_submitted`` at a time."""
         while self._ready and len(self._submitted) < self._settings.max_submitted:
             request_id = self._ready[0]
             if self._is_ready(request_id) and not self._submit(request_id):
@@ -175,7 +182,7 @@
             self._ready.popleft()
 
     def _submit(self, request_id: str) -> bool:
-        """Hand a record to the writer; false while the writer has no room."""
+        """Submit a record to the writer; false if the queue of the writer is full."""
         record = unpack_row(request_id, self._name, self._rows[request_id])
         item = encode_billing_record(record)
         try:
@@ -189,10 +196,10 @@
     def _on_appended(
         self, request_id: str, done: "asyncio.Future[AppendResult]"
     ) -> None:
-        """Forget a record that is in the log, and have its holders told.
+        """Remove a record that is in the log, and queue the confirmations.
 
-        The next one takes its place with the writer at once. If that waited for a
-        tick, a process that ends would find its writer idle and leave the rest behind.
+        The next record is submitted immediately. If that waited for a tick, a process
+        that shuts down would find its writer idle and lose the remaining records.
         """
         if done.cancelled():
             return
--- a/acaciacove/state/billing_price.py
+++ b/acaciacove/state/billing_price.py
@@ -1,4 +1,4 @@
-"""What an answer costs, and under which id it is billed."""
+"""Price of an answer, and the id under which a request is billed."""
 
 from acaciacove.fleet.version import Version
 from acaciacove.state.claim_key import claim_key
@@ -7,7 +7,7 @@
 
 
 def price(version: Version, prompt_tokens: int, completion_tokens: int) -> float:
-    """Price an answer: by tokens for models, by call for services."""
+    """Return the price of an answer: per token for models, per call for services."""
     tokens = prompt_tokens + completion_tokens
     if tokens == 0:
         return version.cost_per_1k_tokens
@@ -17,10 +17,10 @@
 def billing_id(
     request_id: str, organisation: str, api: str, idempotency_key: str
 ) -> str:
-    """Return the id that a request is billed under.
+    """Return the id under which a request is billed.
 
-    Retries of a call that may not be repeated are one request to the caller, and
-    share the id of their key: only the first record for an id counts.
+    Retries of a non-repeatable call are one request to the caller. They share the id
+    that is derived from their key, since only the first record for an id counts.
     """
     if not idempotency_key:
         return request_id
--- a/acaciacove/state/billing_record.py
+++ b/acaciacove/state/billing_record.py
@@ -1,4 +1,4 @@
-"""The record that bills one request."""
+"""Billing record of one request."""
 
 from attrs import frozen
 
@@ -7,13 +7,13 @@
 
 @frozen
 class BillingRecord:
-    """What one request cost, all its attempts together.
+    """Cost of one request, including all its attempts.
 
-    ``answered`` is false when the endpoint may have worked and the caller got no
-    whole answer; such a record costs nothing, and keeps a sidecar's copy from
-    counting. There is none for a call that may not be repeated: if it took effect,
-    its sidecar's copy bills it, or a retry that gets its answer. ``writer`` is the
-    process that appended it; ``at_s`` is Unix time.
+    ``answered`` is false if the endpoint may have worked and the caller received no
+    complete answer. Such a record costs nothing, and prevents the copy of a sidecar
+    from counting. Non-repeatable calls have no such record: if the call took effect,
+    the sidecar's copy bills it, or a retry that receives its answer. ``writer`` is
+    the process that appended the record, ``at_s`` is Unix time.
     """
 
     request_id: str
--- a/acaciacove/state/billing_row.py
+++ b/acaciacove/state/billing_row.py
@@ -1,7 +1,7 @@
-"""Billing records packed for a long wait, without what their holder knows anyway.
+"""Compact form of billing records, for retention during an outage of the log.
 
-A row leaves out the field names, the request id (the key that it is held under) and
-the writer (the process that holds it).
+A row omits the field names, the request id (the key under which it is held) and the
+writer (the process that holds it).
 """
 
 from collections.abc import Iterable
@@ -16,8 +16,8 @@
 def pack_row(record: BillingRecord, holders: Iterable[str] | None) -> bytes:
     """Pack a record; ``holders`` is None for a sidecar's copy.
 
-    The encoder hands out its whole buffer of 4 kB, so a copy of the bytes that are
-    used is kept instead.
+    The bytes object of the encoder keeps its complete 4 kB buffer, so the used bytes
+    are copied.
     """
     row = (
         record.organisation,
@@ -34,12 +34,12 @@
 
 
 def unpack_row(request_id: str, writer: str, row: bytes) -> BillingRecord:
-    """Return the record of a row that was held under ``request_id``."""
+    """Unpack the record of a row that was held under ``request_id``."""
     values = [request_id, *orjson.loads(row)[:-1], writer]
     return BillingRecord(*values)
 
 
 def unpack_holders(row: bytes) -> Holders | None:
-    """Return the sidecars that may hold a copy; None when the row is a copy itself."""
+    """Unpack the sidecars that may hold a copy; None if the row is itself a copy."""
     holders = orjson.loads(row)[-1]
     return None if holders is None else tuple(holders)
--- a/acaciacove/state/billing_settings.py
+++ b/acaciacove/state/billing_settings.py
@@ -5,14 +5,14 @@
 
 @frozen
 class BillingSettings:
-    """Bounds of the records that one process holds.
+    """Timeouts and limits of the billing records that one process holds.
 
-    A sidecar appends a copy itself when the entry did not confirm it for
-    ``confirm_s``, or ``gone_s`` after the entry has gone. New requests are refused
-    while more than ``max_held`` records wait, which takes a log outage of many
-    minutes. ``confirm_batch`` request ids fit one message. At most ``max_submitted``
-    records are with the log writer, where each weighs more: two full batches, so
-    that one waits while the other is under way.
+    A sidecar appends a copy itself if the entry does not confirm it within
+    ``confirm_s``, or ``gone_s`` after the entry has ended. New requests are refused
+    while ``max_held`` records are held, which takes a log outage of many minutes. A
+    message confirms up to ``confirm_batch`` request ids. At most ``max_submitted``
+    records are queued in the log writer, where each takes more memory. That is two
+    full batches, so that one is queued while the other is being appended.
     """
 
     confirm_s: float = 90.0
--- a/acaciacove/state/claim.py
+++ b/acaciacove/state/claim.py
@@ -1,14 +1,14 @@
-"""The record that gives one process the right to make a call."""
+"""Record that gives one process the exclusive right to make a call."""
 
 from attrs import frozen
 
 
 @frozen
 class Claim:
-    """The first claim for a key, in log order, may be run, by its owner alone.
+    """Claim of a key; only the owner of the first one in log order may make the call.
 
-    ``claim_id`` is unique. ``at_s`` is the owner's Unix time; it decides nothing
-    between two claims, only when a key may be forgotten.
+    ``claim_id`` is unique. ``at_s`` is the owner's Unix time. It determines only when
+    a key expires, and never which of two claims wins.
     """
 
     key: str
--- a/acaciacove/state/claim_codec.py
+++ b/acaciacove/state/claim_codec.py
@@ -1,4 +1,4 @@
-"""Records of claims streams as JSON objects of a group commit."""
+"""Codec of the records of claims streams: JSON objects, the items of a batch."""
 
 from base64 import b64decode, b64encode
 from typing import Any
@@ -34,16 +34,18 @@
 
 
 def encode_claim_record(record: ClaimRecord) -> bytes:
-    """Write a record as an item of a group commit."""
+    """Encode a record as an item of a batch."""
     body = _converter.unstructure(record)
     return orjson.dumps({KIND_FIELD: _KIND_BY_TYPE[type(record)], **body})
 
 
 def decode_claim_record(item: dict[str, Any]) -> ClaimRecord:
-    """Read an item of a group commit; raises MalformedMessageError."""
+    """Decode an item of a batch; raises MalformedMessageError."""
     try:
         cls = _TYPE_BY_KIND[item[KIND_FIELD]]
         record: ClaimRecord = _converter.structure(item, cls)
     except (KeyError, TypeError, ValueError, BaseValidationError) as error:
-        raise MalformedMessageError(f"not a claim record: {error}") from error
+        raise MalformedMessageError(
+            f"expected a claim, outcome or release record: {error}"
+        ) from error
     return record
--- a/acaciacove/state/claim_key.py
+++ b/acaciacove/state/claim_key.py
@@ -1,4 +1,4 @@
-"""What identifies a call that may not be repeated, and how old its key is."""
+"""Keys and fingerprints of non-repeatable calls."""
 
 from hashlib import blake2b
 from uuid import UUID
@@ -11,17 +11,17 @@
 
 
 def claim_key(organisation: str, api: str, idempotency_key: str) -> str:
-    """Return the key of a claim: callers of other teams cannot meet it."""
+    """Return the key of a claim, which differs between organisations and APIs."""
     return _digest(organisation, api, idempotency_key)
 
 
 def request_fingerprint(method: str, path: str, body: bytes) -> str:
-    """Return what tells a retry from another request under the same key."""
+    """Return a digest that distinguishes a retry from another request with its key."""
     return _digest(method, path, body.hex())
 
 
 def key_issued_s(idempotency_key: str) -> float | None:
-    """Return when a key was made, in Unix time; None unless it is a UUID version 7."""
+    """Return the creation time of a UUID version 7 (Unix time); None for other keys."""
     if len(idempotency_key) != UUID_LENGTH:
         return None
     try:
@@ -37,7 +37,7 @@
     digest = blake2b(digest_size=DIGEST_BYTES)
     for part in parts:
         data = part.encode("utf-8", "surrogateescape")
-        # Lengths keep ("ab", "c") and ("a", "bc") apart.
+        # The length prefixes distinguish ("ab", "c") from ("a", "bc").
         digest.update(len(data).to_bytes(8))
         digest.update(data)
     return digest.hexdigest()
--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -1,4 +1,4 @@
-"""The claims streams of one process: partitions read, records appended."""
+"""Access of one process to the claims streams of the log."""
 
 import asyncio
 from collections import deque
@@ -40,7 +40,7 @@
 
 
 class ClaimLog:
-    """Tables of the partitions that this process has met, and the way to the log."""
+    """Tables of the partitions that this process has used, and appends to the log."""
 
     def __init__(
         self,
@@ -49,7 +49,7 @@
         settings: ClaimSettings,
         random: Random,
     ) -> None:
-        """Take what it works with; nothing is read before it is needed."""
+        """Store the parameters; partitions are read when they are first needed."""
         self._log = log
         self._writer = writer
         self._settings = settings
@@ -60,24 +60,26 @@
         writer.listen(self._on_appended)
 
     def table(self, key: str) -> ClaimTable:
-        """Return the table of a key's partition, as far as it was read."""
+        """Return the table of the key's partition, as far as it has been read."""
         return self._open_partition(self._partition_number(key)).table
 
     def holder(self, key: str) -> HeldClaim | None:
-        """Return the claim that holds a key, as far as was read."""
+        """Return the claim that holds a key, as far as the partition has been read."""
         return self.table(key).holder(key)
 
     async def append_claim(self, claim: Claim, deadline_s: float) -> Refusal | None:
-        """Append a claim and read up to it; a refusal when that takes too long.
+        """Append a claim and read up to it; return a refusal if that takes too long.
 
-        A refused claim is released, should it be in the log all the same. While the
-        log is down one claim at a time finds out whether it is back. Were all of
-        them to wait, they would hold their places at the endpoint for seconds each,
-        and calls that need no claim would queue behind them.
+        A refused claim is released, in case it is in the log nevertheless. While the
+        log is unavailable, only one claim at a time waits for its recovery. If all
+        claims waited, each would occupy a slot of the endpoint for seconds, and
+        calls that need no claim would queue behind them.
         """
         down = self._writer.health.status is LogStatus.DOWN
         if down and self._pending_claims > 0:
-            return claim_unavailable("the log is down")
+            return claim_unavailable(
+                "the platform log is unavailable; another claim is waiting for it"
+            )
         self._pending_claims += 1
         try:
             return await self._append_and_read(claim, deadline_s)
@@ -88,34 +90,33 @@
         stream = claims_stream(self._partition_number(claim.key))
         item = encode_claim_record(claim)
         try:
-            appended = await self._writer.append(
-                stream, item, Priority.CLAIM, deadline_s
-            )
+            result = await self._writer.append(stream, item, Priority.CLAIM, deadline_s)
         except LogQueueFullError as error:
             return claim_unavailable(str(error))
-        if appended.state is AppendState.NOT_APPENDED:
-            return claim_unavailable("the log took no claim in time")
+        if result.state is AppendState.NOT_APPENDED:
+            return claim_unavailable("the claim was not appended to the log in time")
         release = Release(claim.key, claim.claim_id)
-        if not appended.appended:
-            # The claim may be in the log without an answer. Running on it could
-            # follow somebody else's earlier claim; leaving it would block the key.
+        if not result.appended:
+            # The log did not respond, so the claim may have been appended. The call
+            # must not run, since another process may have claimed the key earlier.
+            # Without a release the claim could block the key.
             self.record(release)
             return claim_unavailable("the log did not confirm the claim in time")
         try:
             async with asyncio.timeout_at(deadline_s):
                 tail = self._open_partition(self._partition_number(claim.key)).tail
-                await tail.catch_up(appended.offset + 1)
+                await tail.catch_up(result.offset + 1)
         except (PlatformUnavailableError, TimeoutError):
             self.record(release)
             return claim_unavailable("the log could not be read up to the claim")
         return None
 
     async def read_to_end(self, key: str) -> bool:
-        """Read a key's partition to its end; false when the log does not answer."""
+        """Read the key's partition to its end; false if the log does not respond."""
         return await self.refresh_partition(self._partition_number(key))
 
     async def refresh_partition(self, partition_number: int) -> bool:
-        """Read a partition to its end; false when the log does not answer."""
+        """Read a partition to its end; false if the log does not respond."""
         tail = self._open_partition(partition_number).tail
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
@@ -126,24 +127,24 @@
         return True
 
     def remove_expired(self, wall_s: float) -> None:
-        """Drop keys past their time from every table."""
+        """Remove expired keys from all tables; ``wall_s`` is Unix time."""
         for partition in self._partitions.values():
             partition.table.remove_expired(wall_s)
 
     def record(self, record: ClaimRecord) -> None:
-        """Have a record appended, however long that takes."""
+        """Append a record, with retries until the log accepts it."""
         self._unsubmitted.append(record)
         self.submit_pending()
 
     def submit_pending(self) -> None:
-        """Hand records over for which the writer had no room."""
+        """Submit queued records until the queue of the log writer is full."""
         while self._unsubmitted:
             record = self._unsubmitted[0]
             stream = claims_stream(self._partition_number(record.key))
             item = encode_claim_record(record)
             try:
-                # A record that follows a call is in nobody's way. Sent at once it
-                # would hold up the next claim for a trip to the log.
+                # No call waits for this record. If it were sent immediately, the next
+                # claim would be delayed by one round trip to the log.
                 linger_s = self._settings.record_linger_s
                 self._writer.submit(stream, item, Priority.CLAIM, linger_s)
             except LogQueueFullError:
@@ -151,12 +152,12 @@
             self._unsubmitted.popleft()
 
     async def flush(self, deadline_s: float) -> bool:
-        """Wait until every record is in the log; false at the deadline."""
+        """Wait until all records are in the log; false at the deadline."""
         self.submit_pending()
         return await self._writer.flush(deadline_s) and not self._unsubmitted
 
     async def read_answer(self, held: HeldClaim) -> ServiceAnswer | None:
-        """Read an answer back from the log."""
+        """Read a retained answer from the log; None if that fails."""
         stream = claims_stream(self._partition_number(held.claim.key))
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
@@ -188,14 +189,14 @@
         return partition
 
     def _on_appended(self, stream: str, offset: int, payload: bytes) -> None:
-        """Fold what this process appended without reading it back, if it can."""
+        """Apply records of this process without reading them back, where possible."""
         for partition in self._partitions.values():
             if partition.tail.stream == stream:
                 partition.tail.accept(LogEntry(offset, payload))
 
 
 def _decode_records(entries: list[LogEntry]) -> Iterator[ClaimRecord]:
-    """Read the records of entries that were folded once already."""
+    """Yield the claim records of entries; malformed records are skipped."""
     for entry in entries:
         for item in decode_batch(entry.payload).items:
             with suppress(MalformedMessageError):
--- a/acaciacove/state/claim_owner.py
+++ b/acaciacove/state/claim_owner.py
@@ -1,4 +1,4 @@
-"""Runs calls that may not be repeated, each at most once."""
+"""Runs non-repeatable calls, each at most once."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Iterable
@@ -33,12 +33,12 @@
 
 
 class ClaimOwner:
-    """The claims of one sidecar.
+    """Claims of one sidecar.
 
     ``query_owner`` sends a query to another sidecar and returns its answer, or None
-    when it cannot be reached. ``is_gone`` tells whether an incarnation of an
-    instance has ended. ``wall_s`` returns Unix time. ``run`` is the task that
-    keeps the partitions read; claims also work without it, more slowly.
+    if it is unreachable. ``is_gone`` returns whether an incarnation of an instance
+    has ended. ``wall_s`` returns Unix time. ``run`` is the task that reads the
+    partitions continuously. Claims also work without it, but take longer.
     """
 
     def __init__(
@@ -53,7 +53,7 @@
         query_owner: QueryOwner,
         is_gone: IsGone,
     ) -> None:
-        """Take what the owner works with; nothing is read before it is needed."""
+        """Store the parameters; partitions are read when they are first needed."""
         self._name = name
         self._incarnation = incarnation
         self._settings = settings
@@ -75,7 +75,7 @@
 
     @property
     def running(self) -> int:
-        """Return how many claimed calls are under way."""
+        """Return the number of claimed calls in progress."""
         return sum(
             1 for local_call in self._local_calls.values() if not local_call.done.done()
         )
@@ -89,13 +89,14 @@
         organisation: str = "",
         issued_s: float | None = None,
     ) -> Result:
-        """Answer a call that may run at most once, whoever else is asked.
+        """Return the result of a call that runs at most once in all processes.
 
-        ``key`` and ``fingerprint`` are those of ``state.claim_key``, ``issued_s``
-        the key's age if it is known. ``deadline_s`` is the loop's time. ``call``
-        makes the one call; a refusal of it with ``not_run`` promises that no byte
-        has left. It is finished and recorded also when the caller has gone. A
-        refusal with ``not_run`` is true and stays true for this request.
+        ``key`` and ``fingerprint`` are computed by ``state.claim_key``. ``issued_s``
+        is the creation time of the key in Unix time, if known. ``deadline_s`` is a
+        time of the event loop. ``call`` makes the call; if it returns a refusal with
+        ``not_run``, it must not have sent any byte. A started call is completed and
+        recorded even if the caller disconnects. A returned refusal with ``not_run``
+        is final: this request will not be run later.
         """
         refusal = self._refuse_by_age(issued_s)
         if refusal is not None:
@@ -109,11 +110,11 @@
                 return result
             if loop.time() >= deadline_s:
                 return claim_unavailable(
-                    "the key was released too late to claim it anew"
+                    "the key was released too late to be claimed again"
                 )
 
     async def run(self, preferred_partitions: Callable[[], Iterable[int]]) -> None:
-        """Keep the partitions read for which this process is the usual owner."""
+        """Read the partitions for which this process is the preferred owner."""
         while True:
             for partition_number in preferred_partitions():
                 await self._claims.refresh_partition(partition_number)
@@ -123,14 +124,14 @@
             await asyncio.sleep(self._settings.refresh_s)
 
     async def finish(self, deadline_s: float) -> bool:
-        """Wait for the calls under way and for their records to be in the log."""
+        """Wait for the calls in progress and for their records to be in the log."""
         loop = asyncio.get_running_loop()
         while self._tasks and loop.time() < deadline_s:
             await asyncio.wait(self._tasks, timeout=deadline_s - loop.time())
         return await self._claims.flush(deadline_s) and not self._tasks
 
     def on_query(self, query: ClaimQuery) -> ClaimAnswer:
-        """Answer another owner that met a claim of this process."""
+        """Answer the query of another sidecar about a claim of this process."""
         local_call = self._local_calls.get(query.key)
         status = ClaimStatus.NOT_HELD if local_call is None else local_call.status
         answer = ServiceAnswer(0)
@@ -149,18 +150,20 @@
         )
 
     def _refuse_by_age(self, issued_s: float | None) -> Refusal | None:
-        """Refuse keys that may have been used and forgotten."""
+        """Refuse a key whose earlier use may no longer be recorded."""
         settings = self._settings
         if issued_s is None:
             if settings.dated_keys_only:
-                detail = "the key has to be a UUID version 7"
+                detail = "the idempotency key must be a UUID version 7"
                 return Refusal(Reason.KEY_REQUIRED, True, detail)
             return None
         age_s = self._wall_s() - issued_s
         if age_s > settings.window_s:
-            return key_expired("the key is past its window")
+            return key_expired("the idempotency key is older than the claim window")
         if age_s < -settings.clock_error_s:
-            return Refusal(Reason.KEY_EXPIRED, True, "the key is from the future")
+            return Refusal(
+                Reason.KEY_EXPIRED, True, "the idempotency key has a future timestamp"
+            )
         return None
 
     async def _run_or_resolve(
@@ -169,16 +172,16 @@
         fingerprint: str,
         deadline_s: float,
         call: Call,
-        org: str,
+        organisation: str,
         issued_s: float | None,
     ) -> Result | None:
-        """Run, join or look up the call of a key; None when the key came free."""
+        """Run, join or look up the call of a key; None if the key was released."""
         local_call = self._local_calls.get(key)
         if local_call is None:
             held = self._claims.holder(key)
             if held is not None:
                 return await self._resolver.resolve(held, fingerprint, deadline_s)
-            claim = self._new_claim(key, fingerprint, org)
+            claim = self._new_claim(key, fingerprint, organisation)
             local_call = self._start_call(claim, deadline_s, call, issued_s)
         elif local_call.claim.fingerprint != fingerprint:
             return key_reused()
@@ -198,7 +201,7 @@
     def _start_call(
         self, claim: Claim, deadline_s: float, call: Call, issued_s: float | None
     ) -> LocalCall:
-        """Claim a key in a task of its own, which a caller that leaves cannot end."""
+        """Claim a key in a separate task, which is not cancelled with the caller."""
         done = asyncio.get_running_loop().create_future()
         local_call = LocalCall(claim, deadline_s, done, issued_s)
         self._local_calls[claim.key] = local_call
@@ -210,19 +213,19 @@
     async def _wait_for_call(
         self, local_call: LocalCall, deadline_s: float
     ) -> Result | None:
-        """Wait for a call of this process."""
+        """Wait for the result of a call of this process until the deadline."""
         timeout_s = deadline_s - asyncio.get_running_loop().time()
         done, _ = await asyncio.wait({local_call.done}, timeout=max(0.0, timeout_s))
         if done:
             return local_call.done.result()
         if local_call.started or local_call.deadline_s > deadline_s:
             return in_progress()
-        # The claim's task decides in this same moment whether the call is still
-        # started. Saying "not run" before it has decided could turn out false.
+        # At this moment the task of the claim decides whether it still starts the
+        # call. Returning "not run" before that decision could turn out to be false.
         return await asyncio.shield(local_call.done)
 
     async def _claim_and_call(self, local_call: LocalCall, call: Call) -> None:
-        """Claim, call and record; the only place where a call is made."""
+        """Claim the key, make the call and record its outcome."""
         loop = asyncio.get_running_loop()
         claim_deadline_s = min(
             local_call.deadline_s, loop.time() + self._settings.claim_wait_s
@@ -251,12 +254,13 @@
         return held is not None and held.claim.claim_id == local_call.claim.claim_id
 
     def _refuse_late_start(self, local_call: LocalCall) -> Refusal | None:
-        """Refuse to start a call whose caller has gone.
+        """Refuse to start a call after its deadline.
 
-        A process can be paused for hours between its claim and this line. Nobody
-        else may run the key, so starting would be safe, but useless; and after the
-        window the key may be forgotten elsewhere. The runtime's clock may stand
-        still while a machine is suspended, so Unix time is checked as well.
+        A process can be paused for hours between its claim and this check. No other
+        process may run the key, so starting the call would be safe, but its caller
+        no longer waits. After the claim window other processes may have removed the
+        key. The monotonic clock may stop while a machine is suspended, so the age in
+        Unix time is checked too.
         """
         expired = asyncio.get_running_loop().time() >= local_call.deadline_s
         age_s = self._wall_s() - local_call.claim.at_s
@@ -272,15 +276,15 @@
         covered_s = self._claims.table(local_call.claim.key).covered_since_s
         if local_call.issued_s + self._settings.clock_error_s >= covered_s:
             return None
-        return key_expired("the key is older than the records that the log has kept")
+        return key_expired("the idempotency key is older than the retained records")
 
     async def _make_call(self, local_call: LocalCall, call: Call) -> None:
-        """Make the one call and record how it ended."""
+        """Make the call and record its outcome."""
         key, claim_id = local_call.claim.key, local_call.claim.claim_id
         local_call.started = True
         try:
             result = await call()
-        except Exception as error:  # noqa: BLE001 - whatever failed, it may have run
+        except Exception as error:  # noqa: BLE001 - the call may have run
             result = Refusal(Reason.ENDPOINT_FAILED, False, type(error).__name__)
         if isinstance(result, ServiceAnswer):
             local_call.status = ClaimStatus.DONE
@@ -303,12 +307,12 @@
         )
 
     def _finish_not_run(self, local_call: LocalCall, refusal: Refusal) -> None:
-        """Forget a claim that was not run; its task has ended, so it never will be."""
+        """Remove a claim whose call was not run; its task ends, so it never will be."""
         del self._local_calls[local_call.claim.key]
         local_call.done.set_result(refusal)
 
     def _evict_answers(self) -> None:
-        """Drop the oldest answers whose outcomes are in the log."""
+        """Remove the oldest answers whose outcomes are in the log."""
         surplus = len(self._local_calls) - self._settings.kept_answers
         for key, local_call in list(self._local_calls.items()):
             if surplus <= 0:
--- a/acaciacove/state/claim_partition.py
+++ b/acaciacove/state/claim_partition.py
@@ -1,4 +1,4 @@
-"""One partition of the claims as this process follows it."""
+"""Partition of the claims that this process reads."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class ClaimPartition:
-    """A partition's table and the tail that feeds it."""
+    """Table of a partition and the log tail that updates it."""
 
     table: ClaimTable
     tail: LogTail
--- a/acaciacove/state/claim_refusals.py
+++ b/acaciacove/state/claim_refusals.py
@@ -1,4 +1,4 @@
-"""Refusals of calls that may not be repeated."""
+"""Refusals of non-repeatable calls."""
 
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
@@ -7,31 +7,33 @@
 
 
 def claim_unavailable(detail: str) -> Refusal:
-    """Refuse since the claim could not be made in time; the call was not run."""
+    """Refuse because the key could not be claimed in time; the call was not run."""
     return Refusal(Reason.CLAIM_UNAVAILABLE, True, detail, RETRY_AFTER_S)
 
 
 def outcome_unknown(detail: str) -> Refusal:
-    """Refuse since the call may have run, and is not repeated."""
+    """Refuse because the call may have run and must not be repeated."""
     return Refusal(Reason.OUTCOME_UNKNOWN, False, detail)
 
 
 def answer_not_retained() -> Refusal:
-    """Refuse since the call has finished and its answer is gone."""
-    return outcome_unknown("the call has finished; its answer is no longer kept")
+    """Refuse because the call has completed and its answer is no longer stored."""
+    return outcome_unknown("the call has completed; its answer is no longer stored")
 
 
 def in_progress() -> Refusal:
-    """Refuse since an earlier attempt with the key is not settled."""
-    detail = "an earlier attempt with this key is still running"
+    """Refuse because an earlier attempt with the key has no outcome yet."""
+    detail = "an earlier attempt with this idempotency key is still running"
     return Refusal(Reason.IN_PROGRESS, False, detail, RETRY_AFTER_S)
 
 
 def key_reused() -> Refusal:
-    """Refuse a key that another request has."""
-    return Refusal(Reason.KEY_REUSED, True, "the key was used for another request")
+    """Refuse a key that was used for another request."""
+    return Refusal(
+        Reason.KEY_REUSED, True, "the idempotency key was used for another request"
+    )
 
 
 def key_expired(detail: str) -> Refusal:
-    """Refuse a key whose call may have been run and forgotten."""
+    """Refuse a key whose call may have run and may no longer be recorded."""
     return Refusal(Reason.KEY_EXPIRED, False, detail)
--- a/acaciacove/state/claim_resolver.py
+++ b/acaciacove/state/claim_resolver.py
@@ -1,4 +1,4 @@
-"""Answers retries of calls that were claimed before, here or elsewhere."""
+"""Resolves retries of calls that were claimed before by any process."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
 
 
 class ClaimResolver:
-    """Finds the answer of a claim: in the log, or with its owner.
+    """Finds the result of a claim in the log or at its owner.
 
     ``has_local_call`` returns whether this process has a call for a key, running or
     answered.
@@ -47,7 +47,7 @@
         is_gone: IsGone,
         has_local_call: Callable[[str], bool],
     ) -> None:
-        """Take what the resolver works with."""
+        """Store the parameters."""
         self._name = name
         self._incarnation = incarnation
         self._claims = claims
@@ -61,12 +61,12 @@
     async def resolve(
         self, held: HeldClaim, fingerprint: str, deadline_s: float
     ) -> Result | None:
-        """Return the answer to a retry; None when the key has come free."""
+        """Return the result for a retry; None if the key was released."""
         claim = held.claim
         if claim.fingerprint != fingerprint:
             return key_reused()
         if self._wall_s() - claim.at_s > self._settings.window_s:
-            return key_expired("the key is past its window")
+            return key_expired("the idempotency key is older than the claim window")
         loop = asyncio.get_running_loop()
         while True:
             current = self._claims.holder(claim.key)
@@ -84,10 +84,10 @@
             await self._claims.read_to_end(claim.key)
 
     def _refuse_unresolved(self, held: HeldClaim) -> Refusal:
-        """Refuse a retry when the time is up and nobody could say more."""
+        """Refuse a retry whose result was not found by the deadline."""
         if self._is_abandoned(held):
             return claim_unavailable(
-                "the release of an earlier claim is not in the log yet"
+                "the release of an earlier claim is not yet in the log"
             )
         return in_progress()
 
@@ -95,15 +95,15 @@
         return (claim.owner, claim.incarnation) == (self._name, self._incarnation)
 
     def _is_abandoned(self, held: HeldClaim) -> bool:
-        """Tell whether this process holds a key that it never ran nor will run."""
+        """Return whether this process claimed the key and will never run its call."""
         no_local_call = not self._has_local_call(held.claim.key)
         return self._is_local(held.claim) and held.outcome is None and no_local_call
 
     async def _find_result(self, held: HeldClaim) -> Result | None:
-        """Return the answer of a claim that is in the log; None to ask again."""
+        """Return the result of a claim that is in the log; None if not yet known."""
         claim, outcome = held.claim, held.outcome
         if outcome is not None and not outcome.known:
-            return outcome_unknown("the endpoint gave no answer")
+            return outcome_unknown("the endpoint returned no answer")
         if outcome is not None and outcome.answer_kept:
             return await self._claims.read_answer(held)
         if self._is_local(claim):
@@ -117,7 +117,7 @@
             claim.owner, claim.incarnation
         )
         if owner_ended and not await self._outcome_changed(held):
-            return outcome_unknown("the owner of the call is gone")
+            return outcome_unknown("the process that made the call has ended")
         return None
 
     def _result_from_owner(
@@ -127,18 +127,18 @@
             case ClaimStatus.DONE:
                 return ServiceAnswer(answer.http_status, answer.headers, answer.body)
             case ClaimStatus.OUTCOME_UNKNOWN:
-                return outcome_unknown("the endpoint gave no answer")
+                return outcome_unknown("the endpoint returned no answer")
             case ClaimStatus.NOT_HELD if outcome is not None:
                 return answer_not_retained()
         return None
 
     async def _outcome_changed(self, held: HeldClaim) -> bool:
-        """Read on, since an owner that has gone may have left its outcome."""
-        before = held.outcome
+        """Read the log again, since an ended owner may have appended an outcome."""
+        previous_outcome = held.outcome
         if not await self._claims.read_to_end(held.claim.key):
             return False
         current = self._claims.holder(held.claim.key)
-        return current is not held or current.outcome is not before
+        return current is not held or current.outcome is not previous_outcome
 
     async def _send_query(self, claim: Claim) -> ClaimAnswer | None:
         self._query_count += 1
--- a/acaciacove/state/claim_row.py
+++ b/acaciacove/state/claim_row.py
@@ -1,14 +1,15 @@
-"""What is kept of a claim whose call has ended."""
+"""Compact form of a claim whose call has ended."""
 
 from attrs import frozen
 
 
 @frozen
 class ClaimRow:
-    """Numbers that a claim and its outcome can be built from again.
+    """Values from which a claim and its outcome can be restored.
 
-    ``number`` is the last part of the claim's id, ``owner`` an index of names,
-    ``at_s`` whole seconds of Unix time, ``offset`` where the outcome is in the log.
+    ``number`` is the last part of the claim's id, ``owner`` an index into the list of
+    owners, ``at_s`` Unix time in full seconds, ``offset`` the offset of the outcome in
+    the log.
     """
 
     fingerprint: bytes
--- a/acaciacove/state/claim_settings.py
+++ b/acaciacove/state/claim_settings.py
@@ -1,20 +1,22 @@
-"""Settings of calls that may not be repeated."""
+"""Settings of non-repeatable calls."""
 
 from attrs import frozen
 
 
 @frozen
 class ClaimSettings:
-    """Bounds of the owner of claims.
+    """Timeouts and limits of ``ClaimOwner``.
 
-    A key may be used for ``window_s`` after its first claim and is remembered for
-    ``remembered_s``; keep the log's retention above both. ``clock_error_s`` bounds
-    how far Unix clocks differ. A claim waits for the log for up to ``claim_wait_s``;
-    outcomes and releases wait ``record_linger_s`` for a claim to ride with.
-    Answers of up to ``kept_body_bytes`` are kept in the log, and the last
-    ``kept_answers`` of any size in memory. With
-    ``dated_keys_only`` a key must be a UUID version 7, whose age is known without
-    any record. A claim that is older than ``start_limit_s`` is not started.
+    A key may be used for ``window_s`` after its first claim, and its claim is
+    retained for ``remembered_s``. The retention of the log must exceed both.
+    ``clock_error_s`` is the largest difference between Unix clocks. A claim waits for
+    the log for up to ``claim_wait_s``. Outcomes and releases wait up to
+    ``record_linger_s`` to be batched with a claim. Answers of up to
+    ``kept_body_bytes`` are stored in the log, and the last ``kept_answers`` of any
+    size in memory. With ``dated_keys_only`` a key must be a UUID version 7, whose age
+    is known without any record. A call is not started if its claim is older than
+    ``start_limit_s``. ``poll_s`` is the time between two reads while a retry waits,
+    ``refresh_s`` the time between two reads of the preferred partitions.
     """
 
     window_s: float = 86_400.0
@@ -31,5 +33,5 @@
 
     @property
     def remembered_s(self) -> float:
-        """Return how long a key is remembered."""
+        """Return the retention time of a claim."""
         return self.window_s + 2 * self.clock_error_s
--- a/acaciacove/state/claim_status.py
+++ b/acaciacove/state/claim_status.py
@@ -1,13 +1,13 @@
-"""What an owner answers about a key."""
+"""Status of a key at the owner of its claim."""
 
 from enum import StrEnum
 
 
 class ClaimStatus(StrEnum):
-    """Whether an owner is still at it, has the answer, or knows nothing.
+    """Status that the owner of a claim reports for its key.
 
-    ``NOT_HELD`` from the incarnation that claimed the key means that it gave the
-    claim up, or that the outcome is in the log.
+    ``NOT_HELD`` from the incarnation that claimed the key means that it released the
+    claim, or that the outcome is in the log.
     """
 
     RUNNING = "running"
--- a/acaciacove/state/claim_table.py
+++ b/acaciacove/state/claim_table.py
@@ -1,4 +1,4 @@
-"""Fold of one partition's claims stream: who holds which key."""
+"""State of one partition of the claims stream: the holder of each key."""
 
 from attrs import evolve
 
@@ -14,12 +14,13 @@
 
 
 class ClaimTable:
-    """Every reader that has folded the same offsets holds the same table.
+    """Holders of keys; readers that have applied the same offsets have equal tables.
 
-    Log order alone decides between claims. A key is kept for ``remembered_s``,
-    longer than the window in which it may be used, so that a late retry is
-    refused by name and not taken for a new call. ``covered_since_s`` is the Unix
-    time from which every claim is known here, when older records had expired.
+    Only the log order decides between claims. A key is retained for
+    ``remembered_s``, which is longer than the window in which it may be used. A late
+    retry is therefore refused as expired instead of run as a new call. If older
+    records had expired unread, ``covered_since_s`` is the Unix time from which the
+    table contains every claim.
     """
 
     def __init__(self, remembered_s: float) -> None:
@@ -33,7 +34,7 @@
         self._newest_s = 0.0
 
     def __len__(self) -> int:
-        """Return how many keys are held."""
+        """Return the number of held keys."""
         return len(self._held) + len(self._settled)
 
     def holder(self, key: str) -> HeldClaim | None:
@@ -41,7 +42,7 @@
         return self._held.get(key) or self._settled.find(key)
 
     def offer(self, entries: list[LogEntry]) -> None:
-        """Fold entries, as a LogTail hands them over; junk changes nothing."""
+        """Apply entries in the order of a LogTail; malformed ones are ignored."""
         for entry in entries:
             try:
                 batch = decode_batch(entry.payload)
@@ -54,11 +55,11 @@
                     continue
 
     def note_gap(self, earliest_offset: int) -> None:
-        """Learn that records before an offset have expired unread."""
+        """Record that the records before an offset have expired unread."""
         self._has_gap = earliest_offset > 0
 
     def remove_expired(self, now_s: float) -> int:
-        """Drop keys past their time (Unix time); return how many."""
+        """Remove keys expired at ``now_s`` (Unix time); return their number."""
         oldest_s = now_s - self._remembered_s
         expired = [k for k, held in self._held.items() if held.claim.at_s < oldest_s]
         for key in expired:
@@ -87,10 +88,10 @@
                 del self._held[outcome.key]
 
     def _fold_claim(self, claim: Claim) -> None:
-        """Give a free key to its claim.
+        """Assign a key to a claim if no other claim holds it.
 
-        A claim whose append was slow can land after the release that gave it up.
-        Without the memory of releases it would hold its key for good, and every
+        A claim whose append was slow can follow its own release in the log. If
+        releases were not recorded, it would hold its key until it expires, and every
         retry of that booking would be refused.
         """
         self._newest_s = max(self._newest_s, claim.at_s)
--- a/acaciacove/state/held_claim.py
+++ b/acaciacove/state/held_claim.py
@@ -1,4 +1,4 @@
-"""A claim that holds its key."""
+"""Claim that holds its key."""
 
 from attrs import define
 
@@ -8,9 +8,9 @@
 
 @define
 class HeldClaim:
-    """The claim that won a key, and its outcome once that is in the log.
+    """First claim of a key, and its outcome once that is in the log.
 
-    The outcome's headers and body are left in the log, at ``outcome_offset``.
+    The headers and body of the outcome are only in the log, at ``outcome_offset``.
     """
 
     claim: Claim
--- a/acaciacove/state/load_permit.py
+++ b/acaciacove/state/load_permit.py
@@ -1,4 +1,4 @@
-"""Paces loads of weights against the weight store's rate limit."""
+"""Delays loads of weights to respect the rate limit of the weight store."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,12 +22,13 @@
     deadline_s: float,
     random: Random,
 ) -> Refusal | None:
-    """Wait until the store lets a load start; None means that it may start now.
+    """Wait until the store permits a load; None means that it may start now.
 
-    ``find_refusal`` is asked again after each wait, such as whether the order's
-    fencing number still holds: a load that was overtaken while it waited would use
-    the store up and put the wrong version in place. ``deadline_s`` is the loop's
-    time. Jitter keeps sidecars that wait for one store from asking as one.
+    ``find_refusal`` is called again after each wait, for example to check whether the
+    fencing number of the order is still valid. A load that was superseded while it
+    waited would use up the rate limit of the store and install the wrong version.
+    ``deadline_s`` is a time of the event loop. Jitter prevents synchronised requests
+    of the sidecars that wait for one store.
     """
     loop = asyncio.get_running_loop()
     backoff = Backoff(random, INITIAL_RETRY_S, MAX_RETRY_S)
@@ -43,6 +44,8 @@
             return find_refusal()
         wait_s *= random.uniform(1.0, 1.0 + MAX_JITTER_SHARE)
         if loop.time() + wait_s > deadline_s:
-            detail = f"no permit to load {weights} in time"
+            detail = (
+                f"the weight store permits no load of {weights} before the deadline"
+            )
             return Refusal(Reason.OVERLOADED, True, detail, wait_s)
         await asyncio.sleep(wait_s)
--- a/acaciacove/state/local_call.py
+++ b/acaciacove/state/local_call.py
@@ -1,4 +1,4 @@
-"""A claim of this process and the call that it is for."""
+"""Claimed call of this process."""
 
 import asyncio
 
@@ -12,7 +12,10 @@
 
 @define(eq=False)
 class LocalCall:
-    """``done`` holds the answer or refusal, or None when the claim was lost."""
+    """Claim of this process and the state of its call.
+
+    ``done`` is the answer or refusal; None if another claim holds the key.
+    """
 
     claim: Claim
     deadline_s: float
--- a/acaciacove/state/outcome.py
+++ b/acaciacove/state/outcome.py
@@ -1,4 +1,4 @@
-"""The record of how a claimed call ended."""
+"""Record of the outcome of a claimed call."""
 
 from attrs import frozen
 
@@ -7,10 +7,11 @@
 
 @frozen
 class Outcome:
-    """What became of a claim's call.
+    """Outcome of the call of a claim.
 
-    ``known`` is false when the endpoint may have acted without an answer. A small
-    answer is kept whole (``answer_kept``), so that it outlives its owner.
+    ``known`` is false if the endpoint may have acted without returning an answer. A
+    small answer is stored completely (``answer_kept``), so that it remains available
+    after its owner has ended.
     """
 
     key: str
--- a/acaciacove/state/pending_item.py
+++ b/acaciacove/state/pending_item.py
@@ -1,4 +1,4 @@
-"""An item on its way into the log."""
+"""Item in the queue of the log writer."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 @define(eq=False)
 class PendingItem:
-    """One item in the writer's queue; ``sent`` once a payload with it left."""
+    """Item to append; ``sent`` is true once a payload with it has been sent."""
 
     stream: str
     data: bytes
--- a/acaciacove/state/priority.py
+++ b/acaciacove/state/priority.py
@@ -1,10 +1,13 @@
-"""Which appends go first when the log is slow or scarce."""
+"""Priority classes of appends to the log."""
 
 from enum import IntEnum
 
 
 class Priority(IntEnum):
-    """Lower values go first; each class has an append budget of its own."""
+    """Lower values are appended first when the log is slow or its budget is low.
+
+    Each class has a separate append budget.
+    """
 
     DECISION = 0
     CLAIM = 1
--- a/acaciacove/state/settled_claims.py
+++ b/acaciacove/state/settled_claims.py
@@ -1,4 +1,4 @@
-"""Claims whose calls have ended, in a few dozen bytes each."""
+"""Compact storage of claims whose calls have ended, in a few dozen bytes each."""
 
 from attrs import define, field
 
@@ -21,12 +21,13 @@
 
 @define(eq=False)
 class SettledClaims:
-    """Rows of settled claims in sorted segments, which double when they merge.
+    """Rows of settled claims in sorted segments, which are merged pairwise by size.
 
-    A key is remembered for a day, and nearly all of that time its call has long
-    ended. Kept whole, the claims of a busy owner would take half a gigabyte. Keys
-    are told apart by 64 bits of their digest: about one new key in 10^13 meets the
-    row of another, and is refused as reused; none is run twice for it.
+    A key is retained for a day, and its call has ended for nearly all of that time.
+    As complete objects, the claims of a busy owner would take half a gigabyte. Keys
+    are identified by 64 bits of their digest. About one new key in 10^13 collides
+    with the row of another and is refused as reused; no call runs twice because of
+    that.
     """
 
     oldest_s: float = 0.0
@@ -36,13 +37,14 @@
     _names: list[tuple[str, int]] = field(factory=list)
 
     def __len__(self) -> int:
-        """Return how many rows are kept, old ones in live segments included."""
+        """Return the number of rows, including expired rows of retained segments."""
         return len(self._recent) + sum(map(len, self._segments))
 
     def add(self, held: HeldClaim) -> bool:
-        """Take a claim over; false if it has to be kept whole.
+        """Store a claim; false if a row cannot represent it.
 
-        An answer that only its owner has in memory needs the whole claim.
+        A claim whose answer is only in the memory of its owner needs the complete
+        object.
         """
         key_hash = _key_hash(held.claim.key)
         if key_hash is None or self._find(key_hash) is not None:
@@ -56,7 +58,7 @@
         return True
 
     def find(self, key: str) -> HeldClaim | None:
-        """Return the claim that holds a key, built anew from its row."""
+        """Return the claim that holds a key, restored from its row."""
         key_hash = _key_hash(key)
         row = None if key_hash is None else self._find(key_hash)
         if row is None or row.at_s < self.oldest_s:
@@ -64,7 +66,10 @@
         return self._build_held_claim(key, row)
 
     def remove_expired(self, oldest_s: float) -> int:
-        """Drop what was claimed before (Unix time); return how many rows went."""
+        """Remove claims older than ``oldest_s`` (Unix time).
+
+        Returns the number of removed rows.
+        """
         before = len(self)
         self.oldest_s = max(self.oldest_s, oldest_s)
         self._segments = [s for s in self._segments if s.newest_s >= oldest_s]
@@ -72,7 +77,7 @@
         return before - len(self)
 
     def _find(self, key_hash: int) -> ClaimRow | None:
-        """Look through the segments, the newest first."""
+        """Return the row of a key hash, searched from the newest segment on."""
         row = self._recent.get(key_hash)
         if row is not None:
             return row
@@ -83,10 +88,10 @@
         return None
 
     def _seal(self) -> None:
-        """Turn the recent rows into a segment, and merge segments of one size.
+        """Convert the recent rows to a segment, and merge segments of equal size.
 
-        Segments stay small enough for a merge to hold the process up for some
-        milliseconds only.
+        The size of segments is limited, so that a merge blocks the process for only a
+        few milliseconds.
         """
         self._segments.append(build_segment(self._recent))
         self._recent = {}
@@ -101,7 +106,7 @@
         return before <= last < MAX_MERGED_ROWS
 
     def _build_row(self, held: HeldClaim) -> ClaimRow | None:
-        """Write a claim as a row; None if it does not fit one."""
+        """Return the row of a claim; None if a row cannot represent it."""
         claim, outcome = held.claim, held.outcome
         if outcome is None or (outcome.known and not outcome.answer_kept):
             return None
@@ -127,7 +132,7 @@
         )
 
     def _owner_index(self, name: str, incarnation: int) -> int | None:
-        """Return the number of an owner, whose name would be most of a row."""
+        """Return the index of an owner; its name would be the largest part of a row."""
         owner = (name, incarnation)
         if owner not in self._owners:
             if len(self._names) > MAX_UINT16:
@@ -151,7 +156,7 @@
 
 
 def _parse_claim_number(claim: Claim) -> int | None:
-    """Return the number in a claim's id; None if the id is of another form."""
+    """Return the number in the id of a claim; None if the id has another format."""
     number = _parse_hex(claim.claim_id.rpartition("/")[2], NUMBER_HEX_DIGITS)
     if number is None:
         return None
@@ -164,13 +169,13 @@
 
 
 def _parse_digest(text: str) -> bytes | None:
-    """Read a digest of 16 bytes; None if the text could not be written again."""
+    """Parse a digest of 16 bytes; None if it does not format to the same text."""
     number = _parse_hex(text, DIGEST_HEX_DIGITS)
     return None if number is None else number.to_bytes(DIGEST_HEX_DIGITS // 2)
 
 
 def _parse_hex(text: str, length: int) -> int | None:
-    """Read plain hexadecimal digits, in lower case, of this length."""
+    """Parse lower-case hexadecimal digits of this length; None for other text."""
     try:
         number = int(text, 16)
     except ValueError:
--- a/acaciacove/state/unconfirmed_copy.py
+++ b/acaciacove/state/unconfirmed_copy.py
@@ -1,13 +1,14 @@
-"""A sidecar's copy of a billing record that its entry is expected to append."""
+"""Sidecar's copy of a billing record that its entry is expected to append."""
 
 from attrs import define
 
 
 @define(eq=False)
 class UnconfirmedCopy:
-    """Becomes one's own to append at ``due_s`` (the loop's time) unless confirmed.
+    """The holder appends the copy itself at ``due_s`` unless the entry confirms it.
 
-    ``entry`` is the process expected to append it.
+    ``entry`` is the process that is expected to append the record, ``due_s`` a time
+    of the event loop.
     """
 
     entry: str
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -1,4 +1,4 @@
-"""Owners of claims on one faulty log, before an endpoint that counts its calls."""
+"""Simulation of claim owners on one faulty log, with an endpoint that counts calls."""
 
 import asyncio
 from collections import Counter
@@ -11,11 +11,11 @@
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.log_writer_settings import LogWriterSettings
 
-UNIX_S = 1_800_000_000.0
+START_UNIX_S = 1_800_000_000.0
 
 
 class PausableLog:
-    """A process's way to the log, which stands still while the process is paused."""
+    """Access of one process to the log; its calls block while the process is paused."""
 
     def __init__(self, log):
         self.log = log
@@ -51,7 +51,7 @@
         self.suspended_s = 0.0
 
     def start(self, name):
-        """Start a process under a name, with nothing but the log to know from."""
+        """Start a new incarnation of a process, whose only state is the log."""
         self.incarnations[name] += 1
         incarnation = self.incarnations[name]
         rng = Random(f"{name}/{incarnation}")
@@ -73,7 +73,7 @@
         self.logs.pop(name).resumed.clear()
 
     def wall_s(self):
-        return UNIX_S + self.suspended_s + asyncio.get_running_loop().time()
+        return START_UNIX_S + self.suspended_s + asyncio.get_running_loop().time()
 
     async def query_owner(self, name, query):
         await asyncio.sleep(0.001)
@@ -86,7 +86,7 @@
         return name not in self.owners or self.incarnations[name] > incarnation
 
     async def book(self, name, key, attempt="", timeout_s=5.0, body="a", issued_s=None):
-        """Ask one process for the booking ``key``."""
+        """Send the booking ``key`` to one process."""
 
         async def call():
             await asyncio.sleep(self.service_s / 2)
--- a/tests/test_state_billing.py
+++ b/tests/test_state_billing.py
@@ -1,4 +1,4 @@
-"""Each request is billed once, whichever holder of its record is lost."""
+"""Each request is billed once, also when a holder of its record is lost."""
 
 import asyncio
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class Process:
-    """An entry or a sidecar with its outbox."""
+    """Entry or sidecar with its billing outbox."""
 
     def __init__(self, name, log, **settings_):
         self.name = name
@@ -61,8 +61,8 @@
 def test_every_request_is_billed_once_when_one_holder_is_killed(
     seed, killed, outage, lost, late
 ):
-    # An entry or a sidecar is killed at any moment, the log is down for a minute
-    # and loses replies. A lost record is money lost; a doubled one a wrong invoice.
+    # Guards against lost and duplicate bills: an entry or a sidecar is killed while
+    # requests run, and the log is unavailable for a minute and loses replies.
     random = Random(seed)
     log = FaultyLog(Random(seed), lost_reply_share=lost, late_share=late)
     answered = []
@@ -94,7 +94,7 @@
 
 
 def _serve_request(request_id, entry, sidecars, alive, random, now_s, answered):
-    """Let one or, as a cascade or hedge does, two sidecars work for a request."""
+    """Let one sidecar work for a request, or two as in a cascade or hedge."""
     working = [s for s in sidecars if s.name in alive][: random.choice([1, 2])]
     for sidecar in working:
         sidecar.outbox.hold(record(request_id), "e1", now_s)
@@ -104,8 +104,8 @@
 
 
 def test_a_confirmed_copy_is_not_appended_and_an_unanswered_one_does_not_count():
-    # The caller's stream broke off and was never resumed: the entry records that
-    # nothing is owed, and the sidecar's copy must not bill it after all.
+    # The stream to the caller was interrupted and never resumed. The entry then
+    # records a cost of zero, and the sidecar's copy must not bill the request.
     log = FaultyLog(Random(1))
 
     async def main():
@@ -157,8 +157,9 @@
 
 
 def test_a_process_that_shuts_down_appends_more_than_max_submitted():
-    # After an outage a process is told to end. Its writer has a part of the bills;
-    # taken for all of them, the others would be lost with the process.
+    # Guards against lost bills at a shutdown after a log outage: the queue of the
+    # writer holds only a part of them, so an empty queue does not mean that all are
+    # in the log.
     log = FaultyLog(Random(1))
 
     async def main():
@@ -182,8 +183,9 @@
 
 
 def test_a_second_record_for_an_id_only_adds_holders_to_confirm():
-    # A caller repeats a call while its first bill waits. The amount of the repeat
-    # must not replace the first, and no sidecar may keep its copy for ever.
+    # A caller repeats a call while its first record is queued. The second amount must
+    # not replace the first, and every sidecar must receive a confirmation, or it
+    # would never remove its copy.
     log = FaultyLog(Random(1))
 
     async def main():
@@ -204,8 +206,9 @@
 
 
 def test_a_copy_that_is_held_again_waits_for_its_entry_again():
-    # A copy was due while the log was down, was confirmed, and the caller repeated
-    # the call. Appended from its old place, the copy would count before its entry.
+    # A copy became due while the log was unavailable and was then confirmed, and the
+    # caller repeated the call. If the new copy took the old place in the queue, it
+    # would be appended before the record of its entry.
     log = FaultyLog(Random(1))
 
     async def main():
--- a/tests/test_state_claims.py
+++ b/tests/test_state_claims.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, and refusals are true."""
+"""Non-repeatable calls run at most once, and refusals with ``not_run`` are true."""
 
 import asyncio
 from random import Random
@@ -12,7 +12,7 @@
 from acaciacove.state.claim_key import claim_key, key_issued_s, request_fingerprint
 from acaciacove.state.claim_settings import ClaimSettings
 from acaciacove.state.rendezvous import rank_owners, usual_owner
-from tests.claim_world import UNIX_S, World
+from tests.claim_world import START_UNIX_S, World
 from tests.virtual import run_virtual
 
 OLD_UUID7 = "01890a5d-ac96-774b-bcce-b302099a8057"
@@ -40,14 +40,14 @@
 
 
 def test_concurrent_duplicates_through_different_sidecars_run_once():
-    # A keeper's app retries a top-up after a second while the first try is still
-    # on its way; the two reach different endpoints. Both must see one answer.
+    # A client retries a call while the first attempt is in progress, and the two
+    # reach different endpoints. Both must receive the same answer.
     async def main():
         world = World()
         for name in ("s1", "s2", "s3"):
             world.start(name)
-        tries = [world.book(name, "topup") for name in ("s1", "s2", "s3", "s2")]
-        answers = await asyncio.gather(*tries)
+        attempts = [world.book(name, "topup") for name in ("s1", "s2", "s3", "s2")]
+        answers = await asyncio.gather(*attempts)
         assert world.calls["topup"] == 1
         assert {a.body for a in answers} == {b"seat 4/1"}
 
@@ -55,8 +55,8 @@
 
 
 def test_a_call_is_not_repeated_when_its_owner_is_killed_at_any_moment():
-    # The sidecar dies before, during or after its call, and the caller retries
-    # elsewhere. A rerun would redeem the voucher twice.
+    # The sidecar is killed before, during or after its call, and the caller retries
+    # through another one. A second call would redeem the voucher twice.
     async def main(kill_after_s):
         world = World()
         world.start("s1")
@@ -79,8 +79,9 @@
 
 
 def test_a_paused_owner_does_not_run_a_call_that_another_owner_reported_on():
-    # The owner's machine freezes after its claim has landed and before it has read
-    # it. Under a lease another owner would take over, and both would run.
+    # The machine of the owner is paused after its claim was appended and before the
+    # owner has read it. With a lease, another owner would take over and both would
+    # make the call.
     async def main():
         world = World()
         world.start("s1")
@@ -102,9 +103,9 @@
 
 
 def test_a_call_is_not_started_after_the_machine_was_suspended():
-    # A suspended machine's monotonic clock may stand still: the deadline seems far
-    # away while the caller has long been told that the outcome is unknown, and the
-    # key may soon be forgotten by everyone else.
+    # The monotonic clock of a suspended machine may stop. The deadline then seems to
+    # be in the future, although the caller has already received "outcome unknown"
+    # and the other processes may soon remove the key.
     async def main():
         world = World()
         world.start("s1")
@@ -123,9 +124,9 @@
     run_virtual(main)
 
 
-def test_a_claim_that_lands_after_its_release_does_not_block_the_key():
-    # An append without a reply can land seconds later. The caller was told "not
-    # run" and tries again; a dead claim would make every retry wait for nobody.
+def test_a_claim_appended_after_its_release_does_not_block_the_key():
+    # An append without a reply can reach the log seconds later. The caller received
+    # "not run" and retries; a claim without a running owner must not block the key.
     async def main():
         world = World(late_share=1.0, late_s=30.0)
         world.start("s1")
@@ -142,8 +143,9 @@
 
 
 def test_an_unconfirmed_claim_is_never_run():
-    # The claim lands, and the reply to it is lost while the log goes down. The
-    # caller is told that nothing was booked; a minute later the log is back.
+    # The claim is appended, but its reply is lost and the log becomes unavailable.
+    # The caller receives "not run", which must remain true when the log recovers a
+    # minute later.
     async def main():
         world = World(lost_reply_share=1.0)
         world.start("s1")
@@ -165,8 +167,8 @@
 
 
 def test_bookings_are_refused_at_once_while_the_log_is_known_to_be_down():
-    # Each would hold a place at the endpoint for seconds, and price look-ups that
-    # need no claim would wait behind bookings that cannot be made.
+    # Guards against head-of-line blocking: waiting bookings would occupy the slots of
+    # the endpoint for seconds, and calls that need no claim would queue behind them.
     async def main():
         world = World()
         world.start("s1")
@@ -190,8 +192,8 @@
 
 
 def test_a_retry_gets_the_same_answer_after_its_owner_was_killed():
-    # The caller's connection broke after the booking was made, and the endpoint
-    # was replaced before the caller tried again.
+    # The caller's connection was lost after the booking was made, and the endpoint
+    # was replaced before the retry.
     async def main():
         world = World()
         world.start("s1")
@@ -215,16 +217,16 @@
         assert await world.book("s2", "guide") == first
         await asyncio.sleep(1)
         world.kill("s1")
-        gone = await world.book("s2", "guide")
-        assert gone.reason is Reason.OUTCOME_UNKNOWN and not gone.not_run
+        refused = await world.book("s2", "guide")
+        assert refused.reason is Reason.OUTCOME_UNKNOWN and not refused.not_run
         assert world.calls["guide"] == 1
 
     run_virtual(main)
 
 
 def test_a_call_with_a_lost_connection_is_outcome_unknown_and_not_repeated():
-    # The endpoint's connection broke after the request had left. Nobody knows
-    # whether the driver was booked, so nobody may try again on his own.
+    # The connection to the endpoint was lost after the request was sent. Whether the
+    # booking was made is unknown, so no process may repeat the call.
     async def main():
         world = World()
         owner = world.start("s1")
@@ -259,17 +261,17 @@
 
 
 def test_a_key_used_for_another_request_or_past_its_window_is_refused():
-    # A caller's clock or counter starts over, and keys of last week come back. A
-    # late retry must not book the shuttle a second time.
+    # A caller reuses old keys after a reset of its clock or counter, or retries late.
+    # Neither may make a second booking.
     async def main():
-        window = ClaimSettings(partitions=2, window_s=3600.0)
-        world = World(settings=window)
+        short_window = ClaimSettings(partitions=2, window_s=3600.0)
+        world = World(settings=short_window)
         owner = world.start("s1")
         world.start("s2")
         assert (await world.book("s1", "k")).status == 201
         assert (await world.book("s2", "k", body="b")).reason is Reason.KEY_REUSED
         issued_s = key_issued_s(OLD_UUID7)
-        assert issued_s < UNIX_S
+        assert issued_s < START_UNIX_S
         old = await world.book("s1", "dated", issued_s=issued_s)
         assert old.reason is Reason.KEY_EXPIRED
         await asyncio.sleep(3700)
@@ -281,12 +283,12 @@
 
 
 def test_a_dated_key_older_than_the_retained_records_is_refused():
-    # The log keeps records for a shorter time than was promised, and a fresh
-    # sidecar cannot know whether the key was used before them.
+    # The log retains records for less time than configured. A new sidecar then cannot
+    # know whether the key was used before the retained records.
     async def main():
         world = World(keep=4)
         world.start("s1")
-        issued_s = UNIX_S + asyncio.get_running_loop().time()
+        issued_s = START_UNIX_S + asyncio.get_running_loop().time()
         await world.book("s1", "k", issued_s=issued_s)
         await asyncio.sleep(1000)
         for n in range(8):
@@ -328,9 +330,9 @@
 @given(st.integers(0, 2**32), faults)
 @settings(derandomize=True, deadline=None, max_examples=40, phases=[Phase.generate])
 def test_no_call_runs_twice_or_after_not_run_under_pairs_of_faults(seed, faults):
-    # Bookings with retries through random sidecars while the log and sidecars
-    # fail. A second run is a lost Saturday for a driver; a false "not run" makes
-    # the caller book again.
+    # Bookings with retries through random sidecars while the log and sidecars fail.
+    # Guards against calls that run twice, and against a false "not run", after which
+    # the caller would book again.
     random = Random(seed)
 
     async def booking(world, key, calls_by_attempt):
@@ -340,7 +342,7 @@
             timeout_s = random.uniform(0.3, 4.0)
             call = world.book(name, key, attempt, timeout_s)
             calls_by_attempt[attempt] = asyncio.create_task(call)
-            # A killed or paused sidecar leaves its caller without a word.
+            # A killed or paused sidecar does not respond to its caller.
             await asyncio.wait({calls_by_attempt[attempt]}, timeout=timeout_s + 1.0)
             await asyncio.sleep(random.uniform(0.0, 2.0))
 
--- a/tests/test_state_settled_claims.py
+++ b/tests/test_state_settled_claims.py
@@ -1,4 +1,4 @@
-"""Claims whose calls have ended are kept small, and mean the same."""
+"""The compact storage of settled claims is equivalent to complete claims."""
 
 from random import Random
 
@@ -51,8 +51,8 @@
 
 
 def test_claims_that_no_row_can_represent_are_not_added():
-    # A large answer is with its owner alone; a retry elsewhere has to ask the owner.
-    # An open claim has no outcome, and an id of another form could not be rebuilt.
+    # A large answer is only in the memory of its owner, which other processes query.
+    # An open claim has no outcome, and an id in another format cannot be restored.
     claims = SettledClaims()
     held = settled(1)
     assert not claims.add(HeldClaim(held.claim))
@@ -77,7 +77,7 @@
 
 
 class ReferenceTable:
-    """The rule in a few lines: of a key's claims the first in the log holds it."""
+    """Reference model: the first claim of a key in the log holds it."""
 
     def __init__(self):
         self.held, self.released = {}, set()
@@ -119,7 +119,7 @@
 @given(st.lists(records, max_size=40))
 @settings(derandomize=True, deadline=None, max_examples=300)
 def test_the_table_agrees_with_a_reference_model(drawn):
-    # Were a settled key taken for a free one, its booking would run a second time.
+    # If a settled key were considered free, its booking would run a second time.
     reference, table = ReferenceTable(), ClaimTable(DAY_S)
     for offset, record_args in enumerate(drawn):
         record = record_of(*record_args)
