--- a/acaciacove/messages/digest.py
+++ b/acaciacove/messages/digest.py
@@ -7,8 +7,8 @@
 class Digest:
     """Summary of a process's state, sent periodically to a few random peers.
 
-    ``status`` is the sender's ``InstanceStatus``. ``peers`` may list instances to
-    which it has just lost the connection or that are shutting down, as
+    ``status`` is the sender's ``InstanceStatus``. ``peers`` may list instances that
+    have just become unreachable for the sender or are shutting down, as
     ``name/incarnation/status``.
     """
 
--- a/acaciacove/messages/evidence.py
+++ b/acaciacove/messages/evidence.py
@@ -7,7 +7,7 @@
 
 @frozen
 class Evidence:
-    """Monotonic counters, so that lost and duplicate messages are harmless.
+    """Counters that never decrease, so that lost or duplicate messages are harmless.
 
     ``window`` is the sender's current window. Windows are counted in ratings, which
     only the judging entries read. A sidecar therefore takes the window from their
--- a/acaciacove/messages/gateway_report.py
+++ b/acaciacove/messages/gateway_report.py
@@ -10,12 +10,12 @@
 class GatewayReport:
     """Age of the sender's routing view, and evidence on the current roll-outs.
 
-    ``confirmed_age_s`` is the time since the log last confirmed to the sender that
-    ``revision`` is the newest decision; infinite if it never has. ``echo`` is the
-    ``nonce`` of the receiver's last report. It proves that this report was created
-    after that one was sent, however long it has waited in a queue. ``address`` is
-    IP:PORT. ``outcomes_offset`` is the end of the log of roll-out outcomes when the
-    sender read it.
+    ``confirmed_age_s`` is the time since the sender's last request to the log that
+    confirmed ``revision`` as the newest decision; infinite if there was none.
+    ``echo`` is the ``nonce`` of the receiver's last report. It proves that this
+    report was created after that one was sent, however long it has waited in a
+    queue. ``address`` is IP:PORT. ``outcomes_offset`` is the end of the log of
+    roll-out outcomes when the sender read it.
     """
 
     instance: str
--- a/acaciacove/messages/version_cell.py
+++ b/acaciacove/messages/version_cell.py
@@ -5,7 +5,7 @@
 
 @frozen
 class VersionCell:
-    """Counts since the order of a roll-out; monotonic per incarnation of a gateway.
+    """Counts since the order of a roll-out; they never decrease in one incarnation.
 
     ``revision`` is the log offset of the order. ``is_target`` is true for the new
     version and false for the old ones. ``name`` is a route with a model size, or an
--- a/acaciacove/state/billing_ledger.py
+++ b/acaciacove/state/billing_ledger.py
@@ -33,7 +33,7 @@
         return self._records.get(request_id)
 
     def offer(self, entries: list[LogEntry]) -> None:
-        """Apply log entries in the order in which a LogTail delivers them."""
+        """Apply log entries, as a LogTail delivers them in order."""
         for entry in entries:
             try:
                 batch = decode_batch(entry.payload)
--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -40,7 +40,7 @@
 
 
 class ClaimLog:
-    """Tables of the partitions that this process has used, and appends to the log."""
+    """Reads the claims partitions that this process uses, and appends claim records."""
 
     def __init__(
         self,
--- a/acaciacove/state/claim_row.py
+++ b/acaciacove/state/claim_row.py
@@ -8,7 +8,7 @@
     """Values from which a claim and its outcome can be restored.
 
     ``number`` is the last part of the claim's id, ``owner`` an index into the list of
-    owners, ``at_s`` Unix time in full seconds, ``offset`` the offset of the outcome in
+    owners, ``at_s`` Unix time in whole seconds, ``offset`` the offset of the outcome in
     the log.
     """
 
--- a/acaciacove/state/priority.py
+++ b/acaciacove/state/priority.py
@@ -4,7 +4,7 @@
 
 
 class Priority(IntEnum):
-    """Lower values are appended first when the log is slow or its budget is low.
+    """Lower values are appended first when the log is slow or rate-limited.
 
     Each class has a separate append budget.
     """
--- a/acaciacove/wire/connection.py
+++ b/acaciacove/wire/connection.py
@@ -45,7 +45,7 @@
         )
 
     async def receive(self) -> Message | None:
-        """Wait for a message; None after a disconnect, or on malformed bytes."""
+        """Wait for a message; None after a disconnect, or on a malformed frame."""
         try:
             prefix = await self._reader.readexactly(LENGTH_BYTES)
             size_bytes = int.from_bytes(prefix, "big")
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -38,6 +38,8 @@
 
 
 class World:
+    """Claim owners, their access to the log, and the calls of the endpoint."""
+
     def __init__(self, seed=1, settings=None, **log):
         self.random = Random(seed)
         self.log = FaultyLog(Random(seed), **log)
--- a/tests/test_state_claims.py
+++ b/tests/test_state_claims.py
@@ -166,7 +166,7 @@
     run_virtual(main)
 
 
-def test_bookings_are_refused_at_once_while_the_log_is_known_to_be_down():
+def test_bookings_are_refused_immediately_while_the_log_is_down():
     # Guards against head-of-line blocking: waiting bookings would occupy the slots of
     # the endpoint for seconds, and calls that need no claim would queue behind them.
     async def main():
