--- a/acaciacove/state/billing_outbox.py
+++ b/acaciacove/state/billing_outbox.py
@@ -1,4 +1,4 @@
-"""Holds billing records until they are known to be in the log."""
+"""Retains billing records until they are confirmed to be in the log."""
 
 import asyncio
 import heapq
@@ -7,104 +7,108 @@
 
 from acaciacove.errors import LogQueueFullError
 from acaciacove.state.append_result import AppendResult
-from acaciacove.state.awaited_copy import AwaitedCopy
 from acaciacove.state.billing_codec import encode_billing_record
 from acaciacove.state.billing_record import BILLING_STREAM, BillingRecord
-from acaciacove.state.billing_row import holders_of, pack_row, unpack_row
+from acaciacove.state.billing_row import pack_row, unpack_holders, unpack_row
 from acaciacove.state.billing_settings import BillingSettings
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.priority import Priority
+from acaciacove.state.unconfirmed_copy import UnconfirmedCopy
 
-Due = tuple[float, int, str]
+DueCopy = tuple[float, int, str]
 
 
 class BillingOutbox:
-    """The unbilled requests of one entry or sidecar.
+    """Billing records of one entry or sidecar that are not yet in the log.
 
-    The entry bills a request with ``bill`` once it has ended; each sidecar that
-    worked for it keeps a copy with ``hold``. ``tick`` is called a few times a
-    second. Two processes that bill the same request do no harm: the first record
-    for an id counts.
+    The entry bills a request with ``bill`` when it has ended. Each sidecar that
+    worked for it retains a copy with ``hold``. ``tick`` is called a few times per
+    second. Duplicate records of two processes are harmless: the first record for an
+    id counts.
 
-    Every held record is a packed row under its id. Ids that are due wait in order,
-    and the log writer has only a bounded number of them at a time: an outage of an
-    hour leaves tens of thousands, and an item in the writer weighs several rows.
+    Each record is held as a packed row under its id. Due ids are queued in order,
+    and only a bounded number of them is submitted to the log writer at a time. An
+    outage of one hour leaves tens of thousands of records, and an item in the
+    writer takes the memory of several rows.
     """
 
     def __init__(self, name: str, writer: LogWriter, settings: BillingSettings) -> None:
-        """Start with nothing held."""
+        """Start without records."""
         self._name = name
         self._writer = writer
         self._settings = settings
         self._rows: dict[str, bytes] = {}
         self._ready: deque[str] = deque()
         self._submitted: set[str] = set()
-        self._copies: dict[str, AwaitedCopy] = {}
-        self._due: list[Due] = []
-        self._confirmed: dict[str, deque[str]] = defaultdict(deque)
+        self._copies: dict[str, UnconfirmedCopy] = {}
+        self._due: list[DueCopy] = []
+        self._unsent_confirmations: dict[str, deque[str]] = defaultdict(deque)
         self._sequence = 0
 
     @property
     def held(self) -> int:
-        """Return how many records are not known to be in the log."""
+        """Return the number of records that are not confirmed to be in the log."""
         return len(self._rows)
 
     @property
     def has_room(self) -> bool:
-        """Tell whether a new request may be taken on.
+        """Return whether a new request may be admitted.
 
-        Without the bound, a log that is down for hours would fill the memory of
-        every process until the platform killed it, and its records were lost.
+        Without this limit, a log outage of several hours would fill the memory of
+        every process until the platform killed it, and its records would be lost.
         """
         return len(self._rows) < self._settings.max_held
 
     def bill(self, record: BillingRecord, holders: Iterable[str], now_s: float) -> None:
-        """Append a record as soon as the log takes it; the entry's part.
+        """Append a record as soon as the log accepts it; called by the entry.
 
-        ``holders`` are the sidecars that were asked, and may hold a copy. A further
-        record for an id changes nothing but adds its holders, who are told as well.
+        ``holders`` are the sidecars that received the request and may hold a copy. A
+        further record for an id only adds its holders, which then also receive the
+        confirmation.
         """
         request_id = record.request_id
-        asked = tuple(dict.fromkeys(holders))
-        if self._is_own(request_id):
+        sidecars = tuple(dict.fromkeys(holders))
+        if self._is_local(request_id):
             row = self._rows[request_id]
             first = unpack_row(request_id, self._name, row)
-            told = dict.fromkeys((*(holders_of(row) or ()), *asked))
-            self._rows[request_id] = pack_row(first, told)
+            all_holders = dict.fromkeys((*(unpack_holders(row) or ()), *sidecars))
+            self._rows[request_id] = pack_row(first, all_holders)
         else:
             self._copies.pop(request_id, None)
-            self._rows[request_id] = pack_row(record, asked)
+            self._rows[request_id] = pack_row(record, sidecars)
             self._ready.append(request_id)
         self.tick(now_s)
 
     def hold(self, record: BillingRecord, entry: str, now_s: float) -> None:
-        """Keep a copy until the entry confirms it; the sidecar's part."""
+        """Retain a copy until the entry confirms it; called by the sidecar."""
         request_id = record.request_id
-        if self._is_own(request_id):
+        if self._is_local(request_id):
             return
         self._rows[request_id] = pack_row(record, None)
-        self._await(request_id, AwaitedCopy(entry, now_s + self._settings.confirm_s))
+        self._schedule_copy(
+            request_id, UnconfirmedCopy(entry, now_s + self._settings.confirm_s)
+        )
 
     def confirm(self, request_ids: Iterable[str]) -> None:
-        """Drop copies of records that the entry has in the log."""
+        """Remove copies of records that the entry has appended to the log."""
         for request_id in request_ids:
             if request_id not in self._submitted:
                 self._rows.pop(request_id, None)
                 self._copies.pop(request_id, None)
-        self._prune()
+        self._compact_ready()
 
-    def confirmations(self, sidecar: str) -> tuple[str, ...]:
-        """Take request ids to tell a sidecar, on a data message or a Billed."""
-        waiting = self._confirmed.get(sidecar)
-        if not waiting:
+    def take_confirmations(self, sidecar: str) -> tuple[str, ...]:
+        """Take the next ids to confirm to a sidecar, in a Run or Billed message."""
+        confirmed = self._unsent_confirmations.get(sidecar)
+        if not confirmed:
             return ()
-        count = min(len(waiting), self._settings.confirm_batch)
-        return tuple(waiting.popleft() for _ in range(count))
+        count = min(len(confirmed), self._settings.confirm_batch)
+        return tuple(confirmed.popleft() for _ in range(count))
 
     def tick(self, now_s: float, is_gone: Callable[[str], bool] | None = None) -> None:
-        """Submit what is due; ``is_gone`` tells whether an entry has gone."""
+        """Submit due records; ``is_gone`` returns whether an entry has ended."""
         if is_gone is not None:
-            self._hasten(now_s, is_gone)
+            self._expedite_copies(now_s, is_gone)
         while self._due and self._due[0][0] <= now_s:
             request_id = heapq.heappop(self._due)[2]
             copy = self._copies.get(request_id)
@@ -113,19 +117,23 @@
         self._submit_ready()
 
     def append_all(self, now_s: float) -> None:
-        """Make everything due: this process is about to end."""
+        """Submit all records now, because this process is about to shut down."""
         for request_id in list(self._copies):
             self._make_ready(request_id)
         self.tick(now_s)
 
-    def _is_own(self, request_id: str) -> bool:
-        """Tell whether a record is one's own, or a copy that has become so."""
+    def _is_local(self, request_id: str) -> bool:
+        """Return whether this process appends the record.
+
+        That is the case for its own records, and for copies that were not confirmed
+        in time and have been submitted.
+        """
         row = self._rows.get(request_id)
         if row is None:
             return False
-        return request_id in self._submitted or holders_of(row) is not None
+        return request_id in self._submitted or unpack_holders(row) is not None
 
-    def _await(self, request_id: str, copy: AwaitedCopy) -> None:
+    def _schedule_copy(self, request_id: str, copy: UnconfirmedCopy) -> None:
         self._copies[request_id] = copy
         self._sequence += 1
         heapq.heappush(self._due, (copy.due_s, self._sequence, request_id))
@@ -134,38 +142,39 @@
         del self._copies[request_id]
         self._ready.append(request_id)
 
-    def _prune(self) -> None:
-        """Forget ready ids that were confirmed once they outnumber the others.
+    def _compact_ready(self) -> None:
+        """Remove confirmed ids from the ready queue when they outnumber the others.
 
-        A sidecar without the log whose entry is late with every confirmation would
-        otherwise collect their ids for as long as the outage lasts.
+        If the log is unavailable to a sidecar and all confirmations of its entry are
+        late, these ids would otherwise accumulate throughout the outage.
         """
         if len(self._ready) <= 2 * len(self._rows) + self._settings.max_submitted:
             return
         self._ready = deque(i for i in dict.fromkeys(self._ready) if self._is_ready(i))
 
     def _is_ready(self, request_id: str) -> bool:
-        """Tell whether a record is held, due, and not with the writer yet.
+        """Return whether a record is held, due, and not yet submitted.
 
-        A copy that was confirmed and is held anew has an old place among the ready;
-        submitted from there, it would get ahead of its entry.
+        A copy that was confirmed and is then held again may still have its old place
+        in the ready queue. Submitted from there, it would precede the record of its
+        entry.
         """
-        waits = request_id in self._copies or request_id in self._submitted
-        return request_id in self._rows and not waits
+        pending = request_id in self._copies or request_id in self._submitted
+        return request_id in self._rows and not pending
 
-    def _hasten(self, now_s: float, is_gone: Callable[[str], bool]) -> None:
-        """Bring copies forward whose entry has gone, since nobody else bills them."""
+    def _expedite_copies(self, now_s: float, is_gone: Callable[[str], bool]) -> None:
+        """Make copies of ended entries due soon; no other process appends them."""
         soon_s = now_s + self._settings.gone_s
         entries = {copy.entry for copy in self._copies.values()}
-        gone = {entry for entry in entries if is_gone(entry)}
-        if not gone:
+        ended = {entry for entry in entries if is_gone(entry)}
+        if not ended:
             return
         for request_id, copy in self._copies.items():
-            if copy.entry in gone and copy.due_s > soon_s:
-                self._await(request_id, AwaitedCopy(copy.entry, soon_s))
+            if copy.entry in ended and copy.due_s > soon_s:
+                self._schedule_copy(request_id, UnconfirmedCopy(copy.entry, soon_s))
 
     def _submit_ready(self) -> None:
-        """Hand over records in order, while the writer may have more of them."""
+        """Submit ready records in order, up to ``max_submitted`` at a time."""
         while self._ready and len(self._submitted) < self._settings.max_submitted:
             request_id = self._ready[0]
             if self._is_ready(request_id) and not self._submit(request_id):
@@ -173,7 +182,7 @@
             self._ready.popleft()
 
     def _submit(self, request_id: str) -> bool:
-        """Hand a record to the writer; false while the writer has no room."""
+        """Submit a record to the writer; false if the queue of the writer is full."""
         record = unpack_row(request_id, self._name, self._rows[request_id])
         item = encode_billing_record(record)
         try:
@@ -181,14 +190,16 @@
         except LogQueueFullError:
             return False
         self._submitted.add(request_id)
-        done.add_done_callback(lambda done: self._landed(request_id, done))
+        done.add_done_callback(lambda done: self._on_appended(request_id, done))
         return True
 
-    def _landed(self, request_id: str, done: "asyncio.Future[AppendResult]") -> None:
-        """Forget a record that is in the log, and have its holders told.
+    def _on_appended(
+        self, request_id: str, done: "asyncio.Future[AppendResult]"
+    ) -> None:
+        """Remove a record that is in the log, and queue the confirmations.
 
-        The next one takes its place with the writer at once. If that waited for a
-        tick, a process that ends would find its writer idle and leave the rest behind.
+        The next record is submitted immediately. If that waited for a tick, a process
+        that shuts down would find its writer idle and lose the remaining records.
         """
         if done.cancelled():
             return
@@ -197,6 +208,6 @@
             self._ready.appendleft(request_id)
             return
         row = self._rows.pop(request_id)
-        for holder in holders_of(row) or ():
-            self._confirmed[holder].append(request_id)
+        for holder in unpack_holders(row) or ():
+            self._unsent_confirmations[holder].append(request_id)
         self._submit_ready()
--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -1,4 +1,4 @@
-"""The claims streams of one process: partitions read, records appended."""
+"""Access of one process to the claims streams of the log."""
 
 import asyncio
 from collections import deque
@@ -40,7 +40,7 @@
 
 
 class ClaimLog:
-    """Tables of the partitions that this process has met, and the way to the log."""
+    """Reads the claims partitions that this process uses, and appends claim records."""
 
     def __init__(
         self,
@@ -49,72 +49,75 @@
         settings: ClaimSettings,
         random: Random,
     ) -> None:
-        """Take what it works with; nothing is read before it is needed."""
+        """Store the parameters; partitions are read when they are first needed."""
         self._log = log
         self._writer = writer
         self._settings = settings
         self._random = random
         self._partitions: dict[int, ClaimPartition] = {}
-        self._unsent: deque[ClaimRecord] = deque()
-        self._settling = 0
-        writer.listen(self._appended)
+        self._unsubmitted: deque[ClaimRecord] = deque()
+        self._pending_claims = 0
+        writer.listen(self._on_appended)
 
     def table(self, key: str) -> ClaimTable:
-        """Return the table of a key's partition, as far as it was read."""
-        return self._open(self._number(key)).table
+        """Return the table of the key's partition, as far as it has been read."""
+        return self._open_partition(self._partition_number(key)).table
 
     def holder(self, key: str) -> HeldClaim | None:
-        """Return the claim that holds a key, as far as was read."""
+        """Return the claim that holds a key, as far as the partition has been read."""
         return self.table(key).holder(key)
 
-    async def settle(self, claim: Claim, until_s: float) -> Refusal | None:
-        """Append a claim and read up to it; a refusal when that takes too long.
+    async def append_claim(self, claim: Claim, deadline_s: float) -> Refusal | None:
+        """Append a claim and read up to it; return a refusal if that takes too long.
 
-        A refused claim is released, should it be in the log all the same. While the
-        log is down one claim at a time finds out whether it is back. Were all of
-        them to wait, they would hold their places at the endpoint for seconds each,
-        and calls that need no claim would queue behind them.
+        A refused claim is released, in case it is in the log nevertheless. While the
+        log is unavailable, only one claim at a time waits for its recovery. If all
+        claims waited, each would occupy a slot of the endpoint for seconds, and
+        calls that need no claim would queue behind them.
         """
         down = self._writer.health.status is LogStatus.DOWN
-        if down and self._settling > 0:
-            return claim_unavailable("the log is down")
-        self._settling += 1
+        if down and self._pending_claims > 0:
+            return claim_unavailable(
+                "the platform log is unavailable; another claim is waiting for it"
+            )
+        self._pending_claims += 1
         try:
-            return await self._settle(claim, until_s)
+            return await self._append_and_read(claim, deadline_s)
         finally:
-            self._settling -= 1
+            self._pending_claims -= 1
 
-    async def _settle(self, claim: Claim, until_s: float) -> Refusal | None:
-        stream = claims_stream(self._number(claim.key))
+    async def _append_and_read(self, claim: Claim, deadline_s: float) -> Refusal | None:
+        stream = claims_stream(self._partition_number(claim.key))
         item = encode_claim_record(claim)
         try:
-            appended = await self._writer.append(stream, item, Priority.CLAIM, until_s)
+            result = await self._writer.append(stream, item, Priority.CLAIM, deadline_s)
         except LogQueueFullError as error:
             return claim_unavailable(str(error))
-        if appended.state is AppendState.NOT_APPENDED:
-            return claim_unavailable("the log took no claim in time")
+        if result.state is AppendState.NOT_APPENDED:
+            return claim_unavailable("the claim was not appended to the log in time")
         release = Release(claim.key, claim.claim_id)
-        if not appended.appended:
-            # The claim may be in the log without an answer. Running on it could
-            # follow somebody else's earlier claim; leaving it would block the key.
+        if not result.appended:
+            # The log did not respond, so the claim may have been appended. The call
+            # must not run, since another process may have claimed the key earlier.
+            # Without a release the claim could block the key.
             self.record(release)
             return claim_unavailable("the log did not confirm the claim in time")
         try:
-            async with asyncio.timeout_at(until_s):
-                tail = self._open(self._number(claim.key)).tail
-                await tail.catch_up(appended.offset + 1)
+            async with asyncio.timeout_at(deadline_s):
+                tail = self._open_partition(self._partition_number(claim.key)).tail
+                await tail.catch_up(result.offset + 1)
         except (PlatformUnavailableError, TimeoutError):
             self.record(release)
             return claim_unavailable("the log could not be read up to the claim")
         return None
 
-    async def read_on(self, key: str) -> bool:
-        """Read a key's partition to its end; false when the log does not answer."""
-        return await self.refresh(self._number(key))
+    async def read_to_end(self, key: str) -> bool:
+        """Read the key's partition to its end; false if the log does not respond."""
+        return await self.refresh_partition(self._partition_number(key))
 
-    async def refresh(self, number: int) -> bool:
-        """Read a partition to its end; false when the log does not answer."""
-        tail = self._open(number).tail
+    async def refresh_partition(self, partition_number: int) -> bool:
+        """Read a partition to its end; false if the log does not respond."""
+        tail = self._open_partition(partition_number).tail
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
                 await tail.catch_up_to_end()
@@ -123,77 +126,77 @@
         self._writer.note_end(tail.stream, tail.next_offset)
         return True
 
-    def forget(self, wall_s: float) -> None:
-        """Drop keys past their time from every table."""
+    def remove_expired(self, wall_s: float) -> None:
+        """Remove expired keys from all tables; ``wall_s`` is Unix time."""
         for partition in self._partitions.values():
-            partition.table.forget(wall_s)
+            partition.table.remove_expired(wall_s)
 
     def record(self, record: ClaimRecord) -> None:
-        """Have a record appended, however long that takes."""
-        self._unsent.append(record)
-        self.resend()
-
-    def resend(self) -> None:
-        """Hand records over for which the writer had no room."""
-        while self._unsent:
-            record = self._unsent[0]
-            stream = claims_stream(self._number(record.key))
+        """Append a record, with retries until the log accepts it."""
+        self._unsubmitted.append(record)
+        self.submit_pending()
+
+    def submit_pending(self) -> None:
+        """Submit queued records until the queue of the log writer is full."""
+        while self._unsubmitted:
+            record = self._unsubmitted[0]
+            stream = claims_stream(self._partition_number(record.key))
             item = encode_claim_record(record)
             try:
-                # A record that follows a call is in nobody's way. Sent at once it
-                # would hold up the next claim for a trip to the log.
+                # No call waits for this record. If it were sent immediately, the next
+                # claim would be delayed by one round trip to the log.
                 linger_s = self._settings.record_linger_s
                 self._writer.submit(stream, item, Priority.CLAIM, linger_s)
             except LogQueueFullError:
                 return
-            self._unsent.popleft()
+            self._unsubmitted.popleft()
 
     async def flush(self, deadline_s: float) -> bool:
-        """Wait until every record is in the log; false at the deadline."""
-        self.resend()
-        return await self._writer.flush(deadline_s) and not self._unsent
+        """Wait until all records are in the log; false at the deadline."""
+        self.submit_pending()
+        return await self._writer.flush(deadline_s) and not self._unsubmitted
 
-    async def kept_answer(self, held: HeldClaim) -> ServiceAnswer | None:
-        """Read an answer back from the log."""
-        stream = claims_stream(self._number(held.claim.key))
+    async def read_answer(self, held: HeldClaim) -> ServiceAnswer | None:
+        """Read a retained answer from the log; None if that fails."""
+        stream = claims_stream(self._partition_number(held.claim.key))
         try:
             async with asyncio.timeout(self._settings.claim_wait_s):
                 entries = await self._log.read(stream, held.outcome_offset, 1)
         except (PlatformUnavailableError, OffsetExpiredError, TimeoutError):
             return None
-        for record in _records(entries):
+        for record in _decode_records(entries):
             if isinstance(record, Outcome) and record.claim_id == held.claim.claim_id:
                 return ServiceAnswer(record.status, record.headers, record.body)
         return None
 
-    def _number(self, key: str) -> int:
+    def _partition_number(self, key: str) -> int:
         return partition_of(key, self._settings.partitions)
 
-    def _open(self, number: int) -> ClaimPartition:
-        partition = self._partitions.get(number)
+    def _open_partition(self, partition_number: int) -> ClaimPartition:
+        partition = self._partitions.get(partition_number)
         if partition is None:
             table = ClaimTable(self._settings.remembered_s)
             tail = LogTail(
                 self._log,
-                claims_stream(number),
+                claims_stream(partition_number),
                 table.offer,
                 table.note_gap,
                 self._random,
                 self._writer.health,
             )
             partition = ClaimPartition(table, tail)
-            self._partitions[number] = partition
+            self._partitions[partition_number] = partition
         return partition
 
-    def _appended(self, stream: str, offset: int, payload: bytes) -> None:
-        """Fold what this process appended without reading it back, if it can."""
+    def _on_appended(self, stream: str, offset: int, payload: bytes) -> None:
+        """Apply records of this process without reading them back, where possible."""
         for partition in self._partitions.values():
             if partition.tail.stream == stream:
                 partition.tail.accept(LogEntry(offset, payload))
 
 
-def _records(entries: list[LogEntry]) -> Iterator[ClaimRecord]:
-    """Read the records of entries that were folded once already."""
+def _decode_records(entries: list[LogEntry]) -> Iterator[ClaimRecord]:
+    """Yield the claim records of entries; malformed records are skipped."""
     for entry in entries:
         for item in decode_batch(entry.payload).items:
             with suppress(MalformedMessageError):
--- a/acaciacove/state/claim_segment.py
+++ b/acaciacove/state/claim_segment.py
@@ -1,4 +1,4 @@
-"""Rows of settled claims, sorted by the hash of their keys."""
+"""Immutable segment of settled claims, sorted by key hash."""
 
 from array import array
 from bisect import bisect_left
@@ -9,53 +9,56 @@
 
 from acaciacove.state.claim_row import ClaimRow
 
-LAYOUT = Struct("<16sQIIHHB")
-HASHES = "Q"
+ROW_LAYOUT = Struct("<16sQIIHHB")
+HASH_TYPECODE = "Q"
 
 
 @frozen
 class ClaimSegment:
-    """Hashes in order, and a packed row for each; ``newest_s`` is Unix time."""
+    """Sorted key hashes with a packed row for each.
+
+    ``newest_s`` is the Unix time of the newest claim.
+    """
 
     hashes: "array[int]"
     rows: bytes
     newest_s: int
 
     def __len__(self) -> int:
-        """Return how many rows there are."""
+        """Return the number of rows."""
         return len(self.hashes)
 
-    def find(self, hashed: int) -> ClaimRow | None:
-        """Return the row of a hash."""
-        place = bisect_left(self.hashes, hashed)
-        if place == len(self.hashes) or self.hashes[place] != hashed:
+    def find(self, key_hash: int) -> ClaimRow | None:
+        """Return the row of a key hash."""
+        index = bisect_left(self.hashes, key_hash)
+        if index == len(self.hashes) or self.hashes[index] != key_hash:
             return None
-        return ClaimRow(*LAYOUT.unpack_from(self.rows, place * LAYOUT.size))
+        return ClaimRow(*ROW_LAYOUT.unpack_from(self.rows, index * ROW_LAYOUT.size))
 
     def items(self) -> Iterable[tuple[int, bytes]]:
-        """Yield hashes with their packed rows, in order."""
-        starts = range(0, len(self.rows), LAYOUT.size)
-        for hashed, start in zip(self.hashes, starts, strict=True):
-            yield hashed, self.rows[start : start + LAYOUT.size]
+        """Yield key hashes with their packed rows, in order."""
+        row_offsets = range(0, len(self.rows), ROW_LAYOUT.size)
+        for key_hash, row_offset in zip(self.hashes, row_offsets, strict=True):
+            yield key_hash, self.rows[row_offset : row_offset + ROW_LAYOUT.size]
 
 
-def segment_of(rows: dict[int, ClaimRow]) -> ClaimSegment:
-    """Sort and pack rows by hash."""
-    hashes = array(HASHES, sorted(rows))
-    packed = b"".join(_pack(rows[hashed]) for hashed in hashes)
+def build_segment(rows: dict[int, ClaimRow]) -> ClaimSegment:
+    """Return a segment of rows that are given by key hash."""
+    hashes = array(HASH_TYPECODE, sorted(rows))
+    packed = b"".join(_pack(rows[key_hash]) for key_hash in hashes)
     return ClaimSegment(hashes, packed, max(row.at_s for row in rows.values()))
 
 
-def merged(one: ClaimSegment, other: ClaimSegment) -> ClaimSegment:
-    """Join two segments, whose hashes differ."""
-    pairs = sorted([*one.items(), *other.items()])
-    hashes = array(HASHES, (hashed for hashed, _ in pairs))
+def merge_segments(first: ClaimSegment, second: ClaimSegment) -> ClaimSegment:
+    """Merge two segments without common key hashes."""
+    pairs = sorted([*first.items(), *second.items()])
+    hashes = array(HASH_TYPECODE, (key_hash for key_hash, _ in pairs))
     rows = b"".join(row for _, row in pairs)
-    return ClaimSegment(hashes, rows, max(one.newest_s, other.newest_s))
+    return ClaimSegment(hashes, rows, max(first.newest_s, second.newest_s))
 
 
 def _pack(row: ClaimRow) -> bytes:
-    return LAYOUT.pack(
+    return ROW_LAYOUT.pack(
         row.fingerprint,
         row.number,
         row.at_s,
--- a/acaciacove/state/own_call.py
+++ b/acaciacove/state/local_call.py
@@ -1,4 +1,4 @@
-"""A claim of this process and the call that it is for."""
+"""Claimed call of this process."""
 
 import asyncio
 
@@ -11,8 +11,11 @@
 
 
 @define(eq=False)
-class OwnCall:
-    """``done`` holds the answer or refusal, or None when the claim was lost."""
+class LocalCall:
+    """Claim of this process and the state of its call.
+
+    ``done`` is the answer or refusal; None if another claim holds the key.
+    """
 
     claim: Claim
     deadline_s: float
--- a/tests/claim_world.py
+++ b/tests/claim_world.py
@@ -1,4 +1,4 @@
-"""Owners of claims on one faulty log, before an endpoint that counts its calls."""
+"""Simulation of claim owners on one faulty log, with an endpoint that counts calls."""
 
 import asyncio
 from collections import Counter
@@ -11,33 +11,35 @@
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.log_writer_settings import LogWriterSettings
 
-UNIX_S = 1_800_000_000.0
+START_UNIX_S = 1_800_000_000.0
 
 
 class PausableLog:
-    """A process's way to the log, which stands still while the process is paused."""
+    """Access of one process to the log; its calls block while the process is paused."""
 
     def __init__(self, log):
         self.log = log
-        self.awake = asyncio.Event()
-        self.awake.set()
+        self.resumed = asyncio.Event()
+        self.resumed.set()
 
     async def append(self, stream, payload):
-        await self.awake.wait()
+        await self.resumed.wait()
         try:
             return await self.log.append(stream, payload)
         finally:
-            await self.awake.wait()
+            await self.resumed.wait()
 
     async def read(self, stream, from_offset, limit, wait_s=0.0):
-        await self.awake.wait()
+        await self.resumed.wait()
         try:
             return await self.log.read(stream, from_offset, limit, wait_s)
         finally:
-            await self.awake.wait()
+            await self.resumed.wait()
 
 
 class World:
+    """Claim owners, their access to the log, and the calls of the endpoint."""
+
     def __init__(self, seed=1, settings=None, **log):
         self.random = Random(seed)
         self.log = FaultyLog(Random(seed), **log)
@@ -51,7 +53,7 @@
         self.suspended_s = 0.0
 
     def start(self, name):
-        """Start a process under a name, with nothing but the log to know from."""
+        """Start a new incarnation of a process, whose only state is the log."""
         self.incarnations[name] += 1
         incarnation = self.incarnations[name]
         rng = Random(f"{name}/{incarnation}")
@@ -60,7 +62,7 @@
         writer = LogWriter(log, name, incarnation, settings, rng)
         owner = ClaimOwner(
             name, incarnation, log, writer, self.settings, rng,
-            self.wall_s, self.ask, self.is_gone,
+            self.wall_s, self.query_owner, self.is_gone,
         )  # fmt: skip
         self.owners[name], self.logs[name] = owner, log
         self.tasks[name] = [asyncio.create_task(writer.run())]
@@ -70,15 +72,15 @@
         owner = self.owners.pop(name)
         for task in [*self.tasks.pop(name), *owner._tasks]:
             task.cancel()
-        self.logs.pop(name).awake.clear()
+        self.logs.pop(name).resumed.clear()
 
     def wall_s(self):
-        return UNIX_S + self.suspended_s + asyncio.get_running_loop().time()
+        return START_UNIX_S + self.suspended_s + asyncio.get_running_loop().time()
 
-    async def ask(self, name, query):
+    async def query_owner(self, name, query):
         await asyncio.sleep(0.001)
         owner = self.owners.get(name)
-        if owner is None or not self.logs[name].awake.is_set():
+        if owner is None or not self.logs[name].resumed.is_set():
             return None
         return owner.on_query(query)
 
@@ -86,7 +88,7 @@
         return name not in self.owners or self.incarnations[name] > incarnation
 
     async def book(self, name, key, attempt="", timeout_s=5.0, body="a", issued_s=None):
-        """Ask one process for the booking ``key``."""
+        """Send the booking ``key`` to one process."""
 
         async def call():
             await asyncio.sleep(self.service_s / 2)
--- a/tests/test_state_claims.py
+++ b/tests/test_state_claims.py
@@ -1,4 +1,4 @@
-"""A call that may not be repeated runs at most once, and refusals are true."""
+"""Non-repeatable calls run at most once, and refusals with ``not_run`` are true."""
 
 import asyncio
 from random import Random
@@ -12,17 +12,17 @@
 from acaciacove.state.claim_key import claim_key, key_issued_s, request_fingerprint
 from acaciacove.state.claim_settings import ClaimSettings
 from acaciacove.state.rendezvous import rank_owners, usual_owner
-from tests.claim_world import UNIX_S, World
+from tests.claim_world import START_UNIX_S, World
 from tests.virtual import run_virtual
 
 OLD_UUID7 = "01890a5d-ac96-774b-bcce-b302099a8057"
 
 
-def test_a_booking_without_faults_costs_one_trip_to_the_log():
+def test_a_booking_without_faults_needs_one_log_round_trip():
     async def main():
         world = World(latency_s=0.010)
         owner = world.start("s1")
-        await asyncio.wait_for(_until_read(owner), 10)
+        await asyncio.wait_for(_read_partitions(owner), 10)
         loop = asyncio.get_running_loop()
         for n in range(20):
             before_s = loop.time()
@@ -33,30 +33,30 @@
     run_virtual(main)
 
 
-async def _until_read(owner):
+async def _read_partitions(owner):
     task = asyncio.create_task(owner.run(lambda: range(2)))
     await asyncio.sleep(1.0)
     task.cancel()
 
 
 def test_concurrent_duplicates_through_different_sidecars_run_once():
-    # A keeper's app retries a top-up after a second while the first try is still
-    # on its way; the two reach different endpoints. Both must see one answer.
+    # A client retries a call while the first attempt is in progress, and the two
+    # reach different endpoints. Both must receive the same answer.
     async def main():
         world = World()
         for name in ("s1", "s2", "s3"):
             world.start(name)
-        tries = [world.book(name, "topup") for name in ("s1", "s2", "s3", "s2")]
-        answers = await asyncio.gather(*tries)
+        attempts = [world.book(name, "topup") for name in ("s1", "s2", "s3", "s2")]
+        answers = await asyncio.gather(*attempts)
         assert world.calls["topup"] == 1
         assert {a.body for a in answers} == {b"seat 4/1"}
 
     run_virtual(main)
 
 
-def test_an_owner_killed_at_any_moment_never_leads_to_a_second_run():
-    # The sidecar dies before, during or after its call, and the caller retries
-    # elsewhere. A rerun would redeem the voucher twice.
+def test_a_call_is_not_repeated_when_its_owner_is_killed_at_any_moment():
+    # The sidecar is killed before, during or after its call, and the caller retries
+    # through another one. A second call would redeem the voucher twice.
     async def main(kill_after_s):
         world = World()
         world.start("s1")
@@ -78,20 +78,21 @@
     assert seen == {"Refusal", "ServiceAnswer"}
 
 
-def test_an_owner_paused_past_any_lease_does_not_run_what_another_was_told():
-    # The owner's machine freezes after its claim has landed and before it has read
-    # it. Under a lease another owner would take over, and both would run.
+def test_a_paused_owner_does_not_run_a_call_that_another_owner_reported_on():
+    # The machine of the owner is paused after its claim was appended and before the
+    # owner has read it. With a lease, another owner would take over and both would
+    # make the call.
     async def main():
         world = World()
         world.start("s1")
         world.start("s2")
         first = asyncio.create_task(world.book("s1", "shuttle", "first"))
         await asyncio.sleep(0.004)
-        world.logs["s1"].awake.clear()
+        world.logs["s1"].resumed.clear()
         second = await world.book("s2", "shuttle", "second", timeout_s=3.0)
         assert isinstance(second, Refusal) and not second.not_run
         await asyncio.sleep(7200)
-        world.logs["s1"].awake.set()
+        world.logs["s1"].resumed.set()
         paused = await first
         assert isinstance(paused, Refusal) and paused.not_run
         assert world.calls["shuttle"] == 0
@@ -102,9 +103,9 @@
 
 
 def test_a_call_is_not_started_after_the_machine_was_suspended():
-    # A suspended machine's monotonic clock may stand still: the deadline seems far
-    # away while the caller has long been told that the outcome is unknown, and the
-    # key may soon be forgotten by everyone else.
+    # The monotonic clock of a suspended machine may stop. The deadline then seems to
+    # be in the future, although the caller has already received "outcome unknown"
+    # and the other processes may soon remove the key.
     async def main():
         world = World()
         world.start("s1")
@@ -123,9 +124,9 @@
     run_virtual(main)
 
 
-def test_a_claim_that_lands_after_its_release_does_not_block_the_key():
-    # An append without a reply can land seconds later. The caller was told "not
-    # run" and tries again; a dead claim would make every retry wait for nobody.
+def test_a_claim_appended_after_its_release_does_not_block_the_key():
+    # An append without a reply can reach the log seconds later. The caller received
+    # "not run" and retries; a claim without a running owner must not block the key.
     async def main():
         world = World(late_share=1.0, late_s=30.0)
         world.start("s1")
@@ -141,9 +142,10 @@
     run_virtual(main)
 
 
-def test_a_claim_in_doubt_is_not_run_and_its_not_run_stays_true():
-    # The claim lands, and the reply to it is lost while the log goes down. The
-    # caller is told that nothing was booked; a minute later the log is back.
+def test_an_unconfirmed_claim_is_never_run():
+    # The claim is appended, but its reply is lost and the log becomes unavailable.
+    # The caller receives "not run", which must remain true when the log recovers a
+    # minute later.
     async def main():
         world = World(lost_reply_share=1.0)
         world.start("s1")
@@ -164,9 +166,9 @@
     run_virtual(main)
 
 
-def test_bookings_are_refused_at_once_while_the_log_is_known_to_be_down():
-    # Each would hold a place at the endpoint for seconds, and price look-ups that
-    # need no claim would wait behind bookings that cannot be made.
+def test_bookings_are_refused_immediately_while_the_log_is_down():
+    # Guards against head-of-line blocking: waiting bookings would occupy the slots of
+    # the endpoint for seconds, and calls that need no claim would queue behind them.
     async def main():
         world = World()
         world.start("s1")
@@ -189,9 +191,9 @@
     run_virtual(main)
 
 
-def test_a_retry_gets_the_same_answer_after_its_owner_has_gone():
-    # The caller's connection broke after the booking was made, and the endpoint
-    # was replaced before the caller tried again.
+def test_a_retry_gets_the_same_answer_after_its_owner_was_killed():
+    # The caller's connection was lost after the booking was made, and the endpoint
+    # was replaced before the retry.
     async def main():
         world = World()
         world.start("s1")
@@ -205,7 +207,7 @@
     run_virtual(main)
 
 
-def test_a_large_answer_is_fetched_from_its_owner_and_never_made_again():
+def test_a_large_answer_is_fetched_from_its_owner_and_the_call_not_repeated():
     async def main():
         world = World()
         world.answer_body = b"x" * 10_000
@@ -215,16 +217,16 @@
         assert await world.book("s2", "guide") == first
         await asyncio.sleep(1)
         world.kill("s1")
-        gone = await world.book("s2", "guide")
-        assert gone.reason is Reason.OUTCOME_UNKNOWN and not gone.not_run
+        refused = await world.book("s2", "guide")
+        assert refused.reason is Reason.OUTCOME_UNKNOWN and not refused.not_run
         assert world.calls["guide"] == 1
 
     run_virtual(main)
 
 
-def test_a_call_that_broke_off_is_reported_as_unknown_and_not_repeated():
-    # The endpoint's connection broke after the request had left. Nobody knows
-    # whether the driver was booked, so nobody may try again on his own.
+def test_a_call_with_a_lost_connection_is_outcome_unknown_and_not_repeated():
+    # The connection to the endpoint was lost after the request was sent. Whether the
+    # booking was made is unknown, so no process may repeat the call.
     async def main():
         world = World()
         owner = world.start("s1")
@@ -244,7 +246,7 @@
     run_virtual(main)
 
 
-def test_a_call_that_never_left_frees_its_key():
+def test_a_call_that_was_not_sent_releases_its_key():
     async def main():
         world = World()
         owner = world.start("s1")
@@ -259,34 +261,34 @@
 
 
 def test_a_key_used_for_another_request_or_past_its_window_is_refused():
-    # A caller's clock or counter starts over, and keys of last week come back. A
-    # late retry must not book the shuttle a second time.
+    # A caller reuses old keys after a reset of its clock or counter, or retries late.
+    # Neither may make a second booking.
     async def main():
-        window = ClaimSettings(partitions=2, window_s=3600.0)
-        world = World(settings=window)
+        short_window = ClaimSettings(partitions=2, window_s=3600.0)
+        world = World(settings=short_window)
         owner = world.start("s1")
         world.start("s2")
         assert (await world.book("s1", "k")).status == 201
         assert (await world.book("s2", "k", body="b")).reason is Reason.KEY_REUSED
         issued_s = key_issued_s(OLD_UUID7)
-        assert issued_s < UNIX_S
+        assert issued_s < START_UNIX_S
         old = await world.book("s1", "dated", issued_s=issued_s)
         assert old.reason is Reason.KEY_EXPIRED
         await asyncio.sleep(3700)
-        owner._claims.forget(world.wall_s())
+        owner._claims.remove_expired(world.wall_s())
         assert (await world.book("s2", "k")).reason is Reason.KEY_EXPIRED
         assert world.calls == {"k": 1}
 
     run_virtual(main)
 
 
-def test_a_dated_key_from_before_the_kept_records_is_refused():
-    # The log keeps records for a shorter time than was promised, and a fresh
-    # sidecar cannot know whether the key was used before them.
+def test_a_dated_key_older_than_the_retained_records_is_refused():
+    # The log retains records for less time than configured. A new sidecar then cannot
+    # know whether the key was used before the retained records.
     async def main():
         world = World(keep=4)
         world.start("s1")
-        issued_s = UNIX_S + asyncio.get_running_loop().time()
+        issued_s = START_UNIX_S + asyncio.get_running_loop().time()
         await world.book("s1", "k", issued_s=issued_s)
         await asyncio.sleep(1000)
         for n in range(8):
@@ -300,7 +302,7 @@
     run_virtual(main)
 
 
-def test_keys_of_other_teams_and_requests_differ():
+def test_claim_keys_differ_by_organisation_and_fingerprints_by_request():
     assert claim_key("a", "bc", "k") != claim_key("ab", "c", "k")
     assert request_fingerprint("POST", "/x", b"1") != request_fingerprint(
         "POST", "/x", b"2"
@@ -308,7 +310,7 @@
     assert key_issued_s("order-17") is None
 
 
-def test_only_the_partitions_of_a_lost_owner_change_hands():
+def test_only_the_partitions_of_a_removed_owner_are_reassigned():
     names = [f"s{n}" for n in range(7)]
     for partition in range(64):
         owner = usual_owner(partition, names)
@@ -327,43 +329,45 @@
 
 @given(st.integers(0, 2**32), faults)
 @settings(derandomize=True, deadline=None, max_examples=40, phases=[Phase.generate])
-def test_nothing_runs_twice_or_after_not_run_under_faults_in_pairs(seed, faults):
-    # Bookings with retries through random sidecars while the log and sidecars
-    # fail. A second run is a lost Saturday for a driver; a false "not run" makes
-    # the caller book again.
+def test_no_call_runs_twice_or_after_not_run_under_pairs_of_faults(seed, faults):
+    # Bookings with retries through random sidecars while the log and sidecars fail.
+    # Guards against calls that run twice, and against a false "not run", after which
+    # the caller would book again.
     random = Random(seed)
 
-    async def booking(world, key, told):
+    async def booking(world, key, calls_by_attempt):
         for number in range(random.randint(1, 4)):
             attempt = f"{key}/{number}/{random.random()}"
             name = random.choice(sorted(world.owners))
             timeout_s = random.uniform(0.3, 4.0)
-            asking = world.book(name, key, attempt, timeout_s)
-            told[attempt] = asyncio.create_task(asking)
-            # A killed or paused sidecar leaves its caller without a word.
-            await asyncio.wait({told[attempt]}, timeout=timeout_s + 1.0)
+            call = world.book(name, key, attempt, timeout_s)
+            calls_by_attempt[attempt] = asyncio.create_task(call)
+            # A killed or paused sidecar does not respond to its caller.
+            await asyncio.wait({calls_by_attempt[attempt]}, timeout=timeout_s + 1.0)
             await asyncio.sleep(random.uniform(0.0, 2.0))
 
     async def main():
         world = World(seed)
         for name in ("s1", "s2", "s3"):
             world.start(name)
-        told, tasks = {}, []
+        calls_by_attempt, tasks = {}, []
         for n in range(30):
             for _ in range(random.choice([1, 1, 2])):
-                tasks.append(asyncio.create_task(booking(world, f"k{n}", told)))
+                tasks.append(
+                    asyncio.create_task(booking(world, f"k{n}", calls_by_attempt))
+                )
             await asyncio.sleep(random.uniform(0.0, 0.5))
-            _fail(world, faults, random)
+            _toggle_faults(world, faults, random)
         for task in asyncio.as_completed(tasks, timeout=600):
             await task
         for log in world.logs.values():
-            log.awake.set()
+            log.resumed.set()
         world.log.down = False
         await asyncio.sleep(300)
         assert max(world.calls.values(), default=0) <= 1
         answers = {}
-        for attempt, asking in told.items():
-            result = asking.result() if asking.done() else None
+        for attempt, call in calls_by_attempt.items():
+            result = call.result() if call.done() else None
             if isinstance(result, ServiceAnswer):
                 answers.setdefault(attempt.partition("/")[0], set()).add(result.body)
             elif result is not None and result.not_run:
@@ -374,7 +378,7 @@
     run_virtual(main)
 
 
-def _fail(world, faults, random):
+def _toggle_faults(world, faults, random):
     """Switch faults on and off at random."""
     for fault in faults:
         on = random.random() < 0.3
@@ -393,4 +397,4 @@
                 world.start(name)
             case "pause":
                 log = world.logs[random.choice(sorted(world.owners))]
-                log.awake.clear() if on else log.awake.set()
+                log.resumed.clear() if on else log.resumed.set()
