--- a/acaciacove/bench/capacity_appends.py
+++ b/acaciacove/bench/capacity_appends.py
@@ -9,7 +9,7 @@
 
 from acaciacove.bench.design_size import DesignSize
 from acaciacove.bench.faulty_log import FaultyLog
-from acaciacove.state.append_budget import shared_settings
+from acaciacove.state.append_budget import split_append_rates
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.log_writer_settings import LogWriterSettings
 from acaciacove.state.priority import Priority
@@ -67,7 +67,9 @@
     loop = async_solipsism.EventLoop()
     asyncio.set_event_loop(loop)
     try:
-        settings = shared_settings(LogWriterSettings(), size.claim_owners, size.entries)
+        settings = split_append_rates(
+            LogWriterSettings(), size.claim_owners, size.entries
+        )
         item = b'{"item":"' + b"x" * item_bytes + b'"}'
         return loop.run_until_complete(
             _run(stream, priority, rate_per_s, items, item, settings)
--- a/acaciacove/bench/promise_callers.py
+++ b/acaciacove/bench/promise_callers.py
@@ -96,7 +96,7 @@
         self.requests += 1
         request_id = f"r{request.number}-{self.requests}"
         self._ids[request.key or request_id].add(request_id)
-        revision = entry.holder.revision
+        revision = entry.fleet_store.revision
         work = entry.spawn(entry.serve(request, request_id, token))
         death = asyncio.create_task(entry.dead.wait())
         timeout_s = request.deadline_s + PATIENCE_S
--- a/acaciacove/bench/promise_entry.py
+++ b/acaciacove/bench/promise_entry.py
@@ -36,12 +36,12 @@
         super().__init__(me, world)
         self.pins = SessionPins((SECRET,))
         self.plans = PlanCache(QualityEstimates(me.name))
-        self.membership.watch(())
+        self.membership.set_watched(())
 
     def on_step(self, now_s: float) -> None:
         """Watch the endpoints for silence."""
         usable = self.membership.peers()
-        self.membership.watch(i.name for i in usable if i.role is Role.ENDPOINT)
+        self.membership.set_watched(i.name for i in usable if i.role is Role.ENDPOINT)
 
     async def serve(
         self, request: PromiseRequest, request_id: str, token: str
@@ -105,7 +105,7 @@
         self, request: PromiseRequest, token: str, asked: list[str]
     ) -> tuple[VersionId, Instance] | Refusal:
         """Choose version and endpoint, or refuse."""
-        if not self.guard.may_decide(self.now_s()):
+        if not self.pause_detector.may_decide(self.now_s()):
             return Refusal(Reason.STALE_REVISION, True, "was paused")
         if self.status is not InstanceStatus.LIVE or not self.outbox.has_room:
             return Refusal(Reason.NOT_READY, True)
@@ -167,7 +167,7 @@
         return Run(
             request_id=request_id,
             attempt=attempt,
-            revision=self.holder.revision,
+            revision=self.fleet_store.revision,
             organisation=request.organisation,
             api=request.api,
             version=str(version),
@@ -189,7 +189,7 @@
             return Refusal(Reason.DEADLINE_EXCEEDED, False)
         except ConnectionLostError as error:
             if not error.sent:
-                self.membership.connect_failed(endpoint.name, self.now_s())
+                self.membership.record_connect_failure(endpoint.name, self.now_s())
             return Refusal(Reason.CONNECTION_LOST, not error.sent)
 
     async def _call(self, endpoint: Instance, run: Run) -> ServiceAnswer | Refusal:
@@ -208,7 +208,7 @@
             raise ConnectionLostError(sent=True)
         if isinstance(result, Refusal):
             incarnation = sidecar.me.incarnation
-            self.membership.refused(
+            self.membership.record_refusal(
                 endpoint.name, incarnation, result.reason, self.now_s()
             )
         return result
--- a/acaciacove/bench/promise_fleet.py
+++ b/acaciacove/bench/promise_fleet.py
@@ -141,7 +141,9 @@
         process.status = InstanceStatus.LEAVING
         if self.world.broken != "shutdown":
             peers = process.membership.peers()
-            process.send_all(process.spread.announce(peers, NOTICE_PEERS))
+            process.send_all(
+                process.release_gossip.announce_status(peers, NOTICE_PEERS)
+            )
             await process.leave(LEAVE_LIMIT_S)
             await asyncio.sleep(max(0.0, now_s + LEAVE_LIMIT_S - process.now_s()))
         cut = process.in_flight
--- a/acaciacove/bench/promise_process.py
+++ b/acaciacove/bench/promise_process.py
@@ -16,15 +16,15 @@
 from acaciacove.messages.message import Message
 from acaciacove.state.billing_outbox import BillingOutbox
 from acaciacove.state.billing_settings import BillingSettings
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.log_tail import LogTail
 from acaciacove.state.log_writer import LogWriter
 from acaciacove.state.log_writer_settings import LogWriterSettings
 from acaciacove.state.membership import Membership
 from acaciacove.state.membership_settings import MembershipSettings
 from acaciacove.state.record import RELEASE_STREAM
-from acaciacove.state.spread import Spread
-from acaciacove.state.spread_settings import SpreadSettings
+from acaciacove.state.release_gossip import ReleaseGossip
+from acaciacove.state.release_gossip_settings import ReleaseGossipSettings
 
 STEP_S = 0.1
 LIST_S = 1.0
@@ -49,24 +49,24 @@
         self.dead = asyncio.Event()
         self.status = InstanceStatus.STARTING
         self.in_flight = 0
-        self.holder = FleetHolder()
+        self.fleet_store = FleetStore()
         self.membership = Membership(MembershipSettings())
-        self.spread = Spread(
+        self.release_gossip = ReleaseGossip(
             me,
-            self.holder,
-            SpreadSettings(),
+            self.fleet_store,
+            ReleaseGossipSettings(),
             self.random,
             lambda: self.status,
             lambda: self.membership.evidence(self.now_s()),
         )
-        self.guard = self.spread.guard
+        self.pause_detector = self.release_gossip.pause_detector
         self.tail = LogTail(
             self,
             RELEASE_STREAM,
-            self.holder.offer,
-            self.holder.note_gap,
+            self.fleet_store.offer,
+            self.fleet_store.note_gap,
             self.random,
-            guard=self.guard,
+            pause_detector=self.pause_detector,
         )
         self.writer = LogWriter(
             self,
@@ -76,7 +76,7 @@
             self.random,
         )
         self.outbox = BillingOutbox(me.name, self.writer, BillingSettings())
-        self._seen = self.holder.state
+        self._seen = self.fleet_store.state
         self._tasks: set[asyncio.Task[Any]] = set()
 
     @staticmethod
@@ -144,15 +144,15 @@
         """Take in the revision that a data message carries."""
         if self.world.broken == "spread":
             return
-        pull = self.spread.needs_from_peer(revision)
+        pull = self.release_gossip.pull_if_behind(revision)
         if pull is not None:
             self.world.network.send(self.me.name, sender, pull)
-        elif self.holder.revision >= revision:
-            self.guard.confirmed(self.now_s())
+        elif self.fleet_store.revision >= revision:
+            self.pause_detector.confirm_up_to_date(self.now_s())
 
     def fleet_in_use(self) -> FleetState:
         """Return the state to decide on, falsified if a promise is to be broken."""
-        state = self.holder.state
+        state = self.fleet_store.state
         match self.world.broken:
             case "withdrawal":
                 versions = {
@@ -184,7 +184,7 @@
         if isinstance(message, Digest):
             self.membership.on_digest(message, now_s)
         if self.world.broken != "spread":
-            self.send_all(self.spread.on_message(sender, message, now_s))
+            self.send_all(self.release_gossip.on_message(sender, message, now_s))
         self._check_state()
 
     async def _follow_log(self) -> None:
@@ -194,7 +194,7 @@
             except self.world.unavailable:
                 await self.step(asyncio.sleep(0.3))
                 continue
-            self.spread.log_caught_up()
+            self.release_gossip.mark_log_caught_up()
             self._check_state()
             await self.step(asyncio.sleep(0.05))
 
@@ -202,7 +202,7 @@
         listed_s = -LIST_S
         while True:
             now_s = self.now_s()
-            self.guard.tick(now_s)
+            self.pause_detector.tick(now_s)
             if now_s - listed_s >= LIST_S:
                 listed_s = now_s
                 self.membership.on_list(self.world.listed(), now_s)
@@ -210,14 +210,14 @@
             await self.step(asyncio.sleep(STEP_S))
 
     def _step(self, now_s: float) -> None:
-        self.membership.check(now_s)
-        if self.status is InstanceStatus.STARTING and self.spread.ready:
+        self.membership.check_timeouts(now_s)
+        if self.status is InstanceStatus.STARTING and self.release_gossip.ready:
             self.status = InstanceStatus.LIVE
         if self.world.broken != "spread":
-            self.send_all(self.spread.tick(now_s, self.membership.peers()))
-        for probed in self.membership.to_probe(now_s):
+            self.send_all(self.release_gossip.tick(now_s, self.membership.peers()))
+        for probed in self.membership.due_probes(now_s):
             self.world.network.send(
-                self.me.name, probed.name, self.spread.digest(reply_wanted=True)
+                self.me.name, probed.name, self.release_gossip.digest(reply_wanted=True)
             )
         self.outbox.tick(now_s, self._is_gone)
         self.on_step(now_s)
@@ -228,7 +228,7 @@
 
     def _check_state(self) -> None:
         """Assert that this process never goes back and agrees with the log."""
-        state = self.holder.state
+        state = self.fleet_store.state
         if state is self._seen:
             return
         truth = self.world.truth
--- a/acaciacove/bench/promise_sidecar.py
+++ b/acaciacove/bench/promise_sidecar.py
@@ -45,7 +45,7 @@
         self.endpoint = endpoint
         self.served = frozenset(me.versions)
         self.admission = Admission(AdmissionQueue(AdmissionSettings(token_s=0.001)))
-        self.gate = FenceGate(lambda: self.holder.state.release_revision)
+        self.gate = FenceGate(lambda: self.fleet_store.state.release_revision)
         self.claims = ClaimOwner(
             me.name,
             me.incarnation,
@@ -57,7 +57,7 @@
             self._ask,
             self.membership.is_gone,
         )
-        self.holder.listen(lambda s: self.admission.update(s, self.served))
+        self.fleet_store.add_listener(lambda s: self.admission.update(s, self.served))
         self._reported_s = 0.0
 
     def start(self) -> None:
@@ -129,7 +129,7 @@
         return self._refuse(run) or await self._call(run)
 
     async def _call(self, run: Run) -> ServiceAnswer | Refusal:
-        version = self.holder.state.versions[_version(run)]
+        version = self.fleet_store.state.versions[_version(run)]
         answer = await self.step(self.endpoint.call(run, version))
         echo = answer.body.partition(b":")[0].decode()
         if echo != run.request_id and self.world.broken != "answers":
@@ -137,7 +137,7 @@
         return answer
 
     def _refuse(self, run: Run) -> Refusal | None:
-        if not self.guard.may_decide(self.now_s()):
+        if not self.pause_detector.may_decide(self.now_s()):
             return Refusal(Reason.STALE_REVISION, True, "was paused", 0.5)
         drains = self.world.broken == "drain"
         takes_work = drains or self.status is InstanceStatus.LIVE
--- a/acaciacove/bench/promise_truth.py
+++ b/acaciacove/bench/promise_truth.py
@@ -5,7 +5,7 @@
 from acaciacove.adapters.log_entry import LogEntry
 from acaciacove.bench.faulty_log import FaultyLog
 from acaciacove.fleet.fleet_state import NO_REVISION, FleetState
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.record import RELEASE_STREAM
 
 GRACE_S = 3.0
@@ -21,7 +21,7 @@
     def __init__(self, log: FaultyLog) -> None:
         """Read from the start."""
         self._log = log
-        self._holder = FleetHolder()
+        self._fleet_store = FleetStore()
         self.states: list[FleetState] = []
         self.known_s: dict[int, float] = {}
 
@@ -29,14 +29,14 @@
     def state(self) -> FleetState:
         """Return the newest state."""
         self.refresh()
-        return self._holder.state
+        return self._fleet_store.state
 
     def refresh(self) -> None:
         """Read what was appended since."""
         payloads = self._log.streams.get(RELEASE_STREAM, [])
-        for offset in range(self._holder.next_offset, len(payloads)):
-            self._holder.offer([LogEntry(offset, payloads[offset])])
-            self.states.append(self._holder.state)
+        for offset in range(self._fleet_store.next_offset, len(payloads)):
+            self._fleet_store.offer([LogEntry(offset, payloads[offset])])
+            self.states.append(self._fleet_store.state)
 
     def held(self, revision: int, now_s: float) -> None:
         """Learn that a live process holds a revision."""
--- a/acaciacove/bench/promises.py
+++ b/acaciacove/bench/promises.py
@@ -221,15 +221,17 @@
                 late = now_s - process.awake_since_s > GRACE_S
                 started = process.status is not InstanceStatus.STARTING
                 if awake and late and started and not self.world.was_cut(zone, now_s):
-                    kept = process.holder.revision >= due
-                    detail = f"{process.me.name}: {process.holder.revision} of {due}"
+                    kept = process.fleet_store.revision >= due
+                    detail = (
+                        f"{process.me.name}: {process.fleet_store.revision} of {due}"
+                    )
                     self.world.counts.check("spread", kept, detail)
 
     def _spoken_revision(self) -> int:
         """Return the highest revision of a process that can tell others of it."""
         cut_off = self.world.network.cut_off
         revisions = [
-            p.holder.revision
+            p.fleet_store.revision
             for p in self.fleet.processes()
             if p.awake.is_set() and p.me.availability_zone not in cut_off
         ]
--- a/acaciacove/bench/spread_cost.py
+++ b/acaciacove/bench/spread_cost.py
@@ -14,12 +14,12 @@
 from acaciacove.fleet.version import Version
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.messages.message import Message
-from acaciacove.state.fleet_holder import FleetHolder
-from acaciacove.state.outgoing import Outgoing
+from acaciacove.state.fleet_store import FleetStore
+from acaciacove.state.outgoing_message import OutgoingMessage
 from acaciacove.state.record_codec import encode_record
+from acaciacove.state.release_gossip import ReleaseGossip
+from acaciacove.state.release_gossip_settings import ReleaseGossipSettings
 from acaciacove.state.release_note import ReleaseNote
-from acaciacove.state.spread import Spread
-from acaciacove.state.spread_settings import SpreadSettings
 from acaciacove.wire.codec import encode
 
 SIZES = (10, 100, 1000)
@@ -52,18 +52,18 @@
 
 
 class _Fleet:
-    """Spread machines joined by a lossy network; the log is down throughout."""
+    """ReleaseGossip instances joined by a lossy network; the log is down throughout."""
 
     def __init__(self, size: int, random: Random) -> None:
         self.random = random
         self.now_s = 0.0
         self.sent: Counter[tuple[str, int]] = Counter()
         self.instances = [_instance(n) for n in range(size)]
-        self.holders = [FleetHolder() for _ in self.instances]
-        settings = SpreadSettings()
+        self.holders = [FleetStore() for _ in self.instances]
+        settings = ReleaseGossipSettings()
         self.machines = {
-            me.name: Spread(me, holder, settings, Random(random.random()))
-            for me, holder in zip(self.instances, self.holders, strict=True)
+            me.name: ReleaseGossip(me, fleet_store, settings, Random(random.random()))
+            for me, fleet_store in zip(self.instances, self.holders, strict=True)
         }
         self._sequence = 0
         self._events: list[tuple[float, int, str, str, Message | None]] = []
@@ -82,7 +82,7 @@
             self._send(name, machine.tick(self.now_s, self.instances))
             yield
 
-    def _send(self, sender: str, outgoing: list[Outgoing]) -> None:
+    def _send(self, sender: str, outgoing: list[OutgoingMessage]) -> None:
         for item in outgoing:
             second = int(self.now_s)
             self.sent[sender, second] += _size_bytes(item.message)
@@ -101,10 +101,10 @@
 def measure_spread(holders: int, seed: int) -> SpreadCost:
     """Let one process read a note while the log is down for all others."""
     fleet = _Fleet(holders, Random(seed))
-    for holder in fleet.holders:
-        holder.offer([LogEntry(0, encode_record(_note("first", -1)))])
+    for fleet_store in fleet.holders:
+        fleet_store.offer([LogEntry(0, encode_record(_note("first", -1)))])
     for machine in fleet.machines.values():
-        machine.log_caught_up()
+        machine.mark_log_caught_up()
     for _ in fleet.run_until(SETTLE_S):
         pass
     idle = sum(fleet.sent.values()) / SETTLE_S / holders
@@ -112,7 +112,7 @@
     fleet.holders[0].offer([LogEntry(1, note)])
     reached_s = LIMIT_S
     for _ in fleet.run_until(SETTLE_S + LIMIT_S):
-        if all(holder.revision == 1 for holder in fleet.holders):
+        if all(fleet_store.revision == 1 for fleet_store in fleet.holders):
             reached_s = fleet.now_s - SETTLE_S
             break
     for _ in fleet.run_until(2 * SETTLE_S):
--- a/acaciacove/cli/append_once.py
+++ b/acaciacove/cli/append_once.py
@@ -55,7 +55,7 @@
 ) -> AppendResult:
     """Let a log writer append; it looks for a lost reply's record by itself."""
     writer = LogWriter(log, WRITER_NAME, 0, LogWriterSettings(), random)
-    writer.note_end(RELEASE_STREAM, history.next_offset)
+    writer.record_end(RELEASE_STREAM, history.next_offset)
     async with background(writer.run()):
         return await writer.append(
             RELEASE_STREAM, encode_record(record), Priority.DECISION, deadline_s
--- a/acaciacove/cli/history.py
+++ b/acaciacove/cli/history.py
@@ -18,7 +18,7 @@
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.state.record import RELEASE_STREAM, Record
 from acaciacove.state.record_codec import decode_record
-from acaciacove.state.reducer import can_adopt, fold
+from acaciacove.state.reducer import can_start_from, fold
 from acaciacove.state.snapshot import Snapshot
 
 READ_LIMIT = 500
@@ -68,7 +68,7 @@
 
     def _covers_gap(self, offset: int, snapshot: Snapshot) -> bool:
         reaches = snapshot.state.revision + 1 >= self.first_offset
-        return reaches and can_adopt(self.state, offset, snapshot)
+        return reaches and can_start_from(self.state, offset, snapshot)
 
     def _adopt(self, state: FleetState) -> None:
         """Start from a snapshot, and fold what came after it."""
--- a/acaciacove/daemon/append_share.py
+++ b/acaciacove/daemon/append_share.py
@@ -6,7 +6,7 @@
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.role import Role
-from acaciacove.state.append_budget import shared_settings
+from acaciacove.state.append_budget import split_append_rates
 from acaciacove.state.log_writer_settings import LogWriterSettings
 
 
@@ -21,7 +21,7 @@
     entries = sum(instance.role is Role.ENTRY for instance in listed)
     endpoints = [i for i in listed if i.role is Role.ENDPOINT]
     services = sum(_serves_service(endpoint, fleet) for endpoint in endpoints)
-    return shared_settings(
+    return split_append_rates(
         LogWriterSettings(),
         claim_owners=services or len(endpoints),
         billing_processes=entries,
--- a/acaciacove/daemon/peer_network.py
+++ b/acaciacove/daemon/peer_network.py
@@ -1,6 +1,6 @@
 """One process among its peers: digests over UDP, records over TCP.
 
-The decisions are Spread's and Membership's; this class owns the socket and the time.
+ReleaseGossip and Membership decide; this class owns the socket and the clock.
 """
 
 import asyncio
@@ -16,10 +16,10 @@
 from acaciacove.messages.message import Message
 from acaciacove.messages.pull import Pull
 from acaciacove.messages.records import Records
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.membership import Membership
-from acaciacove.state.outgoing import Outgoing
-from acaciacove.state.spread import Spread
+from acaciacove.state.outgoing_message import OutgoingMessage
+from acaciacove.state.release_gossip import ReleaseGossip
 from acaciacove.wire.codec import decode, encode
 from acaciacove.wire.connection import connect
 
@@ -41,16 +41,16 @@
     def __init__(
         self,
         me: Instance,
-        spread: Spread,
+        release_gossip: ReleaseGossip,
         membership: Membership,
-        holder: FleetHolder,
+        fleet_store: FleetStore,
     ) -> None:
         """Take what the network serves; nothing is open before ``opened``."""
         self.control_bytes = 0
         self.on_evidence: EvidenceHandler = _no_answer
         self._me = me
-        self._holder = holder
-        self._spread = spread
+        self._fleet_store = fleet_store
+        self._release_gossip = release_gossip
         self._membership = membership
         self._transport: asyncio.DatagramTransport | None = None
         self._addresses: dict[str, Address] = {}
@@ -81,20 +81,26 @@
     def tick(self) -> None:
         """Look for silence, probe, and tell peers what is new."""
         now_s = _now_s()
-        self._membership.check(now_s)
-        for instance in self._membership.to_probe(now_s):
-            self.send_datagram(instance.name, self._spread.digest(reply_wanted=True))
-        self._send(self._spread.tick(now_s, self._membership.peers()))
+        self._membership.check_timeouts(now_s)
+        for instance in self._membership.due_probes(now_s):
+            self.send_datagram(
+                instance.name, self._release_gossip.digest(reply_wanted=True)
+            )
+        self._send(self._release_gossip.tick(now_s, self._membership.peers()))
 
     def announce_leaving(self) -> None:
         """Tell some peers at once that this process leaves."""
-        self._send(self._spread.announce(self._membership.peers(), LEAVING_PEERS))
+        self._send(
+            self._release_gossip.announce_status(
+                self._membership.peers(), LEAVING_PEERS
+            )
+        )
 
     def answer(self, sender: str, message: Message) -> list[Message]:
         """Take a message in that came on a connection; return the replies to it."""
         if isinstance(message, Digest):
             self._membership.on_digest(message, _now_s())
-        replies = self._spread.on_message(sender, message, _now_s())
+        replies = self._release_gossip.on_message(sender, message, _now_s())
         return [reply.message for reply in replies]
 
     def _receive(self, data: bytes, address: Address) -> None:
@@ -110,14 +116,14 @@
         self._addresses[message.instance] = address
         now_s = _now_s()
         self._membership.on_digest(message, now_s)
-        self._send(self._spread.on_message(message.instance, message, now_s))
+        self._send(self._release_gossip.on_message(message.instance, message, now_s))
 
     def _answer_evidence(self, evidence: Evidence, address: Address) -> None:
         answer = self.on_evidence(evidence)
         if answer is not None:
             self._send_datagram(answer, address)
 
-    def _send(self, outgoing: list[Outgoing]) -> None:
+    def _send(self, outgoing: list[OutgoingMessage]) -> None:
         for item in outgoing:
             match item.message:
                 case Digest():
@@ -162,11 +168,11 @@
             return
         self.control_bytes += len(encode(pull))
         if isinstance(message, Records):
-            self._send(self._spread.on_message(name, message, _now_s()))
+            self._send(self._release_gossip.on_message(name, message, _now_s()))
 
     def _hello(self) -> Hello:
         me = self._me
-        revision = self._holder.revision
+        revision = self._fleet_store.revision
         zone = me.availability_zone
         return Hello(me.name, me.incarnation, me.role, zone, revision)
 
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -22,7 +22,7 @@
 from acaciacove.messages.hello import Hello
 from acaciacove.messages.refused import Refused
 from acaciacove.reason import Reason
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.log_health import LogHealth
 from acaciacove.state.log_tail import LogTail
 from acaciacove.state.log_writer import LogWriter
@@ -31,9 +31,9 @@
 from acaciacove.state.membership_settings import MembershipSettings
 from acaciacove.state.priority import Priority
 from acaciacove.state.record import RELEASE_STREAM
+from acaciacove.state.release_gossip import ReleaseGossip
+from acaciacove.state.release_gossip_settings import ReleaseGossipSettings
 from acaciacove.state.snapshot_schedule import SnapshotSchedule
-from acaciacove.state.spread import Spread
-from acaciacove.state.spread_settings import SpreadSettings
 
 NS_PER_MS = 1_000_000
 SNAPSHOT_CHECK_S = 5.0
@@ -50,9 +50,9 @@
     """
 
     me: Instance
-    holder: FleetHolder
+    fleet_store: FleetStore
     membership: Membership
-    spread: Spread
+    release_gossip: ReleaseGossip
     network: PeerNetwork
     log: HttpLog
     writer: LogWriter
@@ -85,25 +85,25 @@
             self.me.incarnation,
             self.me.role,
             self.me.availability_zone,
-            self.holder.revision,
+            self.fleet_store.revision,
         )
 
-    def heard(self, peer: Hello | None) -> None:
+    def record_heard(self, peer: Hello | None) -> None:
         """Take in a sign of life of whoever is at the end of a connection."""
         if peer is not None:
-            self.membership.heard(peer.instance, peer.incarnation, _now_s())
+            self.membership.record_heard(peer.instance, peer.incarnation, _now_s())
 
     def connection_lost(self, name: str) -> None:
         """Take in that an instance cannot be reached, or was lost half-way."""
-        self.membership.connect_failed(name, _now_s())
+        self.membership.record_connect_failure(name, _now_s())
 
-    def refused(self, peer: Hello | None, name: str, refused: Refused) -> None:
+    def record_refusal(self, peer: Hello | None, name: str, refused: Refused) -> None:
         """Take in what a refusal says about its instance."""
         if refused.reason == Reason.CONNECTION_LOST:
             self.connection_lost(name)
         elif peer is not None:
             reason = Reason(refused.reason)
-            self.membership.refused(name, peer.incarnation, reason, _now_s())
+            self.membership.record_refusal(name, peer.incarnation, reason, _now_s())
 
     @property
     def is_listed(self) -> bool:
@@ -116,11 +116,13 @@
     @property
     def may_decide(self) -> bool:
         """Tell whether the state held is current: it is not right after a pause."""
-        return self.spread.guard.may_decide(_now_s())
+        return self.release_gossip.pause_detector.may_decide(_now_s())
 
     async def ready(self) -> None:
         """Wait until this process knows enough to decide."""
-        while not self.spread.ready or self.holder.state.release_revision < 0:
+        while (
+            not self.release_gossip.ready or self.fleet_store.state.release_revision < 0
+        ):
             await asyncio.sleep(READY_CHECK_S)
 
     async def knows_endpoints(self) -> None:
@@ -138,13 +140,13 @@
 
     async def _note_caught_up(self) -> None:
         await self.tail.caught_up.wait()
-        self.spread.log_caught_up()
+        self.release_gossip.mark_log_caught_up()
 
     async def _append_snapshots(self) -> None:
         """Append the state again before the records that it stands for expire."""
         while True:
             await asyncio.sleep(SNAPSHOT_CHECK_S)
-            payload = self.snapshots.due(asyncio.get_running_loop().time())
+            payload = self.snapshots.snapshot_if_due(asyncio.get_running_loop().time())
             if payload is not None:
                 self.writer.submit(RELEASE_STREAM, payload, Priority.DECISION)
 
@@ -158,15 +160,15 @@
     on_change: Callable[[], None],
 ) -> SharedState:
     """Put the parts together; nothing runs before ``running``."""
-    holder = FleetHolder()
+    fleet_store = FleetStore()
     health = LogHealth()
     writer = LogWriter(log, me.name, me.incarnation, LogWriterSettings(), rng, health)
 
     def changed() -> None:
-        writer.configure(append_share(membership.usable(), holder.state))
+        writer.configure(append_share(membership.usable(), fleet_store.state))
         on_change()
 
-    holder.listen(lambda _: changed())
+    fleet_store.add_listener(lambda _: changed())
     membership = Membership(MembershipSettings(), changed)
 
     def evidence() -> tuple[str, ...]:
@@ -178,29 +180,31 @@
         ready = lifecycle.accepts_callers
         return InstanceStatus.LIVE if ready else InstanceStatus.STARTING
 
-    spread = Spread(me, holder, SpreadSettings(), rng, status, evidence)
+    release_gossip = ReleaseGossip(
+        me, fleet_store, ReleaseGossipSettings(), rng, status, evidence
+    )
     tail = LogTail(
         log,
         RELEASE_STREAM,
-        holder.offer,
-        holder.note_gap,
+        fleet_store.offer,
+        fleet_store.note_gap,
         rng,
         health,
-        processes=lambda: len(membership.usable()) + 1,
-        guard=spread.guard,
+        process_count=lambda: len(membership.usable()) + 1,
+        pause_detector=release_gossip.pause_detector,
     )
-    holder.listen(lambda _: tail.advance_to(holder.next_offset))
+    fleet_store.add_listener(lambda _: tail.advance_to(fleet_store.next_offset))
     return SharedState(
         me=me,
-        holder=holder,
+        fleet_store=fleet_store,
         membership=membership,
-        spread=spread,
-        network=PeerNetwork(me, spread, membership, holder),
+        release_gossip=release_gossip,
+        network=PeerNetwork(me, release_gossip, membership, fleet_store),
         log=log,
         writer=writer,
         tail=tail,
         listing=listing,
-        snapshots=SnapshotSchedule(holder, me.name, rng),
+        snapshots=SnapshotSchedule(fleet_store, me.name, rng),
         health=health,
     )
 
@@ -217,8 +221,8 @@
 def describe(shared: SharedState) -> dict[str, Any]:
     """Return the shared part of ``/status``."""
     return {
-        "revision": shared.holder.revision,
-        "release_revision": shared.holder.state.release_revision,
+        "revision": shared.fleet_store.revision,
+        "release_revision": shared.fleet_store.state.release_revision,
         "log": shared.health.status.value,
         "usable_instances": len(shared.membership.usable()),
         "control_bytes": shared.network.control_bytes,
--- a/acaciacove/entry/choose.py
+++ b/acaciacove/entry/choose.py
@@ -20,7 +20,7 @@
     request: CallerRequest, progress: Progress, entry: EntryState
 ) -> tuple[Version, Instance] | Refusal:
     """Choose version and endpoint for the next attempt, and log why."""
-    fleet = entry.holder.state
+    fleet = entry.fleet_store.state
     if progress.decision is None:
         decision = entry.router.choose_version(fleet, request)
         if isinstance(decision, Refusal):
@@ -64,7 +64,7 @@
         reason=truthful.reason,
         not_run=truthful.not_run,
         detail=truthful.detail,
-        revision=entry.holder.state.revision,
+        revision=entry.fleet_store.state.revision,
     )
     return truthful
 
@@ -90,7 +90,7 @@
         endpoint=endpoint.endpoint.name,
         endpoint_why=endpoint.decision.why,
         endpoints_lost=_lost(endpoint.decision),
-        revision=entry.holder.state.revision,
+        revision=entry.fleet_store.state.revision,
     )
 
 
--- a/acaciacove/entry/entry_state.py
+++ b/acaciacove/entry/entry_state.py
@@ -18,7 +18,7 @@
 from acaciacove.fleet.instance import Instance
 from acaciacove.settings.entry_settings import EntrySettings
 from acaciacove.state.billing_outbox import BillingOutbox
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.session_pins import SessionPins
 
 REQUEST_ID_BITS = 128
@@ -46,13 +46,13 @@
     in_flight: int = 0
 
     @property
-    def holder(self) -> FleetHolder:
+    def fleet_store(self) -> FleetStore:
         """Return the state in force."""
-        return self.shared.holder
+        return self.shared.fleet_store
 
     def learn_revision(self, link: SidecarLink, revision: int) -> None:
         """Ask a sidecar for the records that it has and this entry lacks."""
-        pull = self.holder.needs_from_peer(revision)
+        pull = self.fleet_store.pull_if_behind(revision)
         if pull is not None:
             link.tell(pull)
 
--- a/acaciacove/entry/learning.py
+++ b/acaciacove/entry/learning.py
@@ -68,7 +68,7 @@
     """Fetch the ratings that came since the last look."""
     while True:
         fetched = await ratings.fetch(entry.learner.sequence, READ_LIMIT)
-        entry.learner.take_ratings(fetched, entry.holder.state)
+        entry.learner.take_ratings(fetched, entry.fleet_store.state)
         if len(fetched) < READ_LIMIT:
             return
 
@@ -81,7 +81,7 @@
 
 def _judge(entry: EntryState) -> None:
     """Append what follows from the evidence; every process reads it there."""
-    for judgement in entry.learner.judgements(entry.holder.state):
-        log_event("judge", record=judgement, revision=entry.holder.revision)
+    for judgement in entry.learner.judgements(entry.fleet_store.state):
+        log_event("judge", record=judgement, revision=entry.fleet_store.revision)
         payload = encode_record(judgement)
         entry.shared.writer.submit(RELEASE_STREAM, payload, Priority.DECISION)
--- a/acaciacove/entry/read_request.py
+++ b/acaciacove/entry/read_request.py
@@ -47,7 +47,7 @@
     if isinstance(deadline_s, Refusal):
         return deadline_s
     organisation = authenticate(
-        entry.holder.state, request.headers.get(header_names.AUTHORIZATION, "")
+        entry.fleet_store.state, request.headers.get(header_names.AUTHORIZATION, "")
     )
     if isinstance(organisation, Refusal):
         return organisation
@@ -136,7 +136,7 @@
 ) -> VersionId | None:
     """Return the version that the caller's session keeps."""
     return entry.pins.pinned_version(
-        entry.holder.state,
+        entry.fleet_store.state,
         organisation,
         api,
         request.headers.get(header_names.SESSION_ID, ""),
@@ -148,7 +148,7 @@
     entry: EntryState, model: str
 ) -> tuple[Api, VersionId | None] | Refusal:
     """Find the API that a chat request names, by itself or by a version."""
-    fleet = entry.holder.state
+    fleet = entry.fleet_store.state
     api = fleet.apis.get(model)
     if api is not None and api.kind is ApiKind.MODEL:
         return api, None
@@ -169,7 +169,7 @@
 ) -> CallerRequest | Refusal:
     """Read a call of a plain service."""
     name = request.path_params["api"]
-    api = entry.holder.state.apis.get(name)
+    api = entry.fleet_store.state.apis.get(name)
     if api is None or api.kind is not ApiKind.SERVICE:
         return Refusal(Reason.UNKNOWN_API, True, f"no service is called {name!r}")
     call = CallerRequest(
--- a/acaciacove/entry/router.py
+++ b/acaciacove/entry/router.py
@@ -26,7 +26,7 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 from acaciacove.state.claim_key import claim_key
-from acaciacove.state.rendezvous import partition_of, usual_owner
+from acaciacove.state.rendezvous import partition_of, preferred_owner
 
 RETRY_LATER_S = 1.0
 SESSION_PARTITIONS = 4096
@@ -208,7 +208,7 @@
         key = claim_key(
             request.organisation.name, request.api.name, request.idempotency_key
         )
-        owner = usual_owner(partition_of(key), able)
+        owner = preferred_owner(partition_of(key), able)
         return (able[owner],) if owner else ()
 
     def sent(self, endpoint: Instance, request: CallerRequest) -> None:
@@ -248,7 +248,7 @@
     if not request.session:
         return ""
     key = partition_of(request.session, SESSION_PARTITIONS)
-    return usual_owner(key, (endpoint.name for endpoint in subset)) or ""
+    return preferred_owner(key, (endpoint.name for endpoint in subset)) or ""
 
 
 def _is_open(instance: Instance, fleet: FleetState) -> bool:
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -79,7 +79,7 @@
     process = ProcessMetrics(registry)
 
     def status() -> dict[str, Any]:
-        process.refresh(shared.holder.revision, shared.network.control_bytes)
+        process.refresh(shared.fleet_store.revision, shared.network.control_bytes)
         strays = sum(link.stray_count for link in entry.links.values())
         entry.metrics.strays.set({}, strays)
         return _status(entry)
@@ -154,8 +154,8 @@
     def on_change() -> None:
         membership = shared.membership
         known = with_starting(membership.usable(), membership.starting())
-        router.update(known, shared.holder.state)
-        shared.membership.watch(router.views)
+        router.update(known, shared.fleet_store.state)
+        shared.membership.set_watched(router.views)
 
     shared = build_shared_state(
         me=_me(settings, peer_port),
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -69,14 +69,14 @@
                     yield AnswerPiece(event.data)
                 case End():
                     load = event.load
-                    entry.shared.heard(link.peer)
+                    entry.shared.record_heard(link.peer)
                     entry.learn_revision(link, event.revision)
                     yield _answer_end(progress, version, endpoint, event)
                     return
                 case Refused():
                     load = event.load
                     ok = event.not_run
-                    entry.shared.refused(link.peer, endpoint.name, event)
+                    entry.shared.record_refusal(link.peer, endpoint.name, event)
                     entry.learn_revision(link, event.revision)
                     yield event
                     return
@@ -147,7 +147,7 @@
     return Run(
         request_id=request.request_id,
         attempt=progress.attempts,
-        revision=entry.holder.state.revision,
+        revision=entry.fleet_store.state.revision,
         organisation=request.organisation.name,
         api=request.api.name,
         version=str(version.id),
--- a/acaciacove/sidecar/catch_up.py
+++ b/acaciacove/sidecar/catch_up.py
@@ -5,25 +5,25 @@
 
 from acaciacove.messages.message import Message
 from acaciacove.messages.run import Run
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 
 LIMIT_S = 0.5
 POLL_S = 0.005
 
 
 async def catch_up(
-    run: Run, holder: FleetHolder, send: Callable[[Message], Awaitable[None]]
+    run: Run, fleet_store: FleetStore, send: Callable[[Message], Awaitable[None]]
 ) -> None:
     """Ask the entry for the records that this side lacks, and wait for them a little.
 
     A sidecar that was paused or cut off would otherwise decide on old state. If the
     records do not come in time, the gate refuses the attempt as not run.
     """
-    pull = holder.needs_from_peer(run.revision)
+    pull = fleet_store.pull_if_behind(run.revision)
     if pull is None:
         return
     await send(pull)
     loop = asyncio.get_running_loop()
     until_s = loop.time() + min(LIMIT_S, run.deadline_s)
-    while holder.revision < run.revision and loop.time() < until_s:
+    while fleet_store.revision < run.revision and loop.time() < until_s:
         await asyncio.sleep(POLL_S)
--- a/acaciacove/sidecar/claimed_call.py
+++ b/acaciacove/sidecar/claimed_call.py
@@ -14,7 +14,7 @@
 from acaciacove.sidecar.sidecar_state import SidecarState
 from acaciacove.sidecar.ticket import Ticket
 from acaciacove.state.claim_key import claim_key, key_issued_s, request_fingerprint
-from acaciacove.state.rendezvous import CLAIM_PARTITIONS, usual_owner
+from acaciacove.state.rendezvous import CLAIM_PARTITIONS, preferred_owner
 
 
 async def call_once(
@@ -75,12 +75,12 @@
     }
     names.add(shared.me.name)
     for partition in range(CLAIM_PARTITIONS):
-        if usual_owner(partition, names) == shared.me.name:
+        if preferred_owner(partition, names) == shared.me.name:
             yield partition
 
 
 def _serves_claims(shared: SharedState) -> bool:
     """Tell whether this endpoint serves an API with calls that may not be repeated."""
-    fleet = shared.holder.state
+    fleet = shared.fleet_store.state
     apis = {fleet.versions[v].api for v in shared.me.versions if v in fleet.versions}
     return any(fleet.apis[api].non_idempotent for api in apis if api in fleet.apis)
--- a/acaciacove/sidecar/evidence_report.py
+++ b/acaciacove/sidecar/evidence_report.py
@@ -74,7 +74,7 @@
             is_due = self._is_urgent or loop.time() >= next_s
             if not (self._has_news and is_due and _is_reporter(shared, served())):
                 continue
-            next_s = loop.time() + _pause_s(len(shared.holder.state.versions))
+            next_s = loop.time() + _pause_s(len(shared.fleet_store.state.versions))
             self._has_news = self._is_urgent = False
             cells = self.guard.export_delta(CELLS_PER_REPORT)
             message = Evidence(to_message_cells(cells), self.guard.window)
@@ -94,7 +94,7 @@
     The rank is that by which versions under roll-out are loaded, so that the first
     holders of a new version are also those that report on it.
     """
-    fleet = shared.holder.state
+    fleet = shared.fleet_store.state
     endpoints = [i for i in shared.membership.usable() if i.role is Role.ENDPOINT]
     for version in served & fleet.versions.keys():
         listed = _listed(version, fleet, endpoints)
--- a/acaciacove/sidecar/hold_bill.py
+++ b/acaciacove/sidecar/hold_bill.py
@@ -23,7 +23,7 @@
     if run.non_idempotent and not answered:
         return
     version = parse_version_id(run.version)
-    known = sidecar.holder.state.versions.get(version) if version else None
+    known = sidecar.fleet_store.state.versions.get(version) if version else None
     if known is None:
         return
     cost = price(known, ticket.prompt_tokens, ticket.tokens) if answered else 0.0
--- a/acaciacove/sidecar/run_attempt.py
+++ b/acaciacove/sidecar/run_attempt.py
@@ -39,7 +39,7 @@
 async def run_attempt(run: Run, entry: str, sidecar: SidecarState, send: Send) -> None:
     """Answer an attempt of an entry with Head, Chunks and End, or with a Refused."""
     sidecar.billing.confirm(run.billed)
-    await catch_up(run, sidecar.holder, send)
+    await catch_up(run, sidecar.fleet_store, send)
     refusal = refuse_run(run, sidecar.gate_view())
     if refusal is not None:
         await _refuse(run, sidecar, refusal, send)
@@ -62,7 +62,7 @@
         completed = outcome is None
         if outcome is None or not outcome.not_run:
             hold_bill(run, entry, sidecar, ticket, completed)
-            sidecar.evidence.count(ticket, sidecar.holder.state, completed)
+            sidecar.evidence.count(ticket, sidecar.fleet_store.state, completed)
         if completed:
             sidecar.metrics.count_answer(run.version, ticket.tokens)
     finally:
@@ -85,14 +85,14 @@
 
 def _weight(run: Run, sidecar: SidecarState) -> float:
     """Return the organisation's share; the gate has checked that it is known."""
-    return sidecar.holder.state.organisations[run.organisation].weight
+    return sidecar.fleet_store.state.organisations[run.organisation].weight
 
 
 async def _answer(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
     """Ask the endpoint; None once the whole answer was sent."""
-    api = sidecar.holder.state.apis[run.api]
+    api = sidecar.fleet_store.state.apis[run.api]
     if api.kind is ApiKind.MODEL:
         return await _ask_engine(run, sidecar, ticket, send)
     return await _ask_service(run, entry, sidecar, ticket, send)
@@ -157,7 +157,7 @@
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
     """Make one call of the plain service and send its whole answer."""
-    api = sidecar.holder.state.apis[run.api]
+    api = sidecar.fleet_store.state.apis[run.api]
     call = ServiceCall(
         request_id=run.request_id,
         method=run.method,
@@ -204,7 +204,7 @@
         cached_tokens=finish.cached_tokens,
         service_s=now_s - ticket.admitted_at_s,
         finish_reason=finish.finish_reason,
-        revision=sidecar.holder.state.revision,
+        revision=sidecar.fleet_store.state.revision,
         load=sidecar.admission.load(),
     )
 
@@ -223,7 +223,7 @@
         reason=refusal.reason,
         not_run=refusal.not_run,
         detail=refusal.detail,
-        revision=sidecar.holder.state.revision,
+        revision=sidecar.fleet_store.state.revision,
     )
     refused = Refused(
         request_id=run.request_id,
@@ -232,7 +232,7 @@
         not_run=refusal.not_run,
         detail=refusal.detail,
         retry_after_s=refusal.retry_after_s,
-        revision=sidecar.holder.state.revision,
+        revision=sidecar.fleet_store.state.revision,
         load=sidecar.admission.load(),
     )
     await send(refused)
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -87,7 +87,7 @@
     process = ProcessMetrics(registry)
 
     def status() -> dict[str, Any]:
-        process.refresh(shared.holder.revision, shared.network.control_bytes)
+        process.refresh(shared.fleet_store.revision, shared.network.control_bytes)
         sidecar.metrics.refresh(sidecar.admission.load())
         return _status(sidecar)
 
@@ -153,7 +153,7 @@
     admission = Admission(queue)
 
     def on_change() -> None:
-        admission.update(shared.holder.state, state.served)
+        admission.update(shared.fleet_store.state, state.served)
 
     shared = build_shared_state(
         me=_me(settings, peer_port),
@@ -184,8 +184,8 @@
     store = None
     if settings.weight_store_url:
         store = HttpWeightStore(settings.weight_store_url, open_client())
-    holder = sidecar.holder
-    gate = FenceGate(lambda: holder.state.release_revision)
+    fleet_store = sidecar.fleet_store
+    gate = FenceGate(lambda: fleet_store.state.release_revision)
     return VersionOrders(sidecar, gate, store, Random(settings.seed or None))
 
 
--- a/acaciacove/sidecar/sidecar_state.py
+++ b/acaciacove/sidecar/sidecar_state.py
@@ -18,7 +18,7 @@
 from acaciacove.sidecar.sidecar_metrics import SidecarMetrics
 from acaciacove.state.billing_outbox import BillingOutbox
 from acaciacove.state.claim_owner import ClaimOwner
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 
 
 @define(eq=False)
@@ -43,7 +43,7 @@
     @property
     def is_engine(self) -> bool:
         """Tell whether a model engine, and no plain service, stands behind it."""
-        fleet = self.holder.state
+        fleet = self.fleet_store.state
         for version in self.served & fleet.versions.keys():
             api = fleet.apis.get(fleet.versions[version].api)
             if api is not None and api.kind is ApiKind.MODEL:
@@ -51,9 +51,9 @@
         return False
 
     @property
-    def holder(self) -> FleetHolder:
+    def fleet_store(self) -> FleetStore:
         """Return the state in force."""
-        return self.shared.holder
+        return self.shared.fleet_store
 
     def entry_is_gone(self, name: str) -> bool:
         """Tell whether nobody but this sidecar is left to bill for an entry."""
@@ -64,7 +64,7 @@
     def gate_view(self) -> GateView:
         """Return what the gate looks at, as of now."""
         return GateView(
-            fleet=self.holder.state,
+            fleet=self.fleet_store.state,
             instance=self.settings.name,
             availability_zone=self.settings.availability_zone,
             served=self.served,
--- a/acaciacove/sidecar/version_orders.py
+++ b/acaciacove/sidecar/version_orders.py
@@ -54,7 +54,7 @@
         if not self.sidecar.shared.is_listed:
             # Whoever knows nobody else would take each version for its own to hold.
             return
-        fleet = self.sidecar.holder.state
+        fleet = self.sidecar.fleet_store.state
         wanted = self._wanted(fleet)
         for version in sorted(wanted - self.sidecar.served):
             await self._load(version, fleet.revision)
@@ -109,7 +109,7 @@
         """Load a version, once the weight store lets its weights be fetched."""
 
         def still_wanted() -> Refusal | None:
-            wanted = version in self._wanted(self.sidecar.holder.state)
+            wanted = version in self._wanted(self.sidecar.fleet_store.state)
             return None if wanted else OVERTAKEN
 
         if self.store is not None:
@@ -119,7 +119,7 @@
             )
             if refusal is not None:
                 return
-        fence = max(fence, self.sidecar.holder.revision)
+        fence = max(fence, self.sidecar.fleet_store.revision)
         if await self._give(EngineAction.LOAD_VERSION, version, fence):
             self._serve(self.sidecar.served | {version})
 
@@ -131,7 +131,7 @@
 
     def _serve(self, versions: frozenset[VersionId]) -> None:
         self.sidecar.served = versions
-        self.sidecar.admission.update(self.sidecar.holder.state, versions)
+        self.sidecar.admission.update(self.sidecar.fleet_store.state, versions)
 
     async def _give(self, action: EngineAction, version: VersionId, fence: int) -> bool:
         """Give an order under its fencing number, and log it."""
--- a/acaciacove/standins/local_fleet.py
+++ b/acaciacove/standins/local_fleet.py
@@ -46,8 +46,8 @@
 
     async def in_force(self, offset: int) -> None:
         """Wait until every process holds the record at an offset."""
-        holders = [sidecar.state.holder for sidecar in self.sidecars.values()]
-        holders += [entry.state.holder for entry in self.entries]
+        holders = [sidecar.state.fleet_store for sidecar in self.sidecars.values()]
+        holders += [entry.state.fleet_store for entry in self.entries]
         await _until(lambda: all(h.state.revision >= offset for h in holders))
 
 
--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -57,7 +57,7 @@
         self._partitions: dict[int, ClaimPartition] = {}
         self._unsent: deque[ClaimRecord] = deque()
         self._settling = 0
-        writer.listen(self._appended)
+        writer.add_listener(self._appended)
 
     def table(self, key: str) -> ClaimTable:
         """Return the table of a key's partition, as far as it was read."""
@@ -120,7 +120,7 @@
                 await tail.catch_up_to_end()
         except (PlatformUnavailableError, TimeoutError):
             return False
-        self._writer.note_end(tail.stream, tail.next_offset)
+        self._writer.record_end(tail.stream, tail.next_offset)
         return True
 
     def forget(self, wall_s: float) -> None:
--- a/acaciacove/state/fence_gate.py
+++ b/acaciacove/state/fence_gate.py
@@ -13,28 +13,28 @@
 
     An order carries the log offset of the record that decided it. Engines that
     ignore the number would obey a process that was paused before that record was
-    overtaken, and load what was withdrawn since. ``in_force`` returns the offset of
-    the release in force, so that a sidecar that has just started refuses old orders
-    as well, before it has seen any newer one.
+    overtaken, and load what was withdrawn since. ``release_offset`` returns the
+    offset of the release in force, so that a sidecar that has just started refuses
+    old orders as well, before it has seen any newer one.
     """
 
-    def __init__(self, in_force: Callable[[], int]) -> None:
+    def __init__(self, release_offset: Callable[[], int]) -> None:
         """Start without having seen an order."""
-        self._in_force = in_force
-        self._highest = NO_FENCE
-        self.refused = 0
+        self._release_offset = release_offset
+        self._highest_fence = NO_FENCE
+        self.refused_orders = 0
 
     @property
     def fence(self) -> int:
         """Return the lowest number that an order may carry now."""
-        return max(self._highest, self._in_force())
+        return max(self._highest_fence, self._release_offset())
 
     def admit(self, fence: int) -> Refusal | None:
         """Take an order's number in; a refusal says that it must not be given."""
         lowest = self.fence
         if fence < lowest:
-            self.refused += 1
+            self.refused_orders += 1
             detail = f"decided at {fence}, overtaken at {lowest}"
             return Refusal(Reason.STALE_FENCE, True, detail)
-        self._highest = fence
+        self._highest_fence = fence
         return None
--- a/acaciacove/state/fleet_holder.py
+++ b/acaciacove/state/fleet_store.py
@@ -10,25 +10,25 @@
 from acaciacove.messages.pull import Pull
 from acaciacove.messages.record import Record as PeerRecord
 from acaciacove.messages.records import Records
-from acaciacove.state.folded import Folded
+from acaciacove.state.fold_result import FoldResult
 from acaciacove.state.instance_decision import InstanceDecision
 from acaciacove.state.record import Record
 from acaciacove.state.record_codec import decode_record, encode_record
-from acaciacove.state.reducer import can_adopt, fold
+from acaciacove.state.reducer import can_start_from, fold
 from acaciacove.state.release_note import ReleaseNote
 from acaciacove.state.snapshot import Snapshot
 from acaciacove.state.verdict import Verdict
 from acaciacove.state.zone_decision import ZoneDecision
 
-KEPT_RECORDS = 1024
-KEPT_VERDICTS = 256
-KEPT_BUFFER = 4096
-REPLY_BYTES = 65_536
+MAX_RECENT_RECORDS = 1024
+MAX_FOLD_RESULTS = 256
+MAX_BUFFERED_RECORDS = 4096
+MAX_REPLY_BYTES = 65_536
 
 StateListener = Callable[[FleetState], None]
 
 
-class FleetHolder:
+class FleetStore:
     """Folds what comes from the log and from peers; never moves to a lower revision.
 
     ``ready`` tells whether any revision is known. ``snapshot_revision`` is the
@@ -41,9 +41,9 @@
         self.snapshot_revision = -1
         self.snapshot_offset = -1
         self.contradictions = 0
-        self._records: deque[PeerRecord] = deque(maxlen=KEPT_RECORDS)
-        self._waiting: dict[int, bytes] = {}
-        self._verdicts: OrderedDict[str, Folded] = OrderedDict()
+        self._recent_records: deque[PeerRecord] = deque(maxlen=MAX_RECENT_RECORDS)
+        self._buffered: dict[int, bytes] = {}
+        self._fold_results: OrderedDict[str, FoldResult] = OrderedDict()
         self._listeners: list[StateListener] = []
 
     @property
@@ -57,9 +57,9 @@
         return self.state.revision + 1
 
     @property
-    def gap(self) -> bool:
+    def has_gap(self) -> bool:
         """Tell whether later records are known than can be folded."""
-        return bool(self._waiting)
+        return bool(self._buffered)
 
     def subscribe(self) -> "asyncio.Queue[FleetState]":
         """Return a queue that gets each new state."""
@@ -67,20 +67,20 @@
         self._listeners.append(queue.put_nowait)
         return queue
 
-    def listen(self, listener: StateListener) -> None:
+    def add_listener(self, listener: StateListener) -> None:
         """Call ``listener`` with each new state, in this task."""
         self._listeners.append(listener)
 
-    def verdict_of(self, record_id: str) -> Folded | None:
+    def fold_result_of(self, record_id: str) -> FoldResult | None:
         """Return what was made of a note or decision, if it was folded here lately."""
-        return self._verdicts.get(record_id)
+        return self._fold_results.get(record_id)
 
     def offer(self, entries: list[LogEntry]) -> None:
         """Fold entries of the release stream, as a LogTail hands them over."""
         before = self.state
         for entry in entries:
-            self._take(entry.offset, entry.payload)
-        self._announce(before)
+            self._apply(entry.offset, entry.payload)
+        self._notify_listeners(before)
 
     def note_gap(self, earliest_offset: int) -> None:
         """Learn that records before ``earliest_offset`` have expired.
@@ -89,16 +89,16 @@
         from a peer, covers what is missing.
         """
 
-    def offer_records(self, message: Records) -> None:
+    def apply_records(self, message: Records) -> None:
         """Fold what a peer sent: a snapshot of its state, then records."""
         before = self.state
         if message.snapshot:
-            self._adopt_from_peer(message)
+            self._install_peer_snapshot(message)
         for record in message.records:
-            self._take(record.offset, record.payload)
-        self._announce(before)
+            self._apply(record.offset, record.payload)
+        self._notify_listeners(before)
 
-    def needs_from_peer(self, revision: int) -> Pull | None:
+    def pull_if_behind(self, revision: int) -> Pull | None:
         """Return what to ask a peer at ``revision`` for, if it is ahead."""
         if revision <= self.revision:
             return None
@@ -109,26 +109,26 @@
 
         Records that are no longer kept here are replaced by the whole state.
         """
-        lacking = [r for r in self._records if r.offset >= pull.from_offset]
+        missing = [r for r in self._recent_records if r.offset >= pull.from_offset]
         complete = pull.from_offset > self.revision or (
-            bool(lacking) and lacking[0].offset == pull.from_offset
+            bool(missing) and missing[0].offset == pull.from_offset
         )
         if not complete:
-            return self._state_for_peer()
+            return self._snapshot_for_peer()
         records: list[PeerRecord] = []
         size = 0
-        for record in lacking[: pull.limit]:
+        for record in missing[: pull.limit]:
             size += len(record.payload)
-            if records and size > REPLY_BYTES:
+            if records and size > MAX_REPLY_BYTES:
                 break
             records.append(record)
         return Records(self.revision, records=tuple(records))
 
-    def _state_for_peer(self) -> Records:
+    def _snapshot_for_peer(self) -> Records:
         payload = encode_record(Snapshot(self.state))
         return Records(self.revision, payload, self.revision)
 
-    def _adopt_from_peer(self, message: Records) -> None:
+    def _install_peer_snapshot(self, message: Records) -> None:
         try:
             record = decode_record(message.snapshot)
         except MalformedMessageError:
@@ -138,9 +138,9 @@
             self.contradictions += 1
             return
         if record.state.revision > self.revision:
-            self._adopt(record.state)
+            self._install_state(record.state)
 
-    def _take(self, offset: int, payload: bytes) -> None:
+    def _apply(self, offset: int, payload: bytes) -> None:
         """Fold a record in its turn; one that comes early waits.
 
         A reader that folded past a hole would hold a state that no other reader
@@ -149,56 +149,56 @@
         if offset <= self.revision:
             return
         if offset > self.next_offset:
-            self._wait(offset, payload)
+            self._buffer(offset, payload)
             return
         self._fold(offset, payload)
-        self._fold_waiting()
+        self._fold_buffered()
 
-    def _wait(self, offset: int, payload: bytes) -> None:
+    def _buffer(self, offset: int, payload: bytes) -> None:
         """Keep an early record, and start from it if it is a usable snapshot."""
-        if len(self._waiting) >= KEPT_BUFFER:
-            self._waiting.pop(min(self._waiting))
-        self._waiting[offset] = payload
+        if len(self._buffered) >= MAX_BUFFERED_RECORDS:
+            self._buffered.pop(min(self._buffered))
+        self._buffered[offset] = payload
         if b'"snapshot"' not in payload[:64]:
             return
-        record = _decoded(payload)
+        record = _decode_or_none(payload)
         if not isinstance(record, Snapshot):
             return
-        if not can_adopt(self.state, offset, record):
+        if not can_start_from(self.state, offset, record):
             return
-        if all(o in self._waiting for o in range(record.state.revision + 1, offset)):
-            self._adopt(record.state)
+        if all(o in self._buffered for o in range(record.state.revision + 1, offset)):
+            self._install_state(record.state)
 
-    def _adopt(self, state: FleetState) -> None:
+    def _install_state(self, state: FleetState) -> None:
         """Take over a whole state that is newer than the one in force."""
         self.state = state
-        self._records.clear()
-        for offset in [o for o in self._waiting if o <= state.revision]:
-            del self._waiting[offset]
-        self._fold_waiting()
+        self._recent_records.clear()
+        for offset in [o for o in self._buffered if o <= state.revision]:
+            del self._buffered[offset]
+        self._fold_buffered()
 
-    def _fold_waiting(self) -> None:
-        while self.next_offset in self._waiting:
-            self._fold(self.next_offset, self._waiting.pop(self.next_offset))
+    def _fold_buffered(self) -> None:
+        while self.next_offset in self._buffered:
+            self._fold(self.next_offset, self._buffered.pop(self.next_offset))
 
     def _fold(self, offset: int, payload: bytes) -> None:
-        record = _decoded(payload)
-        folded = fold(self.state, offset, record)
-        self.state = folded.state
-        self._records.append(PeerRecord(offset, payload))
-        if folded.verdict is Verdict.CONTRADICTION:
+        record = _decode_or_none(payload)
+        result = fold(self.state, offset, record)
+        self.state = result.state
+        self._recent_records.append(PeerRecord(offset, payload))
+        if result.verdict is Verdict.CONTRADICTION:
             self.contradictions += 1
         elif isinstance(record, Snapshot):
-            self._note_snapshot(offset, record)
-        self._note_verdict(record, folded)
+            self._record_snapshot(offset, record)
+        self._record_fold_result(record, result)
 
-    def _note_snapshot(self, offset: int, snapshot: Snapshot) -> None:
+    def _record_snapshot(self, offset: int, snapshot: Snapshot) -> None:
         covered = snapshot.state.revision
         if covered > self.snapshot_revision:
             self.snapshot_revision = covered
             self.snapshot_offset = offset
 
-    def _note_verdict(self, record: Record | None, folded: Folded) -> None:
+    def _record_fold_result(self, record: Record | None, result: FoldResult) -> None:
         """Remember the first verdict on an id; a second copy is a duplicate."""
         match record:
             case ReleaseNote(note_id=record_id):
@@ -209,20 +209,20 @@
                 pass
             case _:
                 return
-        if record_id in self._verdicts:
+        if record_id in self._fold_results:
             return
-        self._verdicts[record_id] = folded
-        if len(self._verdicts) > KEPT_VERDICTS:
-            self._verdicts.popitem(last=False)
+        self._fold_results[record_id] = result
+        if len(self._fold_results) > MAX_FOLD_RESULTS:
+            self._fold_results.popitem(last=False)
 
-    def _announce(self, before: FleetState) -> None:
+    def _notify_listeners(self, before: FleetState) -> None:
         if self.state.revision == before.revision:
             return
         for listener in self._listeners:
             listener(self.state)
 
 
-def _decoded(payload: bytes) -> Record | None:
+def _decode_or_none(payload: bytes) -> Record | None:
     """Read a record; None stands for one that cannot be read."""
     try:
         return decode_record(payload)
--- a/acaciacove/state/folded.py
+++ b/acaciacove/state/fold_result.py
@@ -7,7 +7,7 @@
 
 
 @frozen
-class Folded:
+class FoldResult:
     """The state after a record, and whether the record changed it."""
 
     state: FleetState
--- a/acaciacove/state/log_health.py
+++ b/acaciacove/state/log_health.py
@@ -4,9 +4,9 @@
 
 from acaciacove.state.log_status import LogStatus
 
-SLOW_S = 0.5
-FAILURES_TO_DOWN = 3
-SMOOTHING = 0.3
+SLOW_LATENCY_S = 0.5
+DOWN_AFTER_FAILURES = 3
+LATENCY_SMOOTHING = 0.3
 
 
 @define
@@ -14,7 +14,7 @@
     """Fold of append and read results; shared by a process's writer and tails."""
 
     latency_s: float = 0.0
-    failures_in_a_row: int = 0
+    consecutive_failures: int = 0
     down_since_s: float | None = None
     appends: int = 0
     reads: int = 0
@@ -25,17 +25,20 @@
         """Return the status as of the last result."""
         if self.down_since_s is not None:
             return LogStatus.DOWN
-        return LogStatus.SLOW if self.latency_s > SLOW_S else LogStatus.UP
+        return LogStatus.SLOW if self.latency_s > SLOW_LATENCY_S else LogStatus.UP
 
-    def succeeded(self, latency_s: float) -> None:
+    def record_success(self, latency_s: float) -> None:
         """Count an answer that took ``latency_s`` beyond any wait it asked for."""
-        self.failures_in_a_row = 0
+        self.consecutive_failures = 0
         self.down_since_s = None
-        self.latency_s += SMOOTHING * (latency_s - self.latency_s)
+        self.latency_s += LATENCY_SMOOTHING * (latency_s - self.latency_s)
 
-    def failed(self, now_s: float) -> None:
+    def record_failure(self, now_s: float) -> None:
         """Count an answer that did not come."""
         self.failures += 1
-        self.failures_in_a_row += 1
-        if self.failures_in_a_row >= FAILURES_TO_DOWN and self.down_since_s is None:
+        self.consecutive_failures += 1
+        if (
+            self.consecutive_failures >= DOWN_AFTER_FAILURES
+            and self.down_since_s is None
+        ):
             self.down_since_s = now_s
--- a/acaciacove/state/log_tail.py
+++ b/acaciacove/state/log_tail.py
@@ -9,7 +9,7 @@
 from acaciacove.errors import OffsetExpiredError, PlatformUnavailableError
 from acaciacove.state.backoff import Backoff
 from acaciacove.state.log_health import LogHealth
-from acaciacove.state.wake_guard import WakeGuard
+from acaciacove.state.pause_detector import PauseDetector
 
 EntriesHandler = Callable[[list[LogEntry]], None]
 GapHandler = Callable[[int], None]
@@ -17,7 +17,7 @@
 READ_LIMIT = 1000
 READ_WAIT_S = 10.0
 READ_TIMEOUT_S = 3.0
-IDLE_DELAY_S = 0.1
+MIN_IDLE_DELAY_S = 0.1
 FLEET_READS_PER_S = 100.0
 BACKOFF_LIMIT_S = 2.0
 
@@ -39,24 +39,24 @@
         random: Random,
         health: LogHealth | None = None,
         next_offset: int = 0,
-        processes: Callable[[], int] = lambda: 1,
-        guard: WakeGuard | None = None,
+        process_count: Callable[[], int] = lambda: 1,
+        pause_detector: PauseDetector | None = None,
     ) -> None:
         """Take what the tail works with; nothing is read before ``run``.
 
-        ``processes`` tells how many follow the stream; see ``idle_delay_s``.
-        ``guard`` is told when the end of the stream was seen.
+        ``process_count`` tells how many follow the stream; see ``idle_delay_s``.
+        ``pause_detector`` is told when the end of the stream was seen.
         """
         self.stream = stream
         self.next_offset = next_offset
         self.caught_up = asyncio.Event()
         self.health = health or LogHealth()
         self._log = log
-        self._processes = processes
-        self._guard = guard
+        self._process_count = process_count
+        self._pause_detector = pause_detector
         self._handle_entries = handle_entries
         self._handle_gap = handle_gap
-        self._backoff = Backoff(random, limit_s=BACKOFF_LIMIT_S)
+        self._backoff = Backoff(random, max_delay_s=BACKOFF_LIMIT_S)
         self._lock = asyncio.Lock()
 
     def advance_to(self, next_offset: int) -> None:
@@ -86,7 +86,7 @@
             if count == 0:
                 # A log that answers an empty read at once, without waiting as
                 # it was asked to, would otherwise be polled in a busy loop.
-                await asyncio.sleep(idle_delay_s(self._processes()))
+                await asyncio.sleep(idle_delay_s(self._process_count()))
 
     async def read_once(self, wait_s: float = 0.0) -> int:
         """Read and hand over the next entries; return how many there were.
@@ -96,14 +96,14 @@
         async with self._lock:
             started_s = asyncio.get_running_loop().time()
             entries = await self._read(wait_s)
-            fresh = [e for e in entries if e.offset >= self.next_offset]
-            if fresh:
-                self.next_offset = fresh[-1].offset + 1
-                self._handle_entries(fresh)
+            unread = [e for e in entries if e.offset >= self.next_offset]
+            if unread:
+                self.next_offset = unread[-1].offset + 1
+                self._handle_entries(unread)
             if not entries:
                 self.caught_up.set()
-                self._confirm(started_s)
-            return len(fresh)
+                self._confirm_up_to_date(started_s)
+            return len(unread)
 
     async def catch_up(self, next_offset: int) -> None:
         """Read until everything before ``next_offset`` was handed over.
@@ -119,11 +119,14 @@
         while await self.read_once() > 0:
             pass
 
-    def _confirm(self, started_s: float) -> None:
+    def _confirm_up_to_date(self, started_s: float) -> None:
         """Tell the guard of a read that was started after the process woke."""
         now_s = asyncio.get_running_loop().time()
-        if self._guard is not None and self._guard.may_trust(started_s, now_s):
-            self._guard.confirmed(now_s)
+        if (
+            self._pause_detector is not None
+            and self._pause_detector.started_since_pause(started_s, now_s)
+        ):
+            self._pause_detector.confirm_up_to_date(now_s)
 
     async def _read(self, wait_s: float) -> list[LogEntry]:
         """Read once, past a gap if need be."""
@@ -143,18 +146,18 @@
                 self._handle_gap(error.earliest_offset)
                 continue
             except (PlatformUnavailableError, TimeoutError) as error:
-                self.health.failed(loop.time())
+                self.health.record_failure(loop.time())
                 raise PlatformUnavailableError(str(error)) from error
-            self.health.succeeded(max(0.0, loop.time() - started_s - wait_s))
+            self.health.record_success(max(0.0, loop.time() - started_s - wait_s))
             self._backoff.reset()
             return entries
 
 
-def idle_delay_s(processes: int) -> float:
+def idle_delay_s(process_count: int) -> float:
     """Return the pause after a read that brought nothing.
 
     A thousand processes that all read the log each second would be most of its
     work. All of them together keep to FLEET_READS_PER_S: whoever reads a record
     first passes it on, so that each of the others need not.
     """
-    return max(IDLE_DELAY_S, processes / FLEET_READS_PER_S - READ_WAIT_S)
+    return max(MIN_IDLE_DELAY_S, process_count / FLEET_READS_PER_S - READ_WAIT_S)
--- a/acaciacove/state/log_writer.py
+++ b/acaciacove/state/log_writer.py
@@ -23,7 +23,7 @@
 from acaciacove.state.token_bucket import TokenBucket
 
 READ_LIMIT = 1000
-SHORTEST_WAIT_S = 0.0005
+MIN_WAIT_S = 0.0005
 AppendListener = Callable[[str, int, bytes], None]
 QUEUE_SHARES = {Priority.DECISION: 1.0, Priority.CLAIM: 0.95, Priority.BILLING: 0.8}
 
@@ -56,8 +56,8 @@
         self._sequence = 0
         self._queued = 0
         self._streams: dict[str, deque[PendingItem]] = {}
-        self._ends: dict[str, int] = {}
-        self._due: dict[str, float] = {}
+        self._next_offsets: dict[str, int] = {}
+        self._due_s: dict[str, float] = {}
         self._in_flight: dict[str, asyncio.Task[None]] = {}
         self._buckets: dict[Priority, TokenBucket] = {}
         self._wake = asyncio.Event()
@@ -78,7 +78,7 @@
         """Return the tasks of the appends under way, such as to end them."""
         return list(self._in_flight.values())
 
-    def listen(self, listener: AppendListener) -> None:
+    def add_listener(self, listener: AppendListener) -> None:
         """Call ``listener`` with stream, offset and payload of what has landed.
 
         It is called before anyone who waits for an item of the payload resumes.
@@ -96,9 +96,9 @@
             else:
                 bucket.rate_per_s = rate
 
-    def note_end(self, stream: str, next_offset: int) -> None:
+    def record_end(self, stream: str, next_offset: int) -> None:
         """Learn how far a stream has been read, where a look-up may start."""
-        self._ends[stream] = max(self._ends.get(stream, 0), next_offset)
+        self._next_offsets[stream] = max(self._next_offsets.get(stream, 0), next_offset)
 
     def has_room(self, priority: Priority) -> bool:
         """Tell whether an item of this class would be taken now."""
@@ -131,7 +131,7 @@
         pending.abandoned = True
         if pending.sent:
             return AppendResult(AppendState.IN_DOUBT)
-        self._forget(pending)
+        self._dequeue(pending)
         return AppendResult(AppendState.NOT_APPENDED)
 
     async def run(self) -> None:
@@ -162,12 +162,12 @@
         pending = PendingItem(stream, item, priority, loop.time(), done)
         self._streams.setdefault(stream, deque()).append(pending)
         due_s = loop.time() + linger_s
-        self._due[stream] = min(due_s, self._due.get(stream, due_s))
+        self._due_s[stream] = min(due_s, self._due_s.get(stream, due_s))
         self._queued += 1
         self._wake.set()
         return pending
 
-    def _forget(self, pending: PendingItem) -> None:
+    def _dequeue(self, pending: PendingItem) -> None:
         """Take an item that was never sent out of its queue."""
         queue = self._streams.get(pending.stream)
         if queue is not None and pending in queue:
@@ -185,17 +185,17 @@
     def _start_batches(self, now_s: float) -> float | None:
         """Start what may go now; return the seconds until more may."""
         soonest_s: float | None = None
-        for stream in self._by_urgency():
+        for stream in self._ready_streams():
             if len(self._in_flight) >= self._settings.max_in_flight:
                 return None
             wait_s = self._wait_s(stream, now_s)
-            if wait_s > SHORTEST_WAIT_S:
+            if wait_s > MIN_WAIT_S:
                 soonest_s = wait_s if soonest_s is None else min(soonest_s, wait_s)
                 continue
-            self._start(stream, now_s)
+            self._start_batch(stream, now_s)
         return soonest_s
 
-    def _by_urgency(self) -> list[str]:
+    def _ready_streams(self) -> list[str]:
         """List streams with work and nothing under way, the most urgent first."""
         free = [s for s, q in self._streams.items() if q and s not in self._in_flight]
         return sorted(free, key=self._urgency)
@@ -213,7 +213,7 @@
         if len(queue) >= self._settings.max_batch_items:
             return token_s
         linger_s = self._linger_s(first.priority, bucket)
-        return max(token_s, self._due[stream] + linger_s - now_s)
+        return max(token_s, self._due_s[stream] + linger_s - now_s)
 
     def _linger_s(self, priority: Priority, bucket: TokenBucket) -> float:
         """Wait longer for company the scarcer the appends have become."""
@@ -221,18 +221,18 @@
             return self._settings.billing_linger_s
         if priority is Priority.DECISION:
             return 0.0
-        emptiness = 1.0 - bucket.tokens / bucket.burst
-        return self._settings.max_linger_s * max(0.0, emptiness - 0.5)
+        used_share = 1.0 - bucket.tokens / bucket.burst
+        return self._settings.max_linger_s * max(0.0, used_share - 0.5)
 
-    def _start(self, stream: str, now_s: float) -> None:
+    def _start_batch(self, stream: str, now_s: float) -> None:
         """Send a stream's next batch."""
         batch = self._next_batch(stream)
         self._buckets[batch[0].priority].spend(now_s)
         task = asyncio.create_task(self._commit(stream, batch))
         self._in_flight[stream] = task
-        task.add_done_callback(lambda _: self._finished(stream))
+        task.add_done_callback(lambda _: self._on_batch_done(stream))
 
-    def _finished(self, stream: str) -> None:
+    def _on_batch_done(self, stream: str) -> None:
         self._in_flight.pop(stream, None)
         self._wake.set()
 
@@ -250,9 +250,9 @@
             batch.append(queue.popleft())
         for item in batch:
             item.sent = True
-        self._due.pop(stream)
+        self._due_s.pop(stream)
         if queue:
-            self._due[stream] = queue[0].queued_s
+            self._due_s[stream] = queue[0].queued_s
         return batch
 
     def _payload(self, stream: str, batch: list[PendingItem]) -> bytes:
@@ -273,15 +273,15 @@
         second of two equal items.
         """
         payload = self._payload(stream, batch)
-        start = self._ends.get(stream, 0)
-        backoff = Backoff(self._random, limit_s=self._settings.backoff_limit_s)
+        start = self._next_offsets.get(stream, 0)
+        backoff = Backoff(self._random, max_delay_s=self._settings.backoff_limit_s)
         offset = await self._append_once(stream, payload)
         while offset is None:
             await asyncio.sleep(backoff.next_delay_s())
             try:
-                offset = await self._find(stream, payload, start)
+                offset = await self._find_payload(stream, payload, start)
             except (PlatformUnavailableError, TimeoutError):
-                self.health.failed(asyncio.get_running_loop().time())
+                self.health.record_failure(asyncio.get_running_loop().time())
                 continue
             if offset is None and all(item.abandoned for item in batch):
                 break
@@ -290,7 +290,7 @@
         if offset is not None:
             for listener in self._listeners:
                 listener(stream, offset, payload)
-        self._settle(stream, batch, offset)
+        self._resolve(stream, batch, offset)
 
     async def _append_once(self, stream: str, payload: bytes) -> int | None:
         """Send one append; None when no reply came."""
@@ -301,12 +301,14 @@
             async with asyncio.timeout(self._settings.append_timeout_s):
                 offset = await self._log.append(stream, payload)
         except (PlatformUnavailableError, TimeoutError):
-            self.health.failed(loop.time())
+            self.health.record_failure(loop.time())
             return None
-        self.health.succeeded(loop.time() - started_s)
+        self.health.record_success(loop.time() - started_s)
         return offset
 
-    async def _find(self, stream: str, payload: bytes, start: int) -> int | None:
+    async def _find_payload(
+        self, stream: str, payload: bytes, start: int
+    ) -> int | None:
         """Read a stream to its end for a payload; None when it is not there."""
         offset = start
         while True:
@@ -330,17 +332,17 @@
         self.health.reads += 1
         async with asyncio.timeout(self._settings.append_timeout_s):
             entries = await self._log.read(stream, offset, READ_LIMIT)
-        self.health.succeeded(loop.time() - started_s)
+        self.health.record_success(loop.time() - started_s)
         return entries
 
-    def _settle(
+    def _resolve(
         self, stream: str, batch: list[PendingItem], offset: int | None
     ) -> None:
         """Tell everyone who waits for an item of the batch."""
         result = AppendResult(AppendState.IN_DOUBT)
         if offset is not None:
             result = AppendResult(AppendState.APPENDED, offset)
-            self.note_end(stream, offset + 1)
+            self.record_end(stream, offset + 1)
         self._queued -= len(batch)
         for item in batch:
             if not item.done.done():
--- a/acaciacove/state/member.py
+++ b/acaciacove/state/member.py
@@ -26,7 +26,7 @@
     probed_s: float = NEVER_S
     learned_s: float = NEVER_S
     missing_since_s: float | None = None
-    left: bool = False
+    announced_leaving: bool = False
     watched: bool = False
     state: str = InstanceStatus.STARTING.value
     # The shared lifecycle machine sets these triggers on each member.
--- a/acaciacove/state/membership.py
+++ b/acaciacove/state/membership.py
@@ -22,8 +22,8 @@
 class Membership:
     """Fold of all evidence in one process; ``now_s`` is the loop's time.
 
-    The owner calls ``check`` a few times a second, sends a digest that wants a
-    reply to each instance of ``to_probe``, and reports what it sees.
+    The owner calls ``check_timeouts`` a few times a second, sends a digest that wants a
+    reply to each instance of ``due_probes``, and reports what it sees.
     """
 
     def __init__(
@@ -35,7 +35,7 @@
         self._settings = settings
         self._on_change = on_change
         self._members: dict[str, Member] = {}
-        self._learned: list[Member] = []
+        self._recent_evidence: list[Member] = []
 
     def usable(self) -> list[Instance]:
         """List the instances that may get new work."""
@@ -72,7 +72,7 @@
             return True
         return member.state == InstanceStatus.GONE
 
-    def watch(self, names: Iterable[str]) -> None:
+    def set_watched(self, names: Iterable[str]) -> None:
         """Notice the silence of these instances, those that this process uses."""
         watched = set(names)
         for name, member in self._members.items():
@@ -82,20 +82,20 @@
         """Take in the platform's list."""
         names = {instance.name for instance in listed}
         for instance in listed:
-            self._list_one(instance, now_s)
+            self._apply_listed(instance, now_s)
         for name, member in list(self._members.items()):
             if name not in names and member.missing_since_s is None:
                 member.missing_since_s = now_s
-        self.check(now_s)
+        self.check_timeouts(now_s)
 
     def on_digest(self, digest: Digest, now_s: float) -> None:
         """Take in what an instance says of itself, and of others."""
-        status = _status(digest.status)
-        self.heard(digest.instance, digest.incarnation, now_s, status)
+        status = _parse_status(digest.status)
+        self.record_heard(digest.instance, digest.incarnation, now_s, status)
         for text in digest.peers:
-            self._hearsay(text, now_s)
+            self._apply_peer_report(text, now_s)
 
-    def heard(
+    def record_heard(
         self,
         name: str,
         incarnation: int,
@@ -104,43 +104,43 @@
     ) -> None:
         """Take in an instance's own word: any message of it proves that it lives."""
         member = self._members.get(name)
-        if member is None or not self._is_current(member, incarnation, now_s):
+        if member is None or not self._accept_incarnation(member, incarnation, now_s):
             return
         member.heard_s = now_s
         if status in (InstanceStatus.LEAVING, InstanceStatus.GONE):
-            self._mark_left(member, now_s)
-        elif member.left:
-            self._move(member, InstanceStatus.LEAVING)
+            self._mark_leaving(member, now_s)
+        elif member.announced_leaving:
+            self._transition(member, InstanceStatus.LEAVING)
         elif status is InstanceStatus.LIVE:
-            self._move(member, InstanceStatus.LIVE)
+            self._transition(member, InstanceStatus.LIVE)
 
-    def connect_failed(self, name: str, now_s: float) -> None:
+    def record_connect_failure(self, name: str, now_s: float) -> None:
         """Take in that an instance refused or lost a connection."""
         member = self._members.get(name)
         if member is None:
             return
         member.probed_s = now_s
-        self._lose(member, now_s)
+        self._mark_gone(member, now_s)
 
-    def refused(
+    def record_refusal(
         self, name: str, incarnation: int, reason: Reason, now_s: float
     ) -> None:
         """Take in a refusal: one for leaving is the instance's word that it leaves."""
         status = InstanceStatus.LIVE
         if reason in (Reason.LEAVING, Reason.DRAINING):
             status = InstanceStatus.LEAVING
-        self.heard(name, incarnation, now_s, status)
+        self.record_heard(name, incarnation, now_s, status)
 
-    def check(self, now_s: float) -> None:
+    def check_timeouts(self, now_s: float) -> None:
         """Notice silence, and forget instances that are long gone."""
         for name, member in list(self._members.items()):
             if self._is_silent(member, now_s):
-                self._lose(member, now_s)
-            if self._is_forgotten(member, now_s):
+                self._mark_gone(member, now_s)
+            if self._is_expired(member, now_s):
                 LIFECYCLE.remove_model(member)
                 del self._members[name]
 
-    def to_probe(self, now_s: float) -> list[Instance]:
+    def due_probes(self, now_s: float) -> list[Instance]:
         """List whom to ask for a sign of life now; each call counts as asked."""
         due = [m for m in self._members.values() if self._wants_probe(m, now_s)]
         for member in due:
@@ -151,18 +151,22 @@
         """Return what this process learned lately, for ``Digest.peers``."""
         oldest_s = now_s - self._settings.evidence_s
         lost = (InstanceStatus.LEAVING, InstanceStatus.GONE)
-        self._learned = [m for m in self._learned if m.learned_s > oldest_s]
-        recent = [m for m in reversed(self._learned) if m.state in lost]
-        return tuple(_spell(m) for m in recent[: self._settings.evidence_count])
+        self._recent_evidence = [
+            m for m in self._recent_evidence if m.learned_s > oldest_s
+        ]
+        recent = [m for m in reversed(self._recent_evidence) if m.state in lost]
+        return tuple(
+            _format_evidence(m) for m in recent[: self._settings.evidence_count]
+        )
 
-    def _list_one(self, listed: Instance, now_s: float) -> None:
+    def _apply_listed(self, listed: Instance, now_s: float) -> None:
         member = self._members.get(listed.name)
         if member is None:
             member = Member(listed, listed.incarnation, now_s)
             self._members[listed.name] = member
         if listed.incarnation < member.incarnation:
             return
-        self._is_current(member, listed.incarnation, now_s)
+        self._accept_incarnation(member, listed.incarnation, now_s)
         member.missing_since_s = None
         if listed != member.instance:
             member.instance = evolve(listed, status=member.status)
@@ -170,62 +174,66 @@
             # The list is wrong now and then. An instance that has just said of
             # itself that it serves is believed, or a false list would empty the
             # fleet; it tells everyone itself when it does leave.
-            if not self._is_fresh(member, now_s):
-                self._move(member, listed.status)
+            if not self._was_heard_recently(member, now_s):
+                self._transition(member, listed.status)
             return
         if member.state == InstanceStatus.STARTING:
-            self._move(member, listed.status)
-        elif member.state == InstanceStatus.LEAVING and not member.left:
-            self._move(member, InstanceStatus.GONE)
+            self._transition(member, listed.status)
+        elif member.state == InstanceStatus.LEAVING and not member.announced_leaving:
+            self._transition(member, InstanceStatus.GONE)
 
-    def _is_current(self, member: Member, incarnation: int, now_s: float) -> bool:
+    def _accept_incarnation(
+        self, member: Member, incarnation: int, now_s: float
+    ) -> bool:
         """Tell whether evidence is on the running process; note a new one."""
         if incarnation < member.incarnation:
             return False
         if incarnation > member.incarnation:
             was_usable = _is_usable(member)
             member.incarnation = incarnation
-            member.left = False
+            member.announced_leaving = False
             member.known_since_s = now_s
             member.restart()
-            self._announce_if(was_usable)
+            self._notify_if(was_usable)
         return True
 
-    def _hearsay(self, text: str, now_s: float) -> None:
+    def _apply_peer_report(self, text: str, now_s: float) -> None:
         """Take in a third party's word; only leaving is believed from it.
 
         A peer that cannot reach an instance may be the one that is cut off, so
         its word of a lost instance only leads to a probe.
         """
-        name, incarnation, status = _parse(text)
+        name, incarnation, status = _parse_evidence(text)
         member = self._members.get(name)
-        if member is None or not self._is_current(member, incarnation, now_s):
+        if member is None or not self._accept_incarnation(member, incarnation, now_s):
             return
         if status is InstanceStatus.LEAVING:
-            self._mark_left(member, now_s)
-        elif status is InstanceStatus.GONE and not self._is_fresh(member, now_s):
+            self._mark_leaving(member, now_s)
+        elif status is InstanceStatus.GONE and not self._was_heard_recently(
+            member, now_s
+        ):
             member.probed_s = min(member.probed_s, now_s - self._settings.retry_s)
             member.watched = True
 
-    def _mark_left(self, member: Member, now_s: float) -> None:
-        if not member.left:
-            member.left = True
-            self._learn(member, now_s)
-        self._move(member, InstanceStatus.LEAVING)
+    def _mark_leaving(self, member: Member, now_s: float) -> None:
+        if not member.announced_leaving:
+            member.announced_leaving = True
+            self._record_evidence(member, now_s)
+        self._transition(member, InstanceStatus.LEAVING)
 
-    def _lose(self, member: Member, now_s: float) -> None:
+    def _mark_gone(self, member: Member, now_s: float) -> None:
         if member.state != InstanceStatus.GONE:
-            self._learn(member, now_s)
-        self._move(member, InstanceStatus.GONE)
+            self._record_evidence(member, now_s)
+        self._transition(member, InstanceStatus.GONE)
 
-    def _learn(self, member: Member, now_s: float) -> None:
+    def _record_evidence(self, member: Member, now_s: float) -> None:
         """Remember to pass on what was learned of an instance."""
         member.learned_s = now_s
-        if member in self._learned:
-            self._learned.remove(member)
-        self._learned.append(member)
+        if member in self._recent_evidence:
+            self._recent_evidence.remove(member)
+        self._recent_evidence.append(member)
 
-    def _is_fresh(self, member: Member, now_s: float) -> bool:
+    def _was_heard_recently(self, member: Member, now_s: float) -> bool:
         return now_s - member.heard_s < self._settings.fresh_s
 
     def _is_silent(self, member: Member, now_s: float) -> bool:
@@ -239,7 +247,7 @@
             since_s = max(since_s, member.missing_since_s)
         return now_s - since_s >= self._settings.silent_s
 
-    def _is_forgotten(self, member: Member, now_s: float) -> bool:
+    def _is_expired(self, member: Member, now_s: float) -> bool:
         if member.missing_since_s is None:
             return False
         since_s = max(member.missing_since_s, member.heard_s)
@@ -257,7 +265,7 @@
             return False
         return now_s - member.heard_s >= self._settings.probe_after_s
 
-    def _move(self, member: Member, status: InstanceStatus) -> None:
+    def _transition(self, member: Member, status: InstanceStatus) -> None:
         """Follow the lifecycle to a status, if it leads there."""
         if member.state == status.value:
             return
@@ -270,9 +278,9 @@
             case InstanceStatus.GONE:
                 member.lose()
         member.instance = evolve(member.instance, status=member.status)
-        self._announce_if(was_usable is not _is_usable(member))
+        self._notify_if(was_usable is not _is_usable(member))
 
-    def _announce_if(self, changed: bool) -> None:
+    def _notify_if(self, changed: bool) -> None:
         if changed:
             self._on_change()
 
@@ -281,7 +289,7 @@
     return member.state == InstanceStatus.LIVE.value
 
 
-def _status(text: str) -> InstanceStatus:
+def _parse_status(text: str) -> InstanceStatus:
     """Read a status; one of a later release counts as starting: no work yet."""
     try:
         return InstanceStatus(text)
@@ -289,14 +297,14 @@
         return InstanceStatus.STARTING
 
 
-def _spell(member: Member) -> str:
+def _format_evidence(member: Member) -> str:
     parts = (member.instance.name, str(member.incarnation), member.state)
     return SEPARATOR.join(parts)
 
 
-def _parse(text: str) -> tuple[str, int, InstanceStatus]:
+def _parse_evidence(text: str) -> tuple[str, int, InstanceStatus]:
     """Read ``name/incarnation/status``; junk names nobody."""
     parts = text.rsplit(SEPARATOR, 2)
     if len(parts) != 3 or not parts[1].isdecimal():
         return "", 0, InstanceStatus.STARTING
-    return parts[0], int(parts[1]), _status(parts[2])
+    return parts[0], int(parts[1]), _parse_status(parts[2])
--- a/acaciacove/state/outgoing.py
+++ b/acaciacove/state/outgoing_message.py
@@ -6,7 +6,7 @@
 
 
 @frozen
-class Outgoing:
+class OutgoingMessage:
     """A message and the name of the instance that it goes to."""
 
     instance: str
--- /dev/null
+++ b/acaciacove/state/pause_detector.py
@@ -0,0 +1,55 @@
+"""Keeps a process that was paused from deciding on what it knew before."""
+
+from attrs import define
+
+MIN_PAUSE_S = 1.5
+SETTLING_PERIOD_S = 0.3
+
+
+@define
+class PauseDetector:
+    """Notices a pause by the gap between ticks of a periodic task.
+
+    A process can be stopped for minutes, by its machine or by an operator, and go
+    on in the middle of a decision. Releases and decisions of that time are unknown
+    to it, and its socket buffers are full of old messages. Nothing may be decided
+    after waking until the revision was confirmed by something that was received
+    after those buffers were emptied, ``settling_period_s`` later.
+    """
+
+    min_pause_s: float = MIN_PAUSE_S
+    settling_period_s: float = SETTLING_PERIOD_S
+    pauses: int = 0
+    _last_tick_s: float | None = None
+    _resumed_s: float | None = None
+
+    def tick(self, now_s: float) -> None:
+        """Call this from a task that runs several times a second."""
+        self._detect(now_s)
+        self._last_tick_s = now_s
+
+    def confirm_up_to_date(self, now_s: float) -> None:
+        """Learn that the log or a peer holds no later revision than this process."""
+        self._detect(now_s)
+        if (
+            self._resumed_s is not None
+            and now_s - self._resumed_s >= self.settling_period_s
+        ):
+            self._resumed_s = None
+
+    def started_since_pause(self, started_s: float, now_s: float) -> bool:
+        """Tell whether an answer to what was asked at ``started_s`` is new enough."""
+        self._detect(now_s)
+        return self._resumed_s is None or started_s >= self._resumed_s
+
+    def may_decide(self, now_s: float) -> bool:
+        """Tell whether what this process holds can be relied on now."""
+        self._detect(now_s)
+        return self._resumed_s is None
+
+    def _detect(self, now_s: float) -> None:
+        if self._last_tick_s is None or now_s - self._last_tick_s < self.min_pause_s:
+            return
+        self.pauses += 1
+        self._resumed_s = now_s
+        self._last_tick_s = now_s
--- a/acaciacove/state/reducer.py
+++ b/acaciacove/state/reducer.py
@@ -10,7 +10,7 @@
 from acaciacove.fleet.version import Version
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.state.exposure_record import ExposureRecord
-from acaciacove.state.folded import Folded
+from acaciacove.state.fold_result import FoldResult
 from acaciacove.state.instance_decision import InstanceDecision
 from acaciacove.state.quarantine_record import QuarantineRecord
 from acaciacove.state.record import Record
@@ -20,35 +20,35 @@
 from acaciacove.state.verdict import Verdict
 from acaciacove.state.zone_decision import ZoneDecision
 
-REMEMBERED_DECISIONS = 256
+MAX_DECISION_IDS = 256
 
 _T = TypeVar("_T")
 
 
-def fold(state: FleetState, offset: int, record: Record | None) -> Folded:
+def fold(state: FleetState, offset: int, record: Record | None) -> FoldResult:
     """Fold the record at ``offset``; None stands for one that cannot be read.
 
     The result depends on nothing but its arguments. Every record moves the
     revision, so that readers at one offset agree whatever they made of it.
     """
     if offset <= state.revision:
-        return Folded(state, Verdict.DUPLICATE)
-    moved = evolve(state, revision=offset)
+        return FoldResult(state, Verdict.DUPLICATE)
+    advanced = evolve(state, revision=offset)
     match record:
         case ReleaseNote():
-            return _fold_note(moved, record)
+            return _fold_note(advanced, record)
         case ZoneDecision() | InstanceDecision():
-            return _fold_decision(moved, record)
+            return _fold_decision(advanced, record)
         case QuarantineRecord():
-            return _fold_quarantine(moved, record)
+            return _fold_quarantine(advanced, record)
         case ExposureRecord():
-            return _fold_exposure(moved, record)
+            return _fold_exposure(advanced, record)
         case Snapshot():
-            return _compare_snapshot(state, moved, record)
-    return Folded(moved, Verdict.MALFORMED)
+            return _check_snapshot(state, advanced, record)
+    return FoldResult(advanced, Verdict.MALFORMED)
 
 
-def can_adopt(state: FleetState, offset: int, snapshot: Snapshot) -> bool:
+def can_start_from(state: FleetState, offset: int, snapshot: Snapshot) -> bool:
     """Tell whether a reader that lacks records may start from a snapshot.
 
     ``offset`` is where the snapshot stands; it cannot cover what comes after it.
@@ -56,19 +56,19 @@
     return state.revision < snapshot.state.revision < offset
 
 
-def _fold_note(state: FleetState, note: ReleaseNote) -> Folded:
+def _fold_note(state: FleetState, note: ReleaseNote) -> FoldResult:
     """Accept a note only on top of the release that it was written for."""
     if note.note_id and note.note_id == state.release_note_id:
-        return Folded(state, Verdict.DUPLICATE, "this note is in force already")
+        return FoldResult(state, Verdict.DUPLICATE, "this note is in force already")
     if note.based_on != state.release_revision:
         detail = f"based on {note.based_on}, in force is {state.release_revision}"
-        return Folded(state, Verdict.STALE_BASE, detail)
+        return FoldResult(state, Verdict.STALE_BASE, detail)
     versions = {**state.versions, **{v.id: v for v in note.versions}}
     unknown = _unknown_names(state, note, versions)
     if unknown:
-        return Folded(state, Verdict.UNKNOWN_NAME, f"unknown: {', '.join(unknown)}")
+        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown: {', '.join(unknown)}")
     for version in note.withdrawn:
-        versions[version] = _withdrawn(versions[version])
+        versions[version] = _as_withdrawn(versions[version])
     declared = {version.id for version in note.versions}
     accepted = evolve(
         state,
@@ -77,11 +77,11 @@
         apis={**state.apis, **{api.name: api for api in note.apis}},
         versions=versions,
         organisations=_organisations(state, note),
-        quarantines=_without(state.quarantines, declared),
-        exposures=_without(state.exposures, declared),
+        quarantines=_without_versions(state.quarantines, declared),
+        exposures=_without_versions(state.exposures, declared),
         declared_at={**state.declared_at, **dict.fromkeys(declared, state.revision)},
     )
-    return Folded(with_session_bases(accepted), Verdict.ACCEPTED)
+    return FoldResult(with_session_bases(accepted), Verdict.ACCEPTED)
 
 
 def _unknown_names(
@@ -96,67 +96,69 @@
 
 def _fold_decision(
     state: FleetState, decision: ZoneDecision | InstanceDecision
-) -> Folded:
+) -> FoldResult:
     """Take a zone or an instance out or in, once per decision id.
 
     The writer may append a decision twice when a reply was lost. Without the
     ids, the second copy would undo an opposite decision made in between.
     """
     if decision.decision_id in state.decision_ids:
-        return Folded(state, Verdict.DUPLICATE)
+        return FoldResult(state, Verdict.DUPLICATE)
     ids = state.decision_ids
     if decision.decision_id:
-        ids = (*ids, decision.decision_id)[-REMEMBERED_DECISIONS:]
+        ids = (*ids, decision.decision_id)[-MAX_DECISION_IDS:]
     state = evolve(state, decision_ids=ids)
     match decision:
         case ZoneDecision(availability_zone=zone, out=out):
-            zones = _toggled(state.availability_zones_out, zone, out)
-            return Folded(evolve(state, availability_zones_out=zones), Verdict.ACCEPTED)
+            zones = _set_out(state.availability_zones_out, zone, out)
+            return FoldResult(
+                evolve(state, availability_zones_out=zones), Verdict.ACCEPTED
+            )
         case InstanceDecision(instance=instance, out=out):
-            instances = _toggled(state.instances_out, instance, out)
-            return Folded(evolve(state, instances_out=instances), Verdict.ACCEPTED)
+            instances = _set_out(state.instances_out, instance, out)
+            return FoldResult(evolve(state, instances_out=instances), Verdict.ACCEPTED)
 
 
-def _fold_quarantine(state: FleetState, record: QuarantineRecord) -> Folded:
+def _fold_quarantine(state: FleetState, record: QuarantineRecord) -> FoldResult:
     """Stop a version that the release in force knows."""
     if record.version not in state.versions:
-        return Folded(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
+        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
     if 0 <= record.based_on < state.declared_at.get(record.version, -1):
-        return Folded(state, Verdict.STALE_BASE, "declared again since")
+        return FoldResult(state, Verdict.STALE_BASE, "declared again since")
     if record.version in state.quarantines:
-        return Folded(state, Verdict.DUPLICATE)
-    stopped = Quarantine(record.version, record.reason, state.revision)
-    quarantines = {**state.quarantines, record.version: stopped}
-    stopped_state = evolve(state, quarantines=quarantines)
-    return Folded(with_session_bases(stopped_state), Verdict.ACCEPTED)
+        return FoldResult(state, Verdict.DUPLICATE)
+    quarantine = Quarantine(record.version, record.reason, state.revision)
+    quarantines = {**state.quarantines, record.version: quarantine}
+    quarantined_state = evolve(state, quarantines=quarantines)
+    return FoldResult(with_session_bases(quarantined_state), Verdict.ACCEPTED)
 
 
-def _fold_exposure(state: FleetState, record: ExposureRecord) -> Folded:
+def _fold_exposure(state: FleetState, record: ExposureRecord) -> FoldResult:
     """Widen a roll-out; a share never shrinks, so sessions move at most once."""
     version = state.versions.get(record.version)
     if version is None:
-        return Folded(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
+        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
     if 0 <= record.based_on < state.declared_at.get(record.version, -1):
-        return Folded(state, Verdict.STALE_BASE, "declared again since")
+        return FoldResult(state, Verdict.STALE_BASE, "declared again since")
     if record.share <= state.exposures.get(version.id, version.first_share):
-        return Folded(state, Verdict.DUPLICATE)
+        return FoldResult(state, Verdict.DUPLICATE)
     exposures = {**state.exposures, version.id: min(1.0, record.share)}
-    return Folded(evolve(state, exposures=exposures), Verdict.ACCEPTED)
+    return FoldResult(evolve(state, exposures=exposures), Verdict.ACCEPTED)
 
 
-def _compare_snapshot(
-    before: FleetState, moved: FleetState, snapshot: Snapshot
-) -> Folded:
+def _check_snapshot(
+    before: FleetState, advanced: FleetState, snapshot: Snapshot
+) -> FoldResult:
     """Ignore a snapshot, as a reader does that has every record itself."""
     covered = snapshot.state.revision
-    if covered >= moved.revision:
-        return Folded(moved, Verdict.CONTRADICTION, "covers what comes after it")
+    if covered >= advanced.revision:
+        return FoldResult(advanced, Verdict.CONTRADICTION, "covers what comes after it")
     if covered == before.revision and snapshot.state != before:
-        return Folded(moved, Verdict.CONTRADICTION, "differs from the records")
-    return Folded(moved, Verdict.DUPLICATE)
+        return FoldResult(advanced, Verdict.CONTRADICTION, "differs from the records")
+    return FoldResult(advanced, Verdict.DUPLICATE)
 
 
-def _withdrawn(version: Version) -> Version:
+def _as_withdrawn(version: Version) -> Version:
     return evolve(version, withdrawn=True)
 
 
@@ -168,12 +170,12 @@
     return merged
 
 
-def _without(
+def _without_versions(
     by_version: dict[VersionId, _T], declared: set[VersionId]
 ) -> dict[VersionId, _T]:
     """Forget what evidence said of versions that a note declares anew."""
-    return {v: kept for v, kept in by_version.items() if v not in declared}
+    return {v: value for v, value in by_version.items() if v not in declared}
 
 
-def _toggled(names: frozenset[str], name: str, out: bool) -> frozenset[str]:
+def _set_out(names: frozenset[str], name: str, out: bool) -> frozenset[str]:
     return names | {name} if out else names - {name}
--- a/acaciacove/state/spread_settings.py
+++ b/acaciacove/state/release_gossip_settings.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class SpreadSettings:
+class ReleaseGossipSettings:
     """How often a process speaks to how many peers.
 
     Every ``interval_s`` one peer gets a digest. A process that has just learned
--- a/acaciacove/state/rendezvous.py
+++ b/acaciacove/state/rendezvous.py
@@ -19,7 +19,7 @@
     return sorted(names, key=lambda name: (-_hash(f"{partition}/{name}"), name))
 
 
-def usual_owner(partition: int, names: Iterable[str]) -> str | None:
+def preferred_owner(partition: int, names: Iterable[str]) -> str | None:
     """Return the first of ``rank_owners``; None when there is nobody."""
     best = max(names, key=lambda name: (_hash(f"{partition}/{name}"), name), default="")
     return best or None
--- a/acaciacove/state/session_bases.py
+++ b/acaciacove/state/session_bases.py
@@ -18,7 +18,7 @@
     for organisation in state.organisations.values():
         for api in state.apis:
             key = session_base_key(organisation.name, api)
-            base = _base(state, organisation, api, state.session_bases.get(key))
+            base = _choose_base(state, organisation, api, state.session_bases.get(key))
             if base is not None:
                 bases[key] = base
     return evolve(state, session_bases=bases)
@@ -34,12 +34,12 @@
     return state.is_usable(version) and organisation.allows(version)
 
 
-def _base(
-    state: FleetState, organisation: Organisation, api: str, before: VersionId | None
+def _choose_base(
+    state: FleetState, organisation: Organisation, api: str, previous: VersionId | None
 ) -> VersionId | None:
     """Keep a base, or take the first declared version that may be used."""
-    if before is not None and may_use(state, organisation, api, before):
-        return before
+    if previous is not None and may_use(state, organisation, api, previous):
+        return previous
     for version in state.versions:
         if may_use(state, organisation, api, version):
             return version
--- a/tests/test_path_faults.py
+++ b/tests/test_path_faults.py
@@ -173,8 +173,8 @@
         async with embedded_fleet() as fleet:
             note = ReleaseNote("note-2", 0, withdrawn=(SMALL,))
             offset = fleet.publish(note)
-            states = [s.state.holder for s in fleet.sidecars.values()]
-            states += [e.state.holder for e in fleet.entries]
+            states = [s.state.fleet_store for s in fleet.sidecars.values()]
+            states += [e.state.fleet_store for e in fleet.entries]
             await until(lambda: all(h.state.revision == offset for h in states))
             response = await fleet.post(CHAT, orjson.dumps(QUESTION))
             assert response.headers["x-version"] == str(LARGE)
@@ -196,8 +196,8 @@
     async def test():
         async with embedded_fleet() as fleet:
             offset = fleet.publish(decision)
-            states = [s.state.holder for s in fleet.sidecars.values()]
-            states += [e.state.holder for e in fleet.entries]
+            states = [s.state.fleet_store for s in fleet.sidecars.values()]
+            states += [e.state.fleet_store for e in fleet.entries]
             await until(lambda: all(h.state.revision == offset for h in states))
             before = fleet.engines["guide-0"].counters.started
             for _ in range(8):
@@ -221,7 +221,7 @@
             versions = (evolve(small, **slow), evolve(large, **slow), bookings)
             offset = fleet.publish(ReleaseNote("note-2", 0, versions=versions))
             sidecar = fleet.sidecars["guide-0"].state
-            await until(lambda: sidecar.holder.state.revision == offset)
+            await until(lambda: sidecar.fleet_store.state.revision == offset)
 
             async def ask():
                 response = await fleet.post(CHAT, orjson.dumps(QUESTION))
--- a/tests/test_path_rollout.py
+++ b/tests/test_path_rollout.py
@@ -28,7 +28,7 @@
     version = evolve(version, first_share=first_share)
     offset = fleet.publish(ReleaseNote("note-2", 0, versions=(version,)))
     entry = fleet.entries[0].shared
-    await until(lambda: entry.holder.revision >= offset)
+    await until(lambda: entry.fleet_store.revision >= offset)
 
 
 async def ask_until(fleet, done, limit=4000):
@@ -46,10 +46,10 @@
         async with embedded_fleet(services=0, rated=True, extra=(NEW,)) as fleet:
             fleet.rating.qualities = {str(SMALL): 0.8, str(NEW): 0.5}
             await roll_out(fleet, 0.3)
-            state = fleet.entries[0].shared.holder
+            state = fleet.entries[0].shared.fleet_store
             await ask_until(fleet, lambda: NEW in state.state.quarantines)
             assert "rating" in state.state.quarantines[NEW].reason
-            sidecars = [s.shared.holder for s in fleet.sidecars.values()]
+            sidecars = [s.shared.fleet_store for s in fleet.sidecars.values()]
             await until(lambda: all(NEW in h.state.quarantines for h in sidecars))
             before = [
                 e.counters.started_by_version[str(NEW)] for e in fleet.engines.values()
@@ -69,7 +69,7 @@
         async with embedded_fleet(services=0, rated=True, extra=(NEW,)) as fleet:
             fleet.rating.qualities = {str(SMALL): 0.8, str(NEW): 0.8}
             await roll_out(fleet, 0.3)
-            state = fleet.entries[0].shared.holder
+            state = fleet.entries[0].shared.fleet_store
             await ask_until(fleet, lambda: state.state.exposures.get(NEW, 0) >= 1.0)
             assert state.state.exposures[NEW] == 1.0
             assert NEW not in state.state.quarantines
@@ -115,8 +115,8 @@
             fleet.publish(ReleaseNote("note-2", 0, versions=(version,)))
             await until(lambda: fleet.weights.asked > 0)
             offset = fleet.publish(ReleaseNote("note-3", 1, withdrawn=(NEW,)))
-            holder = fleet.sidecars["guide-0"].shared.holder
-            await until(lambda: holder.revision == offset)
+            fleet_store = fleet.sidecars["guide-0"].shared.fleet_store
+            await until(lambda: fleet_store.revision == offset)
             await asyncio.sleep(4.0)
             assert not fleet.weights.permits
             assert str(NEW) not in fleet.engines["guide-0"].versions
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -23,7 +23,7 @@
 
 def holders(fleet):
     shared = [s.shared for s in fleet.sidecars.values()]
-    return [s.holder for s in shared + [e.shared for e in fleet.entries]]
+    return [s.fleet_store for s in shared + [e.shared for e in fleet.entries]]
 
 
 def test_a_note_that_one_process_has_read_is_in_force_everywhere_in_a_log_outage():
@@ -33,7 +33,7 @@
         async with embedded_fleet() as fleet:
             fleet.log.faults.outage = True
             note = encode_record(ReleaseNote("note-2", 0, withdrawn=(SMALL,)))
-            fleet.sidecars["guide-0"].shared.holder.offer([LogEntry(1, note)])
+            fleet.sidecars["guide-0"].shared.fleet_store.offer([LogEntry(1, note)])
             await until(lambda: all(h.revision == 1 for h in holders(fleet)))
             response = await fleet.post(CHAT, QUESTION)
             assert response.headers["x-version"] == str(LARGE)
@@ -48,13 +48,13 @@
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
             note = encode_record(ReleaseNote("note-2", 0, withdrawn=(SMALL,)))
-            fleet.sidecars["guide-0"].shared.holder.offer([LogEntry(1, note)])
+            fleet.sidecars["guide-0"].shared.fleet_store.offer([LogEntry(1, note)])
             response = await fleet.post(CHAT, QUESTION)
             answer = orjson.loads(await response.content())
             started = fleet.engines["guide-0"].counters.started_by_version
             assert started[str(SMALL)] == 0
             assert response.headers.get("x-version") == str(LARGE) or answer["not_run"]
-            await until(lambda: fleet.entries[0].shared.holder.revision == 1)
+            await until(lambda: fleet.entries[0].shared.fleet_store.revision == 1)
 
     run(test)
 
@@ -66,11 +66,11 @@
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
             note = encode_record(ReleaseNote("note-2", 0, withdrawn=(SMALL,)))
-            fleet.entries[0].shared.holder.offer([LogEntry(1, note)])
+            fleet.entries[0].shared.fleet_store.offer([LogEntry(1, note)])
             response = await fleet.post(CHAT, QUESTION)
             assert response.status_code == 200
             assert response.headers["x-version"] == str(LARGE)
-            assert fleet.sidecars["guide-0"].shared.holder.revision == 1
+            assert fleet.sidecars["guide-0"].shared.fleet_store.revision == 1
 
     run(test)
 
@@ -96,7 +96,7 @@
             started = asyncio.create_task(add_entry(fleet, stack, "entry-1"))
             await until(lambda: len(fleet.entries) == 2)
             late = fleet.entries[1]
-            await until(lambda: late.shared.spread.ready)
+            await until(lambda: late.shared.release_gossip.ready)
             await asyncio.sleep(READY_CHECKS * READY_CHECK_S)
             assert not late.state.lifecycle.accepts_callers
             fleet.listing.faults.outage = False
@@ -117,7 +117,9 @@
             for name in fleet.services:
                 incarnation = fleet.sidecars[name].shared.me.incarnation
                 now_s = asyncio.get_running_loop().time()
-                membership.heard(name, incarnation + 1, now_s, InstanceStatus.STARTING)
+                membership.record_heard(
+                    name, incarnation + 1, now_s, InstanceStatus.STARTING
+                )
             assert not {i.name for i in membership.usable()} & set(fleet.services)
             response = await fleet.post(BOOK, b"{}", Idempotency_Key="k-1")
             assert response.status_code == 200, await response.content()
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -5,7 +5,7 @@
 from acaciacove.bench.promise_counts import PROMISES
 from acaciacove.bench.promises import BREAKABLE, run_promises
 from acaciacove.errors import InvalidSettingsError
-from acaciacove.state.wake_guard import WakeGuard
+from acaciacove.state.pause_detector import PauseDetector
 
 SEEDS = range(1, 6)
 COUNTERS = {"drain": ("zone", "leaving")}
@@ -43,14 +43,14 @@
 def test_a_process_that_was_paused_decides_nothing_before_it_has_heard_anew():
     # A machine freezes for a minute. The messages in its socket buffers are a
     # minute old; a release that withdrew a version has come meanwhile.
-    guard = WakeGuard()
+    pause_detector = PauseDetector()
     for step in range(20):
-        guard.tick(step * 0.1)
-    assert guard.may_decide(2.0)
-    assert not guard.may_decide(62.0)
-    guard.confirmed(62.05)
-    guard.tick(62.1)
-    assert not guard.may_decide(62.1)
-    guard.tick(62.4)
-    guard.confirmed(62.4)
-    assert guard.may_decide(62.4) and guard.pauses == 1
+        pause_detector.tick(step * 0.1)
+    assert pause_detector.may_decide(2.0)
+    assert not pause_detector.may_decide(62.0)
+    pause_detector.confirm_up_to_date(62.05)
+    pause_detector.tick(62.1)
+    assert not pause_detector.may_decide(62.1)
+    pause_detector.tick(62.4)
+    pause_detector.confirm_up_to_date(62.4)
+    assert pause_detector.may_decide(62.4) and pause_detector.pauses == 1
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -14,7 +14,7 @@
 from acaciacove.messages.record import Record as PeerRecord
 from acaciacove.messages.records import Records
 from acaciacove.state.exposure_record import ExposureRecord
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.instance_decision import InstanceDecision
 from acaciacove.state.quarantine_record import QuarantineRecord
 from acaciacove.state.record_codec import decode_record, encode_record
@@ -54,7 +54,7 @@
 )  # fmt: skip
 
 
-def log_of(plan):
+def create_log(plan):
     """Write a plan down as a log; what a snapshot covers depends on its place."""
     states, payloads = [FleetState()], []
     for offset, step in enumerate(plan):
@@ -71,14 +71,14 @@
 
 @given(plans, st.randoms(use_true_random=False))
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_readers_agree_at_a_revision_whatever_way_records_reach_them(plan, random):
+def test_readers_at_the_same_revision_have_the_same_state(plan, random):
     # Records arrive late, twice, from peers in any order, or have expired and are
     # replaced by snapshots. Two readers that disagreed at one revision would serve
     # a withdrawn version on one entry and not on the other.
-    states, payloads = log_of(plan)
-    full, late = FleetHolder(), FleetHolder()
+    states, payloads = create_log(plan)
+    full, late = FleetStore(), FleetStore()
     seen = []
-    late.listen(lambda state: seen.append(state.revision))
+    late.add_listener(lambda state: seen.append(state.revision))
     full.offer([LogEntry(i, p) for i, p in enumerate(payloads)])
     assert full.state == states[-1]
     earliest = random.randint(0, len(payloads))
@@ -88,36 +88,36 @@
             start = random.randrange(len(kept))
             late.offer(kept[start : start + 4])
         elif random.random() < 0.5:
-            late.offer_records(full.records_for(late.needs_from_peer(10**6)))
+            late.apply_records(full.records_for(late.pull_if_behind(10**6)))
         else:
             some = [PeerRecord(e.offset, e.payload) for e in kept]
             random.shuffle(some)
-            late.offer_records(Records(full.revision, records=tuple(some[:3])))
+            late.apply_records(Records(full.revision, records=tuple(some[:3])))
         expected = states[late.revision + 1]
         assert late.state == expected
         assert list(late.state.versions) == list(expected.versions)
     assert seen == sorted(set(seen))
 
 
-def test_of_two_racing_notes_the_first_wins():
+def test_first_of_two_concurrent_release_notes_wins():
     # Two operators write notes on top of the same release. Without a check the
     # second would silently undo the first; its operator has to be told instead.
     second = ReleaseNote("b", -1, withdrawn=(OLD,))
-    holder = FleetHolder()
+    fleet_store = FleetStore()
     notes = [LogEntry(i, encode_record(r)) for i, r in enumerate((FIRST, second))]
-    holder.offer(notes)
-    assert holder.state.is_usable(OLD)
-    assert holder.verdict_of("a").verdict is Verdict.ACCEPTED
-    assert holder.verdict_of("b").verdict is Verdict.STALE_BASE
+    fleet_store.offer(notes)
+    assert fleet_store.state.is_usable(OLD)
+    assert fleet_store.fold_result_of("a").verdict is Verdict.ACCEPTED
+    assert fleet_store.fold_result_of("b").verdict is Verdict.STALE_BASE
 
 
-def test_records_read_back_as_they_were():
+def test_records_round_trip():
     snapshot = Snapshot(fold(FleetState(), 0, FIRST).state)
     for record in (FIRST, snapshot):
         assert decode_record(encode_record(record)) == record
 
 
-def test_a_second_copy_of_a_decision_does_not_undo_the_next_operators():
+def test_duplicate_decision_does_not_undo_a_later_one():
     # The reply to "take ozark out" was lost and its record lands twice, the second
     # time after another operator brought the zone back.
     out = ZoneDecision("d1", "ozark", True)
@@ -127,7 +127,7 @@
     assert state.availability_zones_out == frozenset()
 
 
-def test_a_note_that_names_unknown_things_changes_nothing():
+def test_release_note_with_unknown_names_changes_nothing():
     state = fold(FleetState(), 0, FIRST).state
     for note in (
         ReleaseNote("b", 0, versions=(Version(NEW, "guide", 1.0),),
@@ -139,7 +139,7 @@
         assert folded.state == evolve(state, revision=1)
 
 
-def test_a_version_declared_again_is_usable_and_old_evidence_does_not_stop_it():
+def test_redeclared_version_is_usable_despite_old_evidence():
     # A quarantined and withdrawn version is mended and declared again. A guard
     # that has not read the note yet must not stop it for what it did before.
     again = ReleaseNote("b", 2, versions=FIRST.versions)
@@ -158,34 +158,36 @@
     assert state.is_usable(OLD)
 
 
-def test_a_fresh_reader_starts_from_a_snapshot_when_the_note_has_expired():
+def test_new_reader_starts_from_a_snapshot_after_records_expired():
     # Nobody published for weeks: the release note itself is gone from the log.
     state = fold(FleetState(), 0, FIRST).state
     decision = ZoneDecision("d1", "ozark", True)
-    holder = FleetHolder()
-    holder.note_gap(1)
-    holder.offer([LogEntry(1, encode_record(decision))])
-    assert holder.revision == -1 and holder.gap
-    holder.offer([LogEntry(2, encode_record(Snapshot(state)))])
-    assert holder.state.is_usable(OLD)
-    assert holder.state.availability_zones_out == {"ozark"}
-    assert holder.revision == 2
+    fleet_store = FleetStore()
+    fleet_store.note_gap(1)
+    fleet_store.offer([LogEntry(1, encode_record(decision))])
+    assert fleet_store.revision == -1 and fleet_store.has_gap
+    fleet_store.offer([LogEntry(2, encode_record(Snapshot(state)))])
+    assert fleet_store.state.is_usable(OLD)
+    assert fleet_store.state.availability_zones_out == {"ozark"}
+    assert fleet_store.revision == 2
 
 
-def test_as_a_rule_one_process_of_many_writes_the_snapshot():
+def test_few_processes_write_snapshots():
     # Two hundred processes that all wrote it would use up the log's appends.
-    holders = [FleetHolder() for _ in range(200)]
+    fleet_stores = [FleetStore() for _ in range(200)]
     payloads = [encode_record(FIRST)]
-    schedules = [SnapshotSchedule(h, "x", Random(i)) for i, h in enumerate(holders)]
+    schedules = [
+        SnapshotSchedule(h, "x", Random(i)) for i, h in enumerate(fleet_stores)
+    ]
     written_s = []
     for now_s in range(0, 3 * 3700):
-        for holder, schedule in zip(holders, schedules, strict=True):
-            if holder.next_offset < len(payloads) and now_s % 2 == 0:
-                start = holder.next_offset
-                holder.offer([
+        for fleet_store, schedule in zip(fleet_stores, schedules, strict=True):
+            if fleet_store.next_offset < len(payloads) and now_s % 2 == 0:
+                start = fleet_store.next_offset
+                fleet_store.offer([
                     LogEntry(start + i, p) for i, p in enumerate(payloads[start:])
                 ])  # fmt: skip
-            payload = schedule.due(float(now_s))
+            payload = schedule.snapshot_if_due(float(now_s))
             if payload is not None:
                 written_s.append(now_s)
                 payloads.append(payload)
@@ -193,7 +195,7 @@
     assert {s // 3600 for s in written_s} >= {1, 2}
 
 
-def test_a_share_only_grows_until_the_version_is_declared_anew():
+def test_exposure_only_grows_until_the_version_is_redeclared():
     # Two entries judge the same roll-out, one of them on older evidence. If its
     # smaller share won, sessions would move to and fro between versions.
     note = ReleaseNote("a", -1, versions=(Version(OLD, "guide", 1.0, first_share=0.1),))
--- a/tests/test_sidecar_claimed_call.py
+++ b/tests/test_sidecar_claimed_call.py
@@ -38,7 +38,7 @@
     def __init__(self, world):
         self.claims = world.start("s1")
         self.fleet, self.current, self.calls, self.held = FLEET, True, 0, []
-        self.holder = SimpleNamespace(state=FLEET)
+        self.fleet_store = SimpleNamespace(state=FLEET)
         self.billing = SimpleNamespace(hold=lambda *held: self.held.append(held))
         self.service = self
 
--- a/tests/test_sidecar_version_orders.py
+++ b/tests/test_sidecar_version_orders.py
@@ -12,7 +12,7 @@
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.sidecar.version_orders import SURPLUS_S, VersionOrders
 from acaciacove.state.fence_gate import FenceGate
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.record_codec import encode_record
 from acaciacove.state.release_note import ReleaseNote
 from tests.virtual import run_virtual
@@ -43,29 +43,29 @@
 
 def rolling_out():
     """Return a holder of a release that replaces the first version by a second."""
-    holder = FleetHolder()
+    fleet_store = FleetStore()
     first = ReleaseNote("a", -1, versions=(Version(OLD, "guide", 1.0),))
     second = ReleaseNote("b", 0, versions=(Version(NEW, "guide", 1.0, replaces=OLD),))
-    holder.offer(
+    fleet_store.offer(
         [LogEntry(0, encode_record(first)), LogEntry(1, encode_record(second))]
     )
-    return holder
+    return fleet_store
 
 
 def orders_of(name, known):
     view = View(known)
-    holder = rolling_out()
+    fleet_store = rolling_out()
     me = endpoint(name)
     sidecar = SimpleNamespace(
         is_engine=True,
-        holder=holder,
+        fleet_store=fleet_store,
         served=frozenset({OLD}),
         running=Counter(),
         engine=FakeEngine(),
         admission=SimpleNamespace(update=lambda fleet, versions: None),
         shared=SimpleNamespace(me=me, membership=view, is_listed=bool(known)),
     )
-    gate = FenceGate(lambda: holder.state.release_revision)
+    gate = FenceGate(lambda: fleet_store.state.release_revision)
     return VersionOrders(sidecar, gate, None, Random(1))
 
 
--- a/tests/test_state_claims.py
+++ b/tests/test_state_claims.py
@@ -11,7 +11,7 @@
 from acaciacove.refusal import Refusal
 from acaciacove.state.claim_key import claim_key, key_issued_s, request_fingerprint
 from acaciacove.state.claim_settings import ClaimSettings
-from acaciacove.state.rendezvous import rank_owners, usual_owner
+from acaciacove.state.rendezvous import preferred_owner, rank_owners
 from tests.claim_world import UNIX_S, World
 from tests.virtual import run_virtual
 
@@ -311,11 +311,11 @@
 def test_only_the_partitions_of_a_lost_owner_change_hands():
     names = [f"s{n}" for n in range(7)]
     for partition in range(64):
-        owner = usual_owner(partition, names)
+        owner = preferred_owner(partition, names)
         assert owner == rank_owners(partition, names)[0]
         if owner != "s3":
             others = [n for n in names if n != "s3"]
-            assert usual_owner(partition, others) == owner
+            assert preferred_owner(partition, others) == owner
 
 
 faults = st.lists(
--- a/tests/test_state_log.py
+++ b/tests/test_state_log.py
@@ -25,7 +25,7 @@
     return LogWriter(log, "sidecar-1", 1, LogWriterSettings(**settings_), Random(1))
 
 
-def items_in(log, stream=STREAM):
+def appended_items(log, stream=STREAM):
     batches = [decode_batch(payload) for payload in log.streams.get(stream, [])]
     return [item["n"] for batch in batches for item in batch.items]
 
@@ -37,7 +37,7 @@
     st.booleans(),
 )
 @settings(derandomize=True, deadline=None, max_examples=25)
-def test_every_item_lands_in_order_whatever_the_log_does(seed, lost, late, outage):
+def test_items_are_appended_in_order_despite_log_faults(seed, lost, late, outage):
     # Replies are lost after the effect, appends land late, and the log goes down
     # in the middle. An item that vanished would be a lost bill.
     log = FaultyLog(Random(seed), lost_reply_share=lost, late_share=late)
@@ -54,13 +54,13 @@
         task.cancel()
 
     run_virtual(main)
-    landed = items_in(log)
-    assert list(dict.fromkeys(landed)) == list(range(60))
+    appended = appended_items(log)
+    assert list(dict.fromkeys(appended)) == list(range(60))
     if not late:
-        assert landed == list(range(60))  # looked up, so none was written twice
+        assert appended == list(range(60))  # looked up, so none was written twice
 
 
-def test_appends_stay_under_the_budget_while_items_come_fast():
+def test_append_rate_stays_within_its_budget():
     # A thousand bookings a second would otherwise be a thousand appends, and the
     # log takes only several hundred from the whole fleet.
     log = FaultyLog(Random(1))
@@ -75,11 +75,11 @@
         task.cancel()
 
     run_virtual(main)
-    assert items_in(log) == list(range(5000))
+    assert appended_items(log) == list(range(5000))
     assert log.append_counts[STREAM] <= 5 + 10 * 6
 
 
-def test_an_unsent_item_is_never_sent_after_its_deadline():
+def test_item_is_not_sent_after_its_deadline():
     # The log is slow and the caller gives up: "not appended" has to stay true.
     log = FaultyLog(Random(1), latency_s=1.0)
 
@@ -98,10 +98,10 @@
         task.cancel()
 
     run_virtual(main)
-    assert items_in(log) == [1]
+    assert appended_items(log) == [1]
 
 
-def test_an_unanswered_append_is_in_doubt_and_the_outage_is_seen():
+def test_append_without_reply_is_in_doubt_and_log_is_down():
     log = FaultyLog(Random(1), lost_reply_share=1.0)
 
     async def main():
@@ -120,7 +120,7 @@
     run_virtual(main)
 
 
-def test_a_full_queue_refuses_bills_before_claims_and_claims_before_decisions():
+def test_full_queue_refuses_lower_priorities_first():
     async def main():
         writer = make_writer(FaultyLog(Random(1)), max_items=20)
         for priority, room in (
@@ -136,7 +136,7 @@
     run_virtual(main)
 
 
-def test_a_tail_passes_over_expired_records_and_an_outage():
+def test_tail_resumes_after_expired_records_and_an_outage():
     # Records expire while the reader is cut off. It must learn of the gap, and
     # then get everything that is left, once and in order.
     log = FaultyLog(Random(1), keep=10)
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -10,11 +10,11 @@
 from acaciacove.fleet.role import Role
 from acaciacove.messages.digest import Digest
 from acaciacove.reason import Reason
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.membership import Membership
 from acaciacove.state.membership_settings import MembershipSettings
-from acaciacove.state.spread import Spread
-from acaciacove.state.spread_settings import SpreadSettings
+from acaciacove.state.release_gossip import ReleaseGossip
+from acaciacove.state.release_gossip_settings import ReleaseGossipSettings
 
 LIVE, LEAVING = InstanceStatus.LIVE, InstanceStatus.LEAVING
 
@@ -26,17 +26,17 @@
     )
 
 
-def known(*instances, now_s=0.0):
+def create_membership(*instances, now_s=0.0):
     membership = Membership(MembershipSettings())
     membership.on_list(list(instances), now_s)
     return membership
 
 
-def names(membership):
+def usable_names(membership):
     return {i.name for i in membership.usable()}
 
 
-class Fleet:
+class SimulatedFleet:
     """Processes that exchange digests under a clock that is stepped."""
 
     def __init__(self, size, seed):
@@ -45,15 +45,15 @@
         self.status = {i.name: LIVE for i in self.listed}
         self.paused = set()
         self.now_s = 0.0
-        self.members, self.spreads = {}, {}
+        self.members, self.gossips = {}, {}
         for me in self.listed:
-            self.members[me.name] = known(*self.listed)
-            self.members[me.name].watch(i.name for i in self.listed if i != me)
-            self.spreads[me.name] = self._spread(me)
+            self.members[me.name] = create_membership(*self.listed)
+            self.members[me.name].set_watched(i.name for i in self.listed if i != me)
+            self.gossips[me.name] = self._create_gossip(me)
 
-    def _spread(self, me):
-        return Spread(
-            me, FleetHolder(), SpreadSettings(), Random(me.name),
+    def _create_gossip(self, me):
+        return ReleaseGossip(
+            me, FleetStore(), ReleaseGossipSettings(), Random(me.name),
             lambda: self.status[me.name],
             lambda: self.members[me.name].evidence(self.now_s),
         )  # fmt: skip
@@ -61,67 +61,69 @@
     def step(self, seconds):
         for _ in range(round(seconds * 10)):
             self.now_s += 0.1
-            for name, spread in self.spreads.items():
+            for name, release_gossip in self.gossips.items():
                 if name in self.paused:
                     continue
                 members = self.members[name]
                 if round(self.now_s * 10) % 10 == 0:
                     members.on_list(self.listed, self.now_s)
-                members.check(self.now_s)
-                for out in spread.tick(self.now_s, members.peers()):
+                members.check_timeouts(self.now_s)
+                for out in release_gossip.tick(self.now_s, members.peers()):
                     self._deliver(name, out)
-                for probed in members.to_probe(self.now_s):
+                for probed in members.due_probes(self.now_s):
                     if probed.name != name and probed.name not in self.paused:
-                        self._tell(probed.name, name)
+                        self._deliver_digest(probed.name, name)
 
     def leave(self, name):
         self.status[name] = LEAVING
-        spread = self.spreads[name]
-        for out in spread.announce(self.members[name].peers(), 6):
+        release_gossip = self.gossips[name]
+        for out in release_gossip.announce_status(self.members[name].peers(), 6):
             self._deliver(name, out)
 
     def _deliver(self, sender, out):
         if out.instance not in self.paused and isinstance(out.message, Digest):
             self.members[out.instance].on_digest(out.message, self.now_s)
 
-    def _tell(self, sender, receiver):
+    def _deliver_digest(self, sender, receiver):
         evidence = self.members[sender].evidence(self.now_s)
         digest = Digest(sender, 1, -1, self.status[sender], False, evidence)
         self.members[receiver].on_digest(digest, self.now_s)
 
-    def users_of(self, name):
-        return [n for n, m in self.members.items() if n != name and name in names(m)]
+    def usable_for(self, name):
+        return [
+            n for n, m in self.members.items() if n != name and name in usable_names(m)
+        ]
 
 
-def test_a_leaving_endpoint_gets_no_new_work_within_3_s_though_the_list_lags():
+def test_leaving_endpoint_gets_no_new_work_after_3_s_despite_a_stale_list():
     # The platform stops an instance; its list says live for another minute. Work
     # sent there would be cut when the instance ends.
-    fleet = Fleet(40, seed=1)
+    fleet = SimulatedFleet(40, seed=1)
     fleet.step(3)
     fleet.leave("e7")
     fleet.step(3)
-    assert fleet.users_of("e7") == []
+    assert fleet.usable_for("e7") == []
     fleet.step(10)
-    assert fleet.users_of("e7") == []
+    assert fleet.usable_for("e7") == []
 
 
-def test_a_paused_endpoint_gets_no_new_work_within_3_s_and_comes_back():
+def test_paused_endpoint_gets_no_new_work_after_3_s_and_recovers():
     # A machine freezes: its connections stay open and nothing answers. Callers
     # would wait out their deadlines on it.
-    fleet = Fleet(30, seed=2)
+    fleet = SimulatedFleet(30, seed=2)
     fleet.step(3)
     fleet.paused.add("e7")
     fleet.step(3)
-    assert fleet.users_of("e7") == []
+    assert fleet.usable_for("e7") == []
     fleet.paused.clear()
     fleet.step(3)
-    assert len(fleet.users_of("e7")) == 29
+    assert len(fleet.usable_for("e7")) == 29
 
 
-def test_a_list_that_lies_neither_hides_a_live_endpoint_nor_revives_a_dead_one():
+def test_false_list_neither_removes_a_live_endpoint_nor_revives_a_dead_one():
     # The list names e1 as leaving though it serves, drops e2, and calls e3 live
     # though connections to it are refused.
-    fleet = Fleet(12, seed=3)
+    fleet = SimulatedFleet(12, seed=3)
     fleet.step(3)
     fleet.listed = [
         instance("e1", status=LEAVING) if i.name == "e1" else i
@@ -130,55 +132,55 @@
     ]
     fleet.paused.add("e3")
     for name in ("e0", "e1"):
-        fleet.members[name].connect_failed("e3", fleet.now_s)
-        assert "e3" not in names(fleet.members[name])
+        fleet.members[name].record_connect_failure("e3", fleet.now_s)
+        assert "e3" not in usable_names(fleet.members[name])
     fleet.step(6)
-    assert len(fleet.users_of("e1")) == 11
-    assert len(fleet.users_of("e2")) == 11
-    assert fleet.users_of("e3") == []
+    assert len(fleet.usable_for("e1")) == 11
+    assert len(fleet.usable_for("e2")) == 11
+    assert fleet.usable_for("e3") == []
 
 
-def test_a_new_incarnation_is_believed_and_old_word_of_it_is_not():
+def test_reports_on_an_old_incarnation_are_ignored():
     # An endpoint is replaced under its name. Late word that the old one leaves
     # must not take the new one out for good.
-    membership = known(instance("e1"))
-    membership.refused("e1", 1, Reason.LEAVING, 1.0)
-    assert names(membership) == set()
-    membership.heard("e1", 1, 1.5)
-    assert names(membership) == set()
-    membership.heard("e1", 2, 2.0)
-    assert names(membership) == {"e1"}
+    membership = create_membership(instance("e1"))
+    membership.record_refusal("e1", 1, Reason.LEAVING, 1.0)
+    assert usable_names(membership) == set()
+    membership.record_heard("e1", 1, 1.5)
+    assert usable_names(membership) == set()
+    membership.record_heard("e1", 2, 2.0)
+    assert usable_names(membership) == {"e1"}
     membership.on_digest(Digest("e0", 1, 0, "live", peers=("e1/1/leaving",)), 2.1)
     membership.on_list([instance("e1", 1)], 2.2)
-    assert names(membership) == {"e1"}
+    assert usable_names(membership) == {"e1"}
     assert membership.is_gone("e1", 1) and not membership.is_gone("e1", 2)
 
 
-def test_junk_in_a_digest_changes_nothing():
-    membership = known(instance("e1"))
+def test_malformed_evidence_in_a_digest_is_ignored():
+    membership = create_membership(instance("e1"))
     for text in ("", "e1", "e1/x/leaving", "e1/1/melted", "//"):
         membership.on_digest(Digest("e9", 1, 0, "live", peers=(text,)), 1.0)
-    assert names(membership) == {"e1"}
+    assert usable_names(membership) == {"e1"}
 
 
 @given(st.lists(st.tuples(st.sampled_from(
     ["fail", "live", "leaving", "new", "list", "hide", "hearsay", "silence"]),
     st.integers(1, 4)), max_size=30))  # fmt: skip
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_word_of_leaving_holds_for_its_incarnation_whatever_follows(events):
-    membership = known(instance("e1"))
-    membership.watch(["e1"])
+def test_leaving_is_final_for_an_incarnation(events):
+    membership = create_membership(instance("e1"))
+    membership.set_watched(["e1"])
     left, now_s = set(), 0.0
     for event, incarnation in events:
         now_s += 0.7
         match event:
             case "fail":
-                membership.connect_failed("e1", now_s)
-                assert names(membership) == set()
+                membership.record_connect_failure("e1", now_s)
+                assert usable_names(membership) == set()
             case "live" | "new":
-                membership.heard("e1", incarnation, now_s)
+                membership.record_heard("e1", incarnation, now_s)
             case "leaving":
-                membership.heard("e1", incarnation, now_s, LEAVING)
+                membership.record_heard("e1", incarnation, now_s, LEAVING)
                 left.add(incarnation)
             case "list":
                 membership.on_list([instance("e1", incarnation)], now_s)
@@ -190,20 +192,20 @@
                 left.add(incarnation)
             case "silence":
                 now_s += 3.0
-                membership.check(now_s)
-                assert names(membership) == set()
+                membership.check_timeouts(now_s)
+                assert usable_names(membership) == set()
         for used in membership._members.values():
             assert used.state != "live" or used.incarnation not in left
 
 
-def test_an_instance_that_said_it_was_starting_is_asked_again_within_a_second():
+def test_starting_instance_is_probed_again_within_a_second():
     # An instance tells its peers that it is starting and becomes ready right after.
     # It has nobody to tell, and in a large fleet the next list is minutes away: its
     # share of the work would go to the others all that time.
-    membership = known(instance("e1"))
-    membership.heard("e1", 2, 1.0, InstanceStatus.STARTING)
-    assert names(membership) == set()
-    assert [i.name for i in membership.to_probe(2.0)] == ["e1"]
-    assert membership.to_probe(2.1) == []
-    membership.heard("e1", 2, 2.2, LIVE)
-    assert names(membership) == {"e1"}
+    membership = create_membership(instance("e1"))
+    membership.record_heard("e1", 2, 1.0, InstanceStatus.STARTING)
+    assert usable_names(membership) == set()
+    assert [i.name for i in membership.due_probes(2.0)] == ["e1"]
+    assert membership.due_probes(2.1) == []
+    membership.record_heard("e1", 2, 2.2, LIVE)
+    assert usable_names(membership) == {"e1"}
--- a/tests/test_state_pins_and_fences.py
+++ b/tests/test_state_pins_and_fences.py
@@ -23,19 +23,19 @@
 from acaciacove.state.session_pins import NEW_SESSION, SessionPins
 from tests.virtual import run_virtual
 
-GUIDE = Api("guide", ApiKind.MODEL)
+GUIDE_API = Api("guide", ApiKind.MODEL)
 TEAM = Organisation("ozark-guides", allowed={"g": ("*",)})
 V1, V2, V3 = (VersionId("g", n) for n in "123")
 
 
-def fleet_of(*notes):
+def fold_notes(*notes):
     state = FleetState()
     for offset, (declared, withdrawn, *allowed) in enumerate(notes):
         team = Organisation(TEAM.name, allowed={"g": allowed[0] if allowed else ("*",)})
         note = ReleaseNote(
             f"n{offset}",
             state.release_revision,
-            apis=(GUIDE,),
+            apis=(GUIDE_API,),
             versions=tuple(Version(v, "guide", 1.0) for v in declared),
             withdrawn=withdrawn,
             organisations=(team,),
@@ -44,32 +44,32 @@
     return state
 
 
-def test_a_session_keeps_its_version_at_an_entry_that_never_saw_it():
+def test_session_keeps_its_version_at_another_entry():
     # The entry that pinned a chat dies. The swimmer's next message goes to another
     # entry, and a change of model in mid-chat would lose the thread.
-    fleet = fleet_of(([V1, V2], ()))
+    fleet = fold_notes(([V1, V2], ()))
     token = SessionPins(("s",)).issue(TEAM.name, "guide", "chat", V2)
     other = SessionPins(("s",))
-    assert other.pinned_version(fleet, TEAM, GUIDE, "chat", token) == V2
-    fleet = fleet_of(([V1, V2], ()), ([V3], (V2,)))
-    assert other.pinned_version(fleet, TEAM, GUIDE, "chat", token) is None
+    assert other.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) == V2
+    fleet = fold_notes(([V1, V2], ()), ([V3], (V2,)))
+    assert other.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) is None
 
 
-def test_tokens_are_bound_to_their_session_and_survive_a_change_of_secret():
-    fleet = fleet_of(([V1, V2], ()))
+def test_tokens_are_bound_to_their_session_and_survive_secret_rotation():
+    fleet = fold_notes(([V1, V2], ()))
     old, new = SessionPins(("s",)), SessionPins(("t", "s"))
     token = old.issue(TEAM.name, "guide", "chat", V2)
-    assert new.pinned_version(fleet, TEAM, GUIDE, "chat", token) == V2
+    assert new.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) == V2
     for reader, session in ((new, "other"), (SessionPins(("t",)), "chat")):
-        assert reader.pinned_version(fleet, TEAM, GUIDE, session, token) == V1
+        assert reader.pinned_version(fleet, TEAM, GUIDE_API, session, token) == V1
     assert new.read(token, "rival", "guide", "chat") is None
-    assert old.pinned_version(fleet, TEAM, GUIDE, "chat", NEW_SESSION) is None
+    assert old.pinned_version(fleet, TEAM, GUIDE_API, "chat", NEW_SESSION) is None
     assert SessionPins(("",)).issue(TEAM.name, "guide", "chat", V2) == ""
 
 
 @given(st.text(max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_junk_tokens_pin_nothing(token):
+def test_invalid_tokens_are_ignored(token):
     pins = SessionPins(("s",))
     assert pins.read(token, TEAM.name, "guide", "chat") is None
 
@@ -86,16 +86,16 @@
 
 @given(steps)
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_a_session_without_a_token_moves_only_when_its_version_is_stopped(steps):
+def test_session_without_token_changes_version_only_when_it_is_unusable(steps):
     # A keeper's till can carry no token. It must not change versions because a new
     # one is rolled out, an old one comes back, or its team may use more.
     pins = SessionPins(("s",))
     notes, before = [([V1, V2, V3], ())], None
     for declared, withdrawn, allowed in steps:
         notes.append((sorted(declared), tuple(sorted(withdrawn)), allowed))
-        fleet = fleet_of(*notes)
+        fleet = fold_notes(*notes)
         team = fleet.organisations[TEAM.name]
-        now = pins.pinned_version(fleet, team, GUIDE, "till", "")
+        now = pins.pinned_version(fleet, team, GUIDE_API, "till", "")
         may_stay = before is not None and team.allows(before)
         if may_stay and fleet.is_usable(before):
             assert now == before
@@ -103,7 +103,7 @@
         before = now
 
 
-def test_a_stale_order_is_refused_before_an_engine_that_ignores_numbers():
+def test_order_with_a_stale_fence_is_refused():
     # A placing process is paused, the release moves on, and its old order arrives
     # at a sidecar that was itself replaced in the meantime.
     revision = 4
@@ -116,7 +116,7 @@
     assert fresh.admit(8).not_run
 
 
-class Store:
+class FakeWeightStore:
     """Grants one load every 10 s, and is down at first."""
 
     def __init__(self):
@@ -134,9 +134,9 @@
         return 0.0
 
 
-def test_loads_are_paced_and_one_that_was_overtaken_does_not_start():
+def test_loads_are_rate_limited_and_a_stale_load_does_not_start():
     async def main():
-        store, gate = Store(), FenceGate(lambda: 0)
+        store, gate = FakeWeightStore(), FenceGate(lambda: 0)
         loads = [
             wait_for_permit(store, f"w{n}", lambda: None, 100.0, Random(n))
             for n in range(3)
--- a/tests/test_state_spread.py
+++ b/tests/test_state_spread.py
@@ -12,10 +12,10 @@
 from acaciacove.fleet.role import Role
 from acaciacove.messages.digest import Digest
 from acaciacove.messages.pull import Pull
-from acaciacove.state.fleet_holder import FleetHolder
+from acaciacove.state.fleet_store import FleetStore
 from acaciacove.state.record_codec import encode_record
-from acaciacove.state.spread import Spread
-from acaciacove.state.spread_settings import SpreadSettings
+from acaciacove.state.release_gossip import ReleaseGossip
+from acaciacove.state.release_gossip_settings import ReleaseGossipSettings
 from acaciacove.state.zone_decision import ZoneDecision
 
 
@@ -23,18 +23,20 @@
     return Instance(name, Role.ENTRY, "south", zone, "127.0.0.1", 1, 1)
 
 
-def machine(name, zone="ozark", offsets=0):
-    holder = FleetHolder()
-    holder.offer([LogEntry(n, decision(n)) for n in range(offsets)])
+def create_gossip(name, zone="ozark", offsets=0):
+    fleet_store = FleetStore()
+    fleet_store.offer([LogEntry(n, encoded_decision(n)) for n in range(offsets)])
     me = instance(name, zone)
-    return Spread(me, holder, SpreadSettings(), Random(name)), holder
+    return ReleaseGossip(
+        me, fleet_store, ReleaseGossipSettings(), Random(name)
+    ), fleet_store
 
 
-def decision(number):
+def encoded_decision(number):
     return encode_record(ZoneDecision(f"d{number}", f"zone-{number}", True))
 
 
-def test_a_note_read_by_one_process_is_in_force_on_a_thousand_within_3_s():
+def test_release_note_reaches_a_thousand_processes_within_3_s():
     # The log goes down right after one process has read the note. A swimmer must
     # not be served by a withdrawn version on any of the others.
     small, large = measure_spread(100, seed=5), measure_spread(1000, seed=5)
@@ -50,7 +52,7 @@
     st.booleans(),
 )
 @settings(derandomize=True, deadline=None, max_examples=30)
-def test_processes_agree_though_messages_get_lost_doubled_and_reordered(
+def test_processes_converge_despite_lost_duplicated_and_reordered_messages(
     seed, size, loss, cut_off
 ):
     # Messages vanish, come twice or late, and one zone hears nothing for a while.
@@ -58,70 +60,81 @@
     # with a wrong one it would go back to an older release.
     random = Random(seed)
     zones = ["ozark" if n % 2 else "gulfcoast" for n in range(size)]
-    machines, holders = {}, {}
+    gossips, fleet_stores = {}, {}
     for number, zone in enumerate(zones):
         name = f"e{number}"
-        machines[name], holders[name] = machine(name, zone)
+        gossips[name], fleet_stores[name] = create_gossip(name, zone)
     peers = [instance(f"e{n}", zone) for n, zone in enumerate(zones)]
-    highest = dict.fromkeys(holders, -1)
-    under_way = []
+    highest = dict.fromkeys(fleet_stores, -1)
+    in_flight = []
     published = 0
     for step in range(1000):
         now_s = step * 0.1
         if step < 50 and step % 7 == 0:
             published += 1
-            reader = holders[f"e{random.randrange(size)}"]
+            reader = fleet_stores[f"e{random.randrange(size)}"]
             unread = range(reader.next_offset, published)
-            reader.offer([LogEntry(n, decision(n)) for n in unread])
-        for name, spread in machines.items():
-            under_way += [(name, out) for out in spread.tick(now_s, peers)]
-        random.shuffle(under_way)
-        arriving, under_way = under_way[: 3 * size], under_way[3 * size :]
+            reader.offer([LogEntry(n, encoded_decision(n)) for n in unread])
+        for name, release_gossip in gossips.items():
+            in_flight += [(name, out) for out in release_gossip.tick(now_s, peers)]
+        random.shuffle(in_flight)
+        arriving, in_flight = in_flight[: 3 * size], in_flight[3 * size :]
         for sender, out in arriving:
             apart = zones[int(sender[1:])] != zones[int(out.instance[1:])]
             if random.random() < loss or (cut_off and apart and step < 200):
                 continue
             for _ in range(random.choice([1, 1, 2])):
-                replies = machines[out.instance].on_message(sender, out.message, now_s)
-                under_way += [(out.instance, reply) for reply in replies]
-        for name, holder in holders.items():
-            assert holder.revision >= highest[name]
-            highest[name] = holder.revision
+                replies = gossips[out.instance].on_message(sender, out.message, now_s)
+                in_flight += [(out.instance, reply) for reply in replies]
+        for name, fleet_store in fleet_stores.items():
+            assert fleet_store.revision >= highest[name]
+            highest[name] = fleet_store.revision
         if step > 200 and set(highest.values()) == {published - 1}:
             break
-    assert {holder.revision for holder in holders.values()} == {published - 1}
+    assert {fleet_store.revision for fleet_store in fleet_stores.values()} == {
+        published - 1
+    }
     assert (
-        len({holder.state.availability_zones_out for holder in holders.values()}) == 1
+        len(
+            {
+                fleet_store.state.availability_zones_out
+                for fleet_store in fleet_stores.values()
+            }
+        )
+        == 1
     )
 
 
-def test_a_fresh_process_in_a_log_outage_takes_the_highest_revision_of_its_peers():
+def test_new_process_during_a_log_outage_waits_for_the_highest_peer_revision():
     # The log is down while instances are replaced. A process that took the first
     # peer's word would start on an old release and serve what was withdrawn since.
-    fresh, holder = machine("fresh")
-    behind, ahead = machine("behind", offsets=3), machine("ahead", offsets=5)
+    fresh, fleet_store = create_gossip("fresh")
+    behind, ahead = (
+        create_gossip("behind", offsets=3),
+        create_gossip("ahead", offsets=5),
+    )
     peers = {"behind": behind[0], "ahead": ahead[0]}
     assert not fresh.ready
     for name in ("behind", "ahead"):
-        digest = Digest(name, 1, peers[name]._holder.revision, "live")
+        digest = Digest(name, 1, peers[name]._fleet_store.revision, "live")
         for out in fresh.on_message(name, digest, 0.0 if name == "behind" else 9.0):
             for reply in peers[out.instance].on_message("fresh", out.message, 0.0):
                 fresh.on_message(out.instance, reply.message, 9.0)
         assert fresh.ready is (name == "ahead")
-    assert holder.revision == 4
+    assert fleet_store.revision == 4
 
 
-def test_a_peer_that_is_live_answers_one_that_is_starting():
+def test_live_peer_answers_a_starting_process():
     # Otherwise a fresh process with nobody ahead of it would never count enough
     # peers, and would refuse every caller until the log is back.
-    live, _ = machine("live", offsets=2)
+    live, _ = create_gossip("live", offsets=2)
     hello = Digest("fresh", 1, 1, InstanceStatus.STARTING, reply_wanted=True)
     (reply,) = live.on_message("fresh", hello, 0.0)
     assert reply.message.revision == 1
 
 
-def test_a_data_message_from_a_fresher_process_asks_for_what_is_missing():
+def test_newer_revision_in_a_data_message_causes_a_pull():
     # A process paused for minutes wakes up and gets work before its next digest.
-    paused, _ = machine("paused", offsets=2)
-    assert paused.needs_from_peer(1) is None
-    assert paused.needs_from_peer(7) == Pull(2)
+    paused, _ = create_gossip("paused", offsets=2)
+    assert paused.pull_if_behind(1) is None
+    assert paused.pull_if_behind(7) == Pull(2)
