--- a/acaciacove/state/__init__.py
+++ b/acaciacove/state/__init__.py
@@ -1,1 +1,1 @@
-"""Shared state: log records, reducer, claims, billing, spread, membership."""
+"""Shared state: log records, reducer, claims, billing, gossip and membership."""
--- a/acaciacove/state/append_budget.py
+++ b/acaciacove/state/append_budget.py
@@ -1,4 +1,4 @@
-"""Shares the log's append rate among the processes of the fleet."""
+"""Divides the append rate of the platform's log among the processes of the fleet."""
 
 from attrs import evolve
 
--- a/acaciacove/state/append_result.py
+++ b/acaciacove/state/append_result.py
@@ -9,12 +9,12 @@
 
 @frozen
 class AppendResult:
-    """What became of one item; ``offset`` is that of the payload carrying it."""
+    """Outcome for one item; ``offset`` is that of the payload with the item."""
 
     state: AppendState
     offset: int = NO_OFFSET
 
     @property
     def appended(self) -> bool:
-        """Tell whether the item is known to be in the log."""
+        """Return whether the item is known to be in the log."""
         return self.state is AppendState.APPENDED
--- a/acaciacove/state/append_state.py
+++ b/acaciacove/state/append_state.py
@@ -1,4 +1,4 @@
-"""What is known about an item that was handed to the log writer."""
+"""The state of an item that was submitted to the log writer."""
 
 from enum import StrEnum
 
@@ -6,8 +6,8 @@
 class AppendState(StrEnum):
     """Whether an item is in the log.
 
-    ``NOT_APPENDED`` items were never sent and never will be. ``IN_DOUBT`` ones
-    were sent, and may be in the log or land there later.
+    ``NOT_APPENDED`` items were never sent and never will be. ``IN_DOUBT`` items
+    were sent without a reply: they may be in the log, or may be written later.
     """
 
     APPENDED = "appended"
--- a/acaciacove/state/backoff.py
+++ b/acaciacove/state/backoff.py
@@ -1,4 +1,4 @@
-"""Exponential backoff with full jitter."""
+"""Exponential backoff with jitter."""
 
 from random import Random
 
@@ -10,7 +10,7 @@
 
 @define
 class Backoff:
-    """Delays that double up to a limit; jitter keeps processes from retrying as one."""
+    """Delays that double up to a limit, with jitter so that retries do not coincide."""
 
     random: Random
     initial_delay_s: float = INITIAL_DELAY_S
@@ -26,5 +26,5 @@
         return delay_limit_s * self.random.uniform(0.5, 1.0)
 
     def reset(self) -> None:
-        """Forget the failures after a success."""
+        """Reset the failure count after a success."""
         self.failures = 0
--- a/acaciacove/state/batch.py
+++ b/acaciacove/state/batch.py
@@ -1,4 +1,4 @@
-"""One appended payload that carries many items."""
+"""One payload of the log that contains several items."""
 
 from typing import Any
 
@@ -9,8 +9,8 @@
 class Batch:
     """Items of one group commit, as parsed JSON objects.
 
-    ``writer``, ``incarnation`` and ``sequence`` make the payload unique, so that
-    it can be found again when the reply to its append was lost.
+    ``writer``, ``incarnation`` and ``sequence`` make the payload unique. The
+    writer can therefore find it in the log when the reply to its append was lost.
     """
 
     writer: str
--- a/acaciacove/state/batch_codec.py
+++ b/acaciacove/state/batch_codec.py
@@ -1,4 +1,4 @@
-"""Payloads of group commits as JSON."""
+"""Encodes and decodes the payloads of group commits as JSON."""
 
 import orjson
 
@@ -9,7 +9,7 @@
 def encode_batch(
     writer: str, incarnation: int, sequence: int, items: list[bytes]
 ) -> bytes:
-    """Write one payload; each item is a JSON object already."""
+    """Encode one payload; each item is already encoded as a JSON object."""
     return orjson.dumps(
         {
             "writer": writer,
@@ -21,7 +21,7 @@
 
 
 def decode_batch(payload: bytes) -> Batch:
-    """Read one payload; raises MalformedMessageError."""
+    """Decode one payload; raises MalformedMessageError."""
     try:
         document = orjson.loads(payload)
         items = tuple(item for item in document["items"] if isinstance(item, dict))
@@ -32,4 +32,6 @@
             items,
         )
     except (orjson.JSONDecodeError, KeyError, TypeError, ValueError) as error:
-        raise MalformedMessageError(f"not a batch: {error}") from error
+        raise MalformedMessageError(
+            f"log payload is not a batch of items: {error}"
+        ) from error
--- a/acaciacove/state/exposure_record.py
+++ b/acaciacove/state/exposure_record.py
@@ -1,4 +1,4 @@
-"""The roll-out guard's word that a version has earned a larger share."""
+"""The rollout guard's decision to raise a version's share of its traffic."""
 
 from attrs import frozen
 
@@ -7,10 +7,11 @@
 
 @frozen
 class ExposureRecord:
-    """Exposes ``version`` to ``share`` of its traffic, from 0 to 1.
+    """Sends ``share`` of its traffic, from 0 to 1, to ``version``.
 
-    ``based_on`` is the revision on which the evidence was weighed; a release note
-    that has declared the version anew since then starts its roll-out over.
+    ``based_on`` is the release revision at which the evidence was evaluated. If a
+    later release note has declared the version again, its rollout has restarted and
+    the record is ignored. -1 skips this check.
     """
 
     version: VersionId
--- a/acaciacove/state/fence_gate.py
+++ b/acaciacove/state/fence_gate.py
@@ -1,4 +1,4 @@
-"""Refuses orders to an engine that newer decisions have overtaken."""
+"""Refuses orders to an engine that a newer decision has superseded."""
 
 from collections.abc import Callable
 
@@ -9,28 +9,29 @@
 
 
 class FenceGate:
-    """Stands before one engine, in its sidecar; no other way leads to the engine.
-
-    An order carries the log offset of the record that decided it. Engines that
-    ignore the number would obey a process that was paused before that record was
-    overtaken, and load what was withdrawn since. ``release_offset`` returns the
-    offset of the release in force, so that a sidecar that has just started refuses
-    old orders as well, before it has seen any newer one.
+    """Checks the fencing token of every order to one engine, in the engine's sidecar.
+
+    The fencing token of an order is the log offset of the record that it follows
+    from. Engines do not check it. Without this gate, an engine would execute the
+    order of a process that was paused and does not know of newer records, and load
+    a version that has been withdrawn. ``release_offset`` returns the offset of the
+    release in force, so that a sidecar that has just started also refuses older
+    orders before it has received a newer one.
     """
 
     def __init__(self, release_offset: Callable[[], int]) -> None:
-        """Start without having seen an order."""
+        """Start without any received order."""
         self._release_offset = release_offset
         self._highest_fence = NO_FENCE
         self.refused_orders = 0
 
     @property
     def fence(self) -> int:
-        """Return the lowest number that an order may carry now."""
+        """Return the lowest fencing token that is accepted now."""
         return max(self._highest_fence, self._release_offset())
 
     def admit(self, fence: int) -> Refusal | None:
-        """Take an order's number in; a refusal says that it must not be given."""
+        """Check an order's fencing token; return a refusal if it is too old."""
         lowest = self.fence
         if fence < lowest:
             self.refused_orders += 1
--- a/acaciacove/state/fleet_store.py
+++ b/acaciacove/state/fleet_store.py
@@ -1,4 +1,4 @@
-"""The state in force in one process, with the records that peers may lack."""
+"""The fleet state of one process, with recent records for peers that lack them."""
 
 import asyncio
 from collections import OrderedDict, deque
@@ -29,14 +29,14 @@
 
 
 class FleetStore:
-    """Folds what comes from the log and from peers; never moves to a lower revision.
+    """Folds records from the log and from peers; the revision never decreases.
 
-    ``ready`` tells whether any revision is known. ``snapshot_revision`` is the
-    highest revision that a snapshot in the log is known to cover.
+    ``snapshot_revision`` is the highest revision that a snapshot in the log is known
+    to cover.
     """
 
     def __init__(self) -> None:
-        """Start from nothing."""
+        """Start with an empty fleet state."""
         self.state = FleetState()
         self.snapshot_revision = -1
         self.snapshot_offset = -1
@@ -53,44 +53,44 @@
 
     @property
     def next_offset(self) -> int:
-        """Return the offset from which the log is still to be read."""
+        """Return the offset of the next record to be folded."""
         return self.state.revision + 1
 
     @property
     def has_gap(self) -> bool:
-        """Tell whether later records are known than can be folded."""
+        """Return whether records are buffered because earlier ones are missing."""
         return bool(self._buffered)
 
     def subscribe(self) -> "asyncio.Queue[FleetState]":
-        """Return a queue that gets each new state."""
+        """Return a queue that receives each new state."""
         queue: asyncio.Queue[FleetState] = asyncio.Queue()
         self._listeners.append(queue.put_nowait)
         return queue
 
     def add_listener(self, listener: StateListener) -> None:
-        """Call ``listener`` with each new state, in this task."""
+        """Call ``listener`` with each new state, in the task that folds the records."""
         self._listeners.append(listener)
 
     def fold_result_of(self, record_id: str) -> FoldResult | None:
-        """Return what was made of a note or decision, if it was folded here lately."""
+        """Return the result of a release note or decision that was folded recently."""
         return self._fold_results.get(record_id)
 
     def offer(self, entries: list[LogEntry]) -> None:
-        """Fold entries of the release stream, as a LogTail hands them over."""
+        """Fold entries of the release stream; LogTail calls this."""
         before = self.state
         for entry in entries:
             self._apply(entry.offset, entry.payload)
         self._notify_listeners(before)
 
     def note_gap(self, earliest_offset: int) -> None:
-        """Learn that records before ``earliest_offset`` have expired.
+        """Do nothing about the expiry of records before ``earliest_offset``.
 
-        Nothing is dropped: later records wait until a snapshot, in the log or
-        from a peer, covers what is missing.
+        Later records are buffered until a snapshot, in the log or from a peer, covers
+        the missing ones.
         """
 
     def apply_records(self, message: Records) -> None:
-        """Fold what a peer sent: a snapshot of its state, then records."""
+        """Fold the reply of a peer: a snapshot of its state, then records."""
         before = self.state
         if message.snapshot:
             self._install_peer_snapshot(message)
@@ -99,15 +99,16 @@
         self._notify_listeners(before)
 
     def pull_if_behind(self, revision: int) -> Pull | None:
-        """Return what to ask a peer at ``revision`` for, if it is ahead."""
+        """Return the request for missing records if a peer at ``revision`` is ahead."""
         if revision <= self.revision:
             return None
         return Pull(self.next_offset)
 
     def records_for(self, pull: Pull) -> Records:
-        """Answer a peer that lacks everything from an offset on.
+        """Return the records from an offset on, which a peer lacks.
 
-        Records that are no longer kept here are replaced by the whole state.
+        If some of them are no longer retained, the reply is a snapshot of the complete
+        state instead.
         """
         missing = [r for r in self._recent_records if r.offset >= pull.from_offset]
         complete = pull.from_offset > self.revision or (
@@ -141,10 +142,10 @@
             self._install_state(record.state)
 
     def _apply(self, offset: int, payload: bytes) -> None:
-        """Fold a record in its turn; one that comes early waits.
+        """Fold a record in offset order; buffer it if earlier ones are missing.
 
-        A reader that folded past a hole would hold a state that no other reader
-        holds at that revision, and a withdrawal in the hole would be lost on it.
+        A reader that skipped a missing record would have a state that no other reader
+        has at that revision, and could miss the withdrawal of a version.
         """
         if offset <= self.revision:
             return
@@ -155,7 +156,7 @@
         self._fold_buffered()
 
     def _buffer(self, offset: int, payload: bytes) -> None:
-        """Keep an early record, and start from it if it is a usable snapshot."""
+        """Buffer a record, and start from it if it is a usable snapshot."""
         if len(self._buffered) >= MAX_BUFFERED_RECORDS:
             self._buffered.pop(min(self._buffered))
         self._buffered[offset] = payload
@@ -170,7 +171,7 @@
             self._install_state(record.state)
 
     def _install_state(self, state: FleetState) -> None:
-        """Take over a whole state that is newer than the one in force."""
+        """Replace the state by a complete newer one."""
         self.state = state
         self._recent_records.clear()
         for offset in [o for o in self._buffered if o <= state.revision]:
@@ -190,7 +191,7 @@
             self.contradictions += 1
         elif isinstance(record, Snapshot):
             self._record_snapshot(offset, record)
-        self._record_fold_result(record, result)
+        self._store_result(record, result)
 
     def _record_snapshot(self, offset: int, snapshot: Snapshot) -> None:
         covered = snapshot.state.revision
@@ -198,8 +199,8 @@
             self.snapshot_revision = covered
             self.snapshot_offset = offset
 
-    def _record_fold_result(self, record: Record | None, result: FoldResult) -> None:
-        """Remember the first verdict on an id; a second copy is a duplicate."""
+    def _store_result(self, record: Record | None, result: FoldResult) -> None:
+        """Store the first result of an id; ignore later copies of the record."""
         match record:
             case ReleaseNote(note_id=record_id):
                 pass
@@ -223,7 +224,7 @@
 
 
 def _decode_or_none(payload: bytes) -> Record | None:
-    """Read a record; None stands for one that cannot be read."""
+    """Decode a record; return None if it is malformed."""
     try:
         return decode_record(payload)
     except MalformedMessageError:
--- a/acaciacove/state/fold_result.py
+++ b/acaciacove/state/fold_result.py
@@ -8,7 +8,7 @@
 
 @frozen
 class FoldResult:
-    """The state after a record, and whether the record changed it."""
+    """The fleet state after a record, and why the record did or did not change it."""
 
     state: FleetState
     verdict: Verdict
--- a/acaciacove/state/log_health.py
+++ b/acaciacove/state/log_health.py
@@ -1,4 +1,4 @@
-"""Detects that the platform's log is slow or down."""
+"""Detects whether the platform's log is slow or down."""
 
 from attrs import define
 
@@ -11,7 +11,7 @@
 
 @define
 class LogHealth:
-    """Fold of append and read results; shared by a process's writer and tails."""
+    """Statistics of appends and reads, shared by the writer and tails of a process."""
 
     latency_s: float = 0.0
     consecutive_failures: int = 0
@@ -28,13 +28,13 @@
         return LogStatus.SLOW if self.latency_s > SLOW_LATENCY_S else LogStatus.UP
 
     def record_success(self, latency_s: float) -> None:
-        """Count an answer that took ``latency_s`` beyond any wait it asked for."""
+        """Record a reply; ``latency_s`` excludes the wait of a long poll."""
         self.consecutive_failures = 0
         self.down_since_s = None
         self.latency_s += LATENCY_SMOOTHING * (latency_s - self.latency_s)
 
     def record_failure(self, now_s: float) -> None:
-        """Count an answer that did not come."""
+        """Record a request without a usable reply."""
         self.failures += 1
         self.consecutive_failures += 1
         if (
--- a/acaciacove/state/log_status.py
+++ b/acaciacove/state/log_status.py
@@ -1,10 +1,10 @@
-"""How the platform's log does, as one process sees it."""
+"""The availability of the platform's log, as observed by one process."""
 
 from enum import StrEnum
 
 
 class LogStatus(StrEnum):
-    """Up, answering slowly, or not answering."""
+    """Whether the log replies promptly, slowly or not at all."""
 
     UP = "up"
     SLOW = "slow"
--- a/acaciacove/state/log_tail.py
+++ b/acaciacove/state/log_tail.py
@@ -1,4 +1,4 @@
-"""Follows one stream of the platform's log."""
+"""Reads one stream of the platform's log continuously."""
 
 import asyncio
 from collections.abc import Callable
@@ -23,11 +23,11 @@
 
 
 class LogTail:
-    """Hands a stream's entries over in offset order, each once; ``run`` is its task.
+    """Passes each entry of a stream on once, in offset order; ``run`` is its task.
 
-    ``handle_gap`` is told the earliest offset that can still be read when records
-    expired before they were read; entries from there on follow. ``caught_up`` is
-    set once the end of the stream has been seen.
+    When records expired before they were read, ``handle_gap`` is called with the
+    earliest offset that can still be read. The entries from that offset on follow.
+    ``caught_up`` is set once the end of the stream has been reached.
     """
 
     def __init__(
@@ -42,10 +42,11 @@
         process_count: Callable[[], int] = lambda: 1,
         pause_detector: PauseDetector | None = None,
     ) -> None:
-        """Take what the tail works with; nothing is read before ``run``.
+        """Initialise the tail; it reads nothing before ``run``.
 
-        ``process_count`` tells how many follow the stream; see ``idle_delay_s``.
-        ``pause_detector`` is told when the end of the stream was seen.
+        ``process_count`` returns how many processes read the stream; it determines
+        ``idle_delay_s``. ``pause_detector`` is notified when the end of the stream is
+        reached.
         """
         self.stream = stream
         self.next_offset = next_offset
@@ -60,36 +61,37 @@
         self._lock = asyncio.Lock()
 
     def advance_to(self, next_offset: int) -> None:
-        """Skip entries that came by another way, such as from a peer."""
+        """Skip entries that were received by other means, such as from a peer."""
         self.next_offset = max(self.next_offset, next_offset)
 
     def accept(self, entry: LogEntry) -> None:
-        """Take in an entry that this process has appended itself.
+        """Pass on an entry that this process has appended itself.
 
-        It counts only if it follows what was read; else it will be read in its turn.
+        This happens only if it is the next entry. Otherwise it is read from the log
+        later, in offset order.
         """
         if entry.offset == self.next_offset:
             self.next_offset = entry.offset + 1
             self._handle_entries([entry])
 
     async def run(self) -> None:
-        """Follow the stream until cancelled, through outages."""
+        """Read the stream until cancelled; retry during outages of the log."""
         while True:
             try:
-                # Waiting for news before the end has been seen once would hold a
-                # fresh process back from serving for the length of the wait.
+                # A long poll before the first end of the stream would delay the
+                # start of service by the length of the wait.
                 wait_s = READ_WAIT_S if self.caught_up.is_set() else 0.0
                 count = await self.read_once(wait_s)
             except PlatformUnavailableError:
                 await asyncio.sleep(self._backoff.next_delay_s())
                 continue
             if count == 0:
-                # A log that answers an empty read at once, without waiting as
-                # it was asked to, would otherwise be polled in a busy loop.
+                # Without this delay, a log that returns an empty result at once
+                # and ignores the requested wait would be polled in a busy loop.
                 await asyncio.sleep(idle_delay_s(self._process_count()))
 
     async def read_once(self, wait_s: float = 0.0) -> int:
-        """Read and hand over the next entries; return how many there were.
+        """Read the next entries and pass them on; return their number.
 
         Raises PlatformUnavailableError.
         """
@@ -106,13 +108,16 @@
             return len(unread)
 
     async def catch_up(self, next_offset: int) -> None:
-        """Read until everything before ``next_offset`` was handed over.
+        """Read until all entries before ``next_offset`` have been passed on.
 
         Raises PlatformUnavailableError.
         """
         while self.next_offset < next_offset:
             if await self.read_once() == 0 and self.next_offset < next_offset:
-                raise PlatformUnavailableError("the log ends before its own offset")
+                raise PlatformUnavailableError(
+                    f"log stream {self.stream} ends at offset {self.next_offset}, "
+                    f"expected entries before {next_offset}"
+                )
 
     async def catch_up_to_end(self) -> None:
         """Read until the end of the stream; raises PlatformUnavailableError."""
@@ -120,7 +125,7 @@
             pass
 
     def _confirm_up_to_date(self, started_s: float) -> None:
-        """Tell the guard of a read that was started after the process woke."""
+        """Confirm the state unless the read was started before the last pause ended."""
         now_s = asyncio.get_running_loop().time()
         if (
             self._pause_detector is not None
@@ -129,7 +134,7 @@
             self._pause_detector.confirm_up_to_date(now_s)
 
     async def _read(self, wait_s: float) -> list[LogEntry]:
-        """Read once, past a gap if need be."""
+        """Read once; skip expired records."""
         loop = asyncio.get_running_loop()
         while True:
             started_s = loop.time()
@@ -141,7 +146,10 @@
                     )
             except OffsetExpiredError as error:
                 if error.earliest_offset <= self.next_offset:
-                    raise PlatformUnavailableError("contradictory offsets") from error
+                    raise PlatformUnavailableError(
+                        f"log stream {self.stream}: offset {self.next_offset} expired, "
+                        f"but the earliest offset is {error.earliest_offset}"
+                    ) from error
                 self.next_offset = error.earliest_offset
                 self._handle_gap(error.earliest_offset)
                 continue
@@ -154,10 +162,10 @@
 
 
 def idle_delay_s(process_count: int) -> float:
-    """Return the pause after a read that brought nothing.
+    """Return the delay after a read that returned no entries.
 
-    A thousand processes that all read the log each second would be most of its
-    work. All of them together keep to FLEET_READS_PER_S: whoever reads a record
-    first passes it on, so that each of the others need not.
+    A thousand processes that each read the log every second would be most of its
+    load. Together they stay below FLEET_READS_PER_S. This is sufficient because the
+    first process that reads a record passes it on to the others by gossip.
     """
     return max(MIN_IDLE_DELAY_S, process_count / FLEET_READS_PER_S - READ_WAIT_S)
--- a/acaciacove/state/log_writer.py
+++ b/acaciacove/state/log_writer.py
@@ -1,4 +1,4 @@
-"""Appends to the platform's log for one process: group commit under a budget."""
+"""Appends to the platform's log by one process: group commit with a rate limit."""
 
 import asyncio
 from collections import deque
@@ -31,9 +31,9 @@
 class LogWriter:
     """Queues items, groups them by stream and appends them; ``run`` is its task.
 
-    One payload a stream is under way at a time, so items of a stream land in the
+    Each stream has at most one append in flight, so that its items are written in the
     order in which they were submitted. Items submitted without a deadline are
-    kept until they are in the log.
+    retained until they are in the log.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         random: Random,
         health: LogHealth | None = None,
     ) -> None:
-        """Take what the writer works with; nothing is sent before ``run``."""
+        """Initialise the writer; it sends nothing before ``run``."""
         self.health = health or LogHealth()
         self._listeners: list[AppendListener] = []
         self._log = log
@@ -65,28 +65,28 @@
 
     @property
     def queued(self) -> int:
-        """Return how many items wait or are under way."""
+        """Return the number of items that are waiting or in flight."""
         return self._queued
 
     @property
     def idle(self) -> bool:
-        """Tell whether everything that was submitted is settled."""
+        """Return whether every submitted item has a result."""
         return self._queued == 0
 
     @property
     def in_flight_tasks(self) -> list["asyncio.Task[None]"]:
-        """Return the tasks of the appends under way, such as to end them."""
+        """Return the tasks of the appends in flight, for instance to cancel them."""
         return list(self._in_flight.values())
 
     def add_listener(self, listener: AppendListener) -> None:
-        """Call ``listener`` with stream, offset and payload of what has landed.
+        """Call ``listener`` with stream, offset and payload after each append.
 
-        It is called before anyone who waits for an item of the payload resumes.
+        It is called before the results of the payload's items are set.
         """
         self._listeners.append(listener)
 
     def configure(self, settings: LogWriterSettings) -> None:
-        """Change rates and bounds, for instance when the fleet has grown."""
+        """Change rates and limits, for instance when the fleet has grown."""
         self._settings = settings
         for priority in Priority:
             rate = settings.rate_per_s(priority)
@@ -97,31 +97,31 @@
                 bucket.rate_per_s = rate
 
     def record_end(self, stream: str, next_offset: int) -> None:
-        """Learn how far a stream has been read, where a look-up may start."""
+        """Record how far a stream has been read; searches for a payload start there."""
         self._next_offsets[stream] = max(self._next_offsets.get(stream, 0), next_offset)
 
     def has_room(self, priority: Priority) -> bool:
-        """Tell whether an item of this class would be taken now."""
+        """Return whether an item of this priority would be accepted now."""
         return self._queued < QUEUE_SHARES[priority] * self._settings.max_items
 
     def submit(
         self, stream: str, item: bytes, priority: Priority, linger_s: float = 0.0
     ) -> "asyncio.Future[AppendResult]":
-        """Queue an item that has to land, however long it takes.
+        """Queue an item without a deadline; it is retried until it is in the log.
 
-        It waits up to ``linger_s`` for more urgent company in its stream. Raises
-        LogQueueFullError when the class's share of the queue is used up; the caller
-        then keeps the item and applies backpressure.
+        It waits up to ``linger_s`` for a batch of its stream that is due earlier.
+        Raises LogQueueFullError when the priority's share of the queue is used up; the
+        caller then retains the item and applies backpressure.
         """
         return self._enqueue(stream, item, priority, linger_s).done
 
     async def append(
         self, stream: str, item: bytes, priority: Priority, deadline_s: float
     ) -> AppendResult:
-        """Append an item by ``deadline_s`` (the loop's time), or say what is known.
+        """Append an item by ``deadline_s`` (the loop's time) and return its state.
 
-        An item that has not been sent by then never will be; one that was sent
-        without an answer is in doubt. Raises LogQueueFullError.
+        An item that has not been sent by then is never sent. One that was sent
+        without a reply is in doubt. Raises LogQueueFullError.
         """
         pending = self._enqueue(stream, item, priority)
         timeout_s = max(0.0, deadline_s - asyncio.get_running_loop().time())
@@ -146,7 +146,7 @@
                 task.cancel()
 
     async def flush(self, deadline_s: float) -> bool:
-        """Wait until everything has landed; false when the deadline came first."""
+        """Wait until every item has a result; return false at the deadline."""
         loop = asyncio.get_running_loop()
         while not self.idle and loop.time() < deadline_s:
             await asyncio.sleep(min(0.02, max(0.001, deadline_s - loop.time())))
@@ -168,14 +168,14 @@
         return pending
 
     def _dequeue(self, pending: PendingItem) -> None:
-        """Take an item that was never sent out of its queue."""
+        """Remove an item that was never sent from its queue."""
         queue = self._streams.get(pending.stream)
         if queue is not None and pending in queue:
             queue.remove(pending)
             self._queued -= 1
 
     async def _sleep(self, delay_s: float | None) -> None:
-        """Wait for work, or until a batch that lingers is due."""
+        """Wait for a new item or a finished append, at most ``delay_s``."""
         try:
             async with asyncio.timeout(delay_s):
                 await self._wake.wait()
@@ -183,7 +183,7 @@
             return
 
     def _start_batches(self, now_s: float) -> float | None:
-        """Start what may go now; return the seconds until more may."""
+        """Start all batches that are due; return the seconds until the next is."""
         soonest_s: float | None = None
         for stream in self._ready_streams():
             if len(self._in_flight) >= self._settings.max_in_flight:
@@ -196,7 +196,7 @@
         return soonest_s
 
     def _ready_streams(self) -> list[str]:
-        """List streams with work and nothing under way, the most urgent first."""
+        """List streams with items and no append in flight, the most urgent first."""
         free = [s for s, q in self._streams.items() if q and s not in self._in_flight]
         return sorted(free, key=self._urgency)
 
@@ -205,7 +205,7 @@
         return first.priority, first.queued_s, stream
 
     def _wait_s(self, stream: str, now_s: float) -> float:
-        """Return how long a stream's batch still has to wait."""
+        """Return how much longer a stream's batch has to wait."""
         queue = self._streams[stream]
         first = queue[0]
         bucket = self._buckets[first.priority]
@@ -216,7 +216,7 @@
         return max(token_s, self._due_s[stream] + linger_s - now_s)
 
     def _linger_s(self, priority: Priority, bucket: TokenBucket) -> float:
-        """Wait longer for company the scarcer the appends have become."""
+        """Return how long to wait for more items: longer when few tokens are left."""
         if priority is Priority.BILLING:
             return self._settings.billing_linger_s
         if priority is Priority.DECISION:
@@ -237,7 +237,7 @@
         self._wake.set()
 
     def _next_batch(self, stream: str) -> list[PendingItem]:
-        """Take items off a stream's queue, up to the batch's bounds."""
+        """Remove items from a stream's queue, up to the limits of a batch."""
         queue = self._streams[stream]
         single = stream in self._settings.single_streams
         limit = 1 if single else self._settings.max_batch_items
@@ -256,7 +256,7 @@
         return batch
 
     def _payload(self, stream: str, batch: list[PendingItem]) -> bytes:
-        """Write a batch so that no other payload equals it."""
+        """Encode a batch so that no other payload equals it."""
         if stream in self._settings.single_streams:
             return batch[0].data
         self._sequence += 1
@@ -264,13 +264,13 @@
         return encode_batch(self._name, self._incarnation, self._sequence, items)
 
     async def _commit(self, stream: str, batch: list[PendingItem]) -> None:
-        """Append one batch, however often it takes.
+        """Append one batch, with as many retries as necessary.
 
-        The reply to an append can be lost after the record was written. A blind
-        repeat would write it twice and use up appends in the middle of an outage;
-        so the stream is read for the payload before every repeat. An append that
-        is still on its way then can land later all the same: readers ignore the
-        second of two equal items.
+        The reply to an append can be lost after the record was written. Appending
+        again without a check would write the record twice, and use up the append
+        rate during an outage. Therefore the stream is searched for the payload
+        before every retry. An earlier append can still be in flight at that time
+        and be written later; readers ignore the second of two equal items.
         """
         payload = self._payload(stream, batch)
         start = self._next_offsets.get(stream, 0)
@@ -293,7 +293,7 @@
         self._resolve(stream, batch, offset)
 
     async def _append_once(self, stream: str, payload: bytes) -> int | None:
-        """Send one append; None when no reply came."""
+        """Send one append; return None if it was not confirmed in time."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         self.health.appends += 1
@@ -309,14 +309,17 @@
     async def _find_payload(
         self, stream: str, payload: bytes, start: int
     ) -> int | None:
-        """Read a stream to its end for a payload; None when it is not there."""
+        """Search a stream up to its end for a payload; return its offset or None."""
         offset = start
         while True:
             try:
                 entries = await self._read(stream, offset)
             except OffsetExpiredError as error:
                 if error.earliest_offset <= offset:
-                    raise PlatformUnavailableError("contradictory offsets") from error
+                    raise PlatformUnavailableError(
+                        f"log stream {stream}: offset {offset} expired, "
+                        f"but the earliest offset is {error.earliest_offset}"
+                    ) from error
                 offset = error.earliest_offset
                 continue
             for entry in entries:
@@ -338,7 +341,7 @@
     def _resolve(
         self, stream: str, batch: list[PendingItem], offset: int | None
     ) -> None:
-        """Tell everyone who waits for an item of the batch."""
+        """Set the results of a batch's items."""
         result = AppendResult(AppendState.IN_DOUBT)
         if offset is not None:
             result = AppendResult(AppendState.APPENDED, offset)
--- a/acaciacove/state/log_writer_settings.py
+++ b/acaciacove/state/log_writer_settings.py
@@ -8,13 +8,14 @@
 
 @frozen
 class LogWriterSettings:
-    """Bounds of one process's appends.
+    """Limits on the appends of one process.
 
-    The rates are appends a second of this process, one bucket a class, so that
-    bookings cannot starve bills nor the reverse; see ``append_budget``. A batch
-    waits for up to ``billing_linger_s`` (bills), or up to ``max_linger_s`` times
-    the emptiness of its bucket (claims), so an idle process does not wait at all.
-    Streams in ``single_streams`` carry one bare item a payload.
+    The rates are appends per second of this process. Each priority has its own token
+    bucket, so that claims cannot starve billing records or the reverse; see
+    ``append_budget``. A batch of billing records waits up to ``billing_linger_s`` for
+    more items. A batch of claims waits up to ``max_linger_s``, depending on how much
+    of its bucket is used, so that an idle process does not wait at all. Payloads of
+    streams in ``single_streams`` are one item without the envelope of a batch.
     """
 
     decisions_per_s: float = 20.0
@@ -32,7 +33,7 @@
     single_streams: frozenset[str] = field(default=frozenset({RELEASE_STREAM}))
 
     def rate_per_s(self, priority: Priority) -> float:
-        """Return the append rate of a class."""
+        """Return the append rate of a priority."""
         return {
             Priority.DECISION: self.decisions_per_s,
             Priority.CLAIM: self.claims_per_s,
--- a/acaciacove/state/member.py
+++ b/acaciacove/state/member.py
@@ -1,4 +1,4 @@
-"""One instance as membership knows it."""
+"""One instance in the membership of the fleet."""
 
 from typing import Any
 
@@ -13,10 +13,14 @@
 
 @define(eq=False, slots=False)
 class Member:
-    """An instance with the evidence on it; ``state`` follows the shared lifecycle.
+    """An instance with the evidence about it; ``state`` follows the shared lifecycle.
 
-    Times are the loop's, in seconds. ``incarnation`` is the highest that is known;
-    evidence on a lower one is about a process that no longer exists.
+    Times are those of the event loop, in seconds. ``incarnation`` is the highest one
+    seen; evidence about a lower one concerns a process that no longer exists.
+    ``heard_s`` is when the last message of the instance was received, ``probed_s``
+    when it was last probed, and ``learned_s`` when this process last learned that it
+    is leaving or gone. ``missing_since_s`` is since when the platform's list lacks
+    it. A ``watched`` instance is gone if it stays silent.
     """
 
     instance: Instance
@@ -29,21 +33,21 @@
     announced_leaving: bool = False
     watched: bool = False
     state: str = InstanceStatus.STARTING.value
-    # The shared lifecycle machine sets these triggers on each member.
+    # The shared lifecycle machine adds these triggers to each member.
     serve: Any = None
     leave: Any = None
     lose: Any = None
     restart: Any = None
 
     def __attrs_post_init__(self) -> None:
-        """Join the machine that all members share."""
+        """Add this member to the shared lifecycle machine."""
         for trigger in ("serve", "leave", "lose", "restart"):
             delattr(self, trigger)
         LIFECYCLE.add_model(self, initial=self.state)
 
     @property
     def status(self) -> InstanceStatus:
-        """Return the state as instances and messages spell it."""
+        """Return the state as the enum value that instances and messages use."""
         return InstanceStatus(self.state)
 
 
--- a/acaciacove/state/membership.py
+++ b/acaciacove/state/membership.py
@@ -1,8 +1,9 @@
-"""Who gets work: the platform's list, corrected by direct evidence.
+"""Membership of the fleet: the platform's instance list, corrected by evidence.
 
-The list lags by up to a minute and may be wrong. What an instance says of itself
-outweighs it, and so does a connection that fails. Word of leaving is final for an
-incarnation; being gone is not, since a paused process can wake up.
+The list is up to a minute old and may be wrong. A report of an instance about itself
+takes precedence over it, and so does a failed connection. An announcement of leaving
+is final for an incarnation. The status "gone" is not, since a paused process can
+resume.
 """
 
 from collections.abc import Callable, Iterable
@@ -20,10 +21,11 @@
 
 
 class Membership:
-    """Fold of all evidence in one process; ``now_s`` is the loop's time.
+    """The membership as one process sees it; ``now_s`` is the event loop's time.
 
-    The owner calls ``check_timeouts`` a few times a second, sends a digest that wants a
-    reply to each instance of ``due_probes``, and reports what it sees.
+    The caller calls ``check_timeouts`` a few times a second, sends a digest that
+    requests a reply to each instance of ``due_probes``, and reports each list, message
+    and failure that it observes.
     """
 
     def __init__(
@@ -31,18 +33,18 @@
         settings: MembershipSettings,
         on_change: Callable[[], None] = lambda: None,
     ) -> None:
-        """Start with nobody; ``on_change`` is called when the usable set changed."""
+        """Start empty; ``on_change`` is called when the usable instances change."""
         self._settings = settings
         self._on_change = on_change
         self._members: dict[str, Member] = {}
         self._recent_evidence: list[Member] = []
 
     def usable(self) -> list[Instance]:
-        """List the instances that may get new work."""
+        """List the instances that may receive new requests."""
         return [m.instance for m in self._members.values() if _is_usable(m)]
 
     def starting(self) -> list[Instance]:
-        """List the instances whose last word was that they are not ready yet."""
+        """List the instances that have last reported that they are not ready yet."""
         return [
             m.instance
             for m in self._members.values()
@@ -61,25 +63,25 @@
         return member.instance if member else None
 
     def status_of(self, name: str) -> InstanceStatus:
-        """Return how an instance stands; an unknown one is gone."""
+        """Return the status of an instance; an unknown one is gone."""
         member = self._members.get(name)
         return InstanceStatus.GONE if member is None else member.status
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Tell whether a process that wrote a record has surely ended or is silent."""
+        """Return whether an incarnation has ended, or is silent."""
         member = self._members.get(name)
         if member is None or member.incarnation > incarnation:
             return True
         return member.state == InstanceStatus.GONE
 
     def set_watched(self, names: Iterable[str]) -> None:
-        """Notice the silence of these instances, those that this process uses."""
+        """Detect silence of exactly these instances, which this process uses."""
         watched = set(names)
         for name, member in self._members.items():
             member.watched = name in watched
 
     def on_list(self, listed: list[Instance], now_s: float) -> None:
-        """Take in the platform's list."""
+        """Apply the platform's instance list."""
         names = {instance.name for instance in listed}
         for instance in listed:
             self._apply_listed(instance, now_s)
@@ -89,7 +91,7 @@
         self.check_timeouts(now_s)
 
     def on_digest(self, digest: Digest, now_s: float) -> None:
-        """Take in what an instance says of itself, and of others."""
+        """Apply an instance's report about itself and about its peers."""
         status = _parse_status(digest.status)
         self.record_heard(digest.instance, digest.incarnation, now_s, status)
         for text in digest.peers:
@@ -102,7 +104,7 @@
         now_s: float,
         status: InstanceStatus = InstanceStatus.LIVE,
     ) -> None:
-        """Take in an instance's own word: any message of it proves that it lives."""
+        """Record a message of an instance; any message proves that it is running."""
         member = self._members.get(name)
         if member is None or not self._accept_incarnation(member, incarnation, now_s):
             return
@@ -115,7 +117,7 @@
             self._transition(member, InstanceStatus.LIVE)
 
     def record_connect_failure(self, name: str, now_s: float) -> None:
-        """Take in that an instance refused or lost a connection."""
+        """Record that an instance refused or lost a connection."""
         member = self._members.get(name)
         if member is None:
             return
@@ -125,14 +127,14 @@
     def record_refusal(
         self, name: str, incarnation: int, reason: Reason, now_s: float
     ) -> None:
-        """Take in a refusal: one for leaving is the instance's word that it leaves."""
+        """Record a refusal; one with a reason of leaving also announces leaving."""
         status = InstanceStatus.LIVE
         if reason in (Reason.LEAVING, Reason.DRAINING):
             status = InstanceStatus.LEAVING
         self.record_heard(name, incarnation, now_s, status)
 
     def check_timeouts(self, now_s: float) -> None:
-        """Notice silence, and forget instances that are long gone."""
+        """Mark silent instances as gone, and remove those missing from the list."""
         for name, member in list(self._members.items()):
             if self._is_silent(member, now_s):
                 self._mark_gone(member, now_s)
@@ -141,14 +143,14 @@
                 del self._members[name]
 
     def due_probes(self, now_s: float) -> list[Instance]:
-        """List whom to ask for a sign of life now; each call counts as asked."""
+        """List the instances to probe now; each call counts as a probe of them."""
         due = [m for m in self._members.values() if self._wants_probe(m, now_s)]
         for member in due:
             member.probed_s = now_s
         return [member.instance for member in due]
 
     def evidence(self, now_s: float) -> tuple[str, ...]:
-        """Return what this process learned lately, for ``Digest.peers``."""
+        """Return recent evidence of lost instances, for ``Digest.peers``."""
         oldest_s = now_s - self._settings.evidence_s
         lost = (InstanceStatus.LEAVING, InstanceStatus.GONE)
         self._recent_evidence = [
@@ -171,9 +173,9 @@
         if listed != member.instance:
             member.instance = evolve(listed, status=member.status)
         if listed.status in (InstanceStatus.LEAVING, InstanceStatus.GONE):
-            # The list is wrong now and then. An instance that has just said of
-            # itself that it serves is believed, or a false list would empty the
-            # fleet; it tells everyone itself when it does leave.
+            # The list is sometimes wrong. A recent report of the instance itself
+            # takes precedence, since a false list would otherwise remove the whole
+            # fleet. An instance that does leave announces it to its peers.
             if not self._was_heard_recently(member, now_s):
                 self._transition(member, listed.status)
             return
@@ -185,7 +187,7 @@
     def _accept_incarnation(
         self, member: Member, incarnation: int, now_s: float
     ) -> bool:
-        """Tell whether evidence is on the running process; note a new one."""
+        """Return whether evidence is about the latest incarnation; record a new one."""
         if incarnation < member.incarnation:
             return False
         if incarnation > member.incarnation:
@@ -198,10 +200,11 @@
         return True
 
     def _apply_peer_report(self, text: str, now_s: float) -> None:
-        """Take in a third party's word; only leaving is believed from it.
+        """Apply a peer's report about another instance.
 
-        A peer that cannot reach an instance may be the one that is cut off, so
-        its word of a lost instance only leads to a probe.
+        Only a report of leaving is accepted as it is. A peer that cannot reach an
+        instance may itself be partitioned, so that its report of a lost instance only
+        causes a probe.
         """
         name, incarnation, status = _parse_evidence(text)
         member = self._members.get(name)
@@ -227,7 +230,7 @@
         self._transition(member, InstanceStatus.GONE)
 
     def _record_evidence(self, member: Member, now_s: float) -> None:
-        """Remember to pass on what was learned of an instance."""
+        """Queue the evidence about an instance for the next digests."""
         member.learned_s = now_s
         if member in self._recent_evidence:
             self._recent_evidence.remove(member)
@@ -237,7 +240,7 @@
         return now_s - member.heard_s < self._settings.fresh_s
 
     def _is_silent(self, member: Member, now_s: float) -> bool:
-        """Tell whether an instance was given the time to answer and did not."""
+        """Return whether an instance had enough time for a reply and sent none."""
         if member.state == InstanceStatus.GONE:
             return False
         if not member.watched and member.missing_since_s is None:
@@ -257,16 +260,16 @@
         if now_s - member.probed_s < self._settings.retry_s / 2:
             return False
         if member.state in (InstanceStatus.GONE, InstanceStatus.STARTING):
-            # Nobody is told when an instance becomes ready. Without a probe it
-            # would get work only with the next list, which is minutes away in a
-            # large fleet.
+            # An instance does not announce that it is ready. Without a probe it
+            # would receive requests only after the next list, which takes minutes
+            # in a large fleet.
             return now_s - member.probed_s >= self._settings.retry_s
         if not member.watched and member.missing_since_s is None:
             return False
         return now_s - member.heard_s >= self._settings.probe_after_s
 
     def _transition(self, member: Member, status: InstanceStatus) -> None:
-        """Follow the lifecycle to a status, if it leads there."""
+        """Change the status if the lifecycle allows this transition."""
         if member.state == status.value:
             return
         was_usable = _is_usable(member)
@@ -290,7 +293,7 @@
 
 
 def _parse_status(text: str) -> InstanceStatus:
-    """Read a status; one of a later release counts as starting: no work yet."""
+    """Parse a status; one of a newer release counts as starting, thus not usable."""
     try:
         return InstanceStatus(text)
     except ValueError:
@@ -303,7 +306,7 @@
 
 
 def _parse_evidence(text: str) -> tuple[str, int, InstanceStatus]:
-    """Read ``name/incarnation/status``; junk names nobody."""
+    """Parse ``name/incarnation/status``; malformed text yields an empty name."""
     parts = text.rsplit(SEPARATOR, 2)
     if len(parts) != 3 or not parts[1].isdecimal():
         return "", 0, InstanceStatus.STARTING
--- a/acaciacove/state/membership_settings.py
+++ b/acaciacove/state/membership_settings.py
@@ -5,13 +5,14 @@
 
 @frozen
 class MembershipSettings:
-    """How long evidence lasts.
+    """Time limits of evidence and probes.
 
-    An instance's own word outweighs the platform's list for ``fresh_s``. A watched
-    instance that was silent for ``probe_after_s`` is probed, and gets no new work
-    once it was silent for ``silent_s``. One that is gone is probed every
-    ``retry_s`` and forgotten ``forget_s`` after the list has dropped it. What was
-    learned is passed on for ``evidence_s``, ``evidence_count`` items a digest.
+    A report of an instance about itself takes precedence over the platform's list for
+    ``fresh_s``. A watched instance is probed after ``probe_after_s`` without a message
+    and receives no new requests after ``silent_s``. An instance that is gone is probed
+    every ``retry_s``, and removed ``forget_s`` after it disappeared from the list.
+    Digests contain evidence that is up to ``evidence_s`` old, at most
+    ``evidence_count`` items each.
     """
 
     fresh_s: float = 2.5
--- a/acaciacove/state/outgoing_message.py
+++ b/acaciacove/state/outgoing_message.py
@@ -1,4 +1,4 @@
-"""A message on its way to one instance."""
+"""A message to be sent to one instance."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class OutgoingMessage:
-    """A message and the name of the instance that it goes to."""
+    """A message and the name of its receiver."""
 
     instance: str
     message: Message
--- a/acaciacove/state/pause_detector.py
+++ b/acaciacove/state/pause_detector.py
@@ -1,4 +1,4 @@
-"""Keeps a process that was paused from deciding on what it knew before."""
+"""Prevents decisions on stale state after a process was paused."""
 
 from attrs import define
 
@@ -8,13 +8,13 @@
 
 @define
 class PauseDetector:
-    """Notices a pause by the gap between ticks of a periodic task.
+    """Detects a pause by the gap between ticks of a periodic task.
 
-    A process can be stopped for minutes, by its machine or by an operator, and go
-    on in the middle of a decision. Releases and decisions of that time are unknown
-    to it, and its socket buffers are full of old messages. Nothing may be decided
-    after waking until the revision was confirmed by something that was received
-    after those buffers were emptied, ``settling_period_s`` later.
+    A process can be stopped for minutes, by its machine or by an operator, and resume
+    in the middle of a decision. It does not know of the releases and decisions of that
+    time, and its socket buffers are full of old messages. It may not decide until its
+    revision is confirmed at least ``settling_period_s`` after it resumed, when those
+    buffers have been emptied.
     """
 
     min_pause_s: float = MIN_PAUSE_S
@@ -29,7 +29,7 @@
         self._last_tick_s = now_s
 
     def confirm_up_to_date(self, now_s: float) -> None:
-        """Learn that the log or a peer holds no later revision than this process."""
+        """Record that the log or a peer has no later revision than this process."""
         self._detect(now_s)
         if (
             self._resumed_s is not None
@@ -38,12 +38,12 @@
             self._resumed_s = None
 
     def started_since_pause(self, started_s: float, now_s: float) -> bool:
-        """Tell whether an answer to what was asked at ``started_s`` is new enough."""
+        """Return whether a read started at ``started_s`` began after the last pause."""
         self._detect(now_s)
         return self._resumed_s is None or started_s >= self._resumed_s
 
     def may_decide(self, now_s: float) -> bool:
-        """Tell whether what this process holds can be relied on now."""
+        """Return whether this process may decide, since its state is not stale."""
         self._detect(now_s)
         return self._resumed_s is None
 
--- a/acaciacove/state/quarantine_record.py
+++ b/acaciacove/state/quarantine_record.py
@@ -1,4 +1,4 @@
-"""The roll-out guard's word that a version is stopped."""
+"""The rollout guard's decision to quarantine a version."""
 
 from attrs import frozen
 
@@ -7,10 +7,11 @@
 
 @frozen
 class QuarantineRecord:
-    """Stops ``version`` everywhere until a release note declares it anew.
+    """Stops ``version`` on all instances until a release note declares it again.
 
-    ``based_on`` is the release revision under which the evidence was gathered; a
-    version that was declared again since is not stopped by it. -1 stops it anyway.
+    ``based_on`` is the release revision at which the evidence was collected. If the
+    version has been declared again since then, the record is ignored. -1 skips this
+    check.
     """
 
     version: VersionId
--- a/acaciacove/state/record_codec.py
+++ b/acaciacove/state/record_codec.py
@@ -1,4 +1,4 @@
-"""Records of the release stream as JSON, which operators can read in the log."""
+"""Encodes records of the release stream as JSON, which operators can read."""
 
 from typing import Any
 
@@ -30,10 +30,10 @@
 
 
 def _read_version_id(text: Any, _: type) -> VersionId:
-    """Read a version id that was written as text."""
+    """Parse a version id from its text form."""
     version = parse_version_id(text) if isinstance(text, str) else None
     if version is None:
-        raise ValueError(f"not a version id: {text!r}")
+        raise ValueError(f"expected a version id, got {text!r}")
     return version
 
 
@@ -43,13 +43,13 @@
 
 
 def encode_record(record: Record) -> bytes:
-    """Write a record as the log keeps it."""
+    """Encode a record for the log."""
     body = _converter.unstructure(record)
     return orjson.dumps({KIND: _NAMES[type(record)], BODY: body})
 
 
 def decode_record(payload: bytes) -> Record:
-    """Read a record; raises MalformedMessageError."""
+    """Decode a record; raises MalformedMessageError."""
     try:
         document = orjson.loads(payload)
         cls = _KINDS[document[KIND]]
@@ -61,5 +61,5 @@
         ValueError,
         BaseValidationError,
     ) as error:
-        raise MalformedMessageError(f"not a record: {error}") from error
+        raise MalformedMessageError(f"log payload is not a record: {error}") from error
     return record
--- a/acaciacove/state/reducer.py
+++ b/acaciacove/state/reducer.py
@@ -1,4 +1,4 @@
-"""The one deterministic reducer: every reader folds the same records alike."""
+"""The deterministic reducer: equal records yield equal states in every process."""
 
 from typing import TypeVar
 
@@ -26,10 +26,11 @@
 
 
 def fold(state: FleetState, offset: int, record: Record | None) -> FoldResult:
-    """Fold the record at ``offset``; None stands for one that cannot be read.
+    """Fold the record at ``offset``; None stands for a malformed one.
 
-    The result depends on nothing but its arguments. Every record moves the
-    revision, so that readers at one offset agree whatever they made of it.
+    The result depends only on the arguments. Every record advances the revision,
+    whether it is accepted or not, so that readers at the same offset have the same
+    state.
     """
     if offset <= state.revision:
         return FoldResult(state, Verdict.DUPLICATE)
@@ -49,24 +50,31 @@
 
 
 def can_start_from(state: FleetState, offset: int, snapshot: Snapshot) -> bool:
-    """Tell whether a reader that lacks records may start from a snapshot.
+    """Return whether a reader that lacks records may start from a snapshot.
 
-    ``offset`` is where the snapshot stands; it cannot cover what comes after it.
+    ``offset`` is that of the snapshot itself, which cannot cover later records.
     """
     return state.revision < snapshot.state.revision < offset
 
 
 def _fold_note(state: FleetState, note: ReleaseNote) -> FoldResult:
-    """Accept a note only on top of the release that it was written for."""
+    """Accept a note only if it is based on the release that is in force."""
     if note.note_id and note.note_id == state.release_note_id:
-        return FoldResult(state, Verdict.DUPLICATE, "this note is in force already")
+        return FoldResult(
+            state, Verdict.DUPLICATE, "this release note is already in force"
+        )
     if note.based_on != state.release_revision:
-        detail = f"based on {note.based_on}, in force is {state.release_revision}"
+        detail = (
+            f"based on revision {note.based_on}, "
+            f"in force is revision {state.release_revision}"
+        )
         return FoldResult(state, Verdict.STALE_BASE, detail)
     versions = {**state.versions, **{v.id: v for v in note.versions}}
     unknown = _unknown_names(state, note, versions)
     if unknown:
-        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown: {', '.join(unknown)}")
+        return FoldResult(
+            state, Verdict.UNKNOWN_NAME, f"unknown names: {', '.join(unknown)}"
+        )
     for version in note.withdrawn:
         versions[version] = _as_withdrawn(versions[version])
     declared = {version.id for version in note.versions}
@@ -87,7 +95,7 @@
 def _unknown_names(
     state: FleetState, note: ReleaseNote, versions: dict[VersionId, Version]
 ) -> list[str]:
-    """List what a note withdraws or removes that nobody declared."""
+    """List the versions and organisations that a note removes but nobody declared."""
     withdrawn = [str(v) for v in note.withdrawn if v not in versions]
     declared = {o.name for o in note.organisations}
     known = declared | state.organisations.keys()
@@ -97,10 +105,10 @@
 def _fold_decision(
     state: FleetState, decision: ZoneDecision | InstanceDecision
 ) -> FoldResult:
-    """Take a zone or an instance out or in, once per decision id.
+    """Take a zone or an instance out of service or return it, once per decision id.
 
-    The writer may append a decision twice when a reply was lost. Without the
-    ids, the second copy would undo an opposite decision made in between.
+    The writer may append a decision twice if a reply was lost. Without the ids, the
+    second copy would undo an opposite decision made in between.
     """
     if decision.decision_id in state.decision_ids:
         return FoldResult(state, Verdict.DUPLICATE)
@@ -120,11 +128,17 @@
 
 
 def _fold_quarantine(state: FleetState, record: QuarantineRecord) -> FoldResult:
-    """Stop a version that the release in force knows."""
+    """Quarantine a version that has been declared."""
     if record.version not in state.versions:
-        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
+        return FoldResult(
+            state, Verdict.UNKNOWN_NAME, f"unknown version {record.version}"
+        )
     if 0 <= record.based_on < state.declared_at.get(record.version, -1):
-        return FoldResult(state, Verdict.STALE_BASE, "declared again since")
+        return FoldResult(
+            state,
+            Verdict.STALE_BASE,
+            "the version was declared again after this evidence",
+        )
     if record.version in state.quarantines:
         return FoldResult(state, Verdict.DUPLICATE)
     quarantine = Quarantine(record.version, record.reason, state.revision)
@@ -134,12 +148,18 @@
 
 
 def _fold_exposure(state: FleetState, record: ExposureRecord) -> FoldResult:
-    """Widen a roll-out; a share never shrinks, so sessions move at most once."""
+    """Raise a version's share; it never decreases, so sessions move at most once."""
     version = state.versions.get(record.version)
     if version is None:
-        return FoldResult(state, Verdict.UNKNOWN_NAME, f"unknown {record.version}")
+        return FoldResult(
+            state, Verdict.UNKNOWN_NAME, f"unknown version {record.version}"
+        )
     if 0 <= record.based_on < state.declared_at.get(record.version, -1):
-        return FoldResult(state, Verdict.STALE_BASE, "declared again since")
+        return FoldResult(
+            state,
+            Verdict.STALE_BASE,
+            "the version was declared again after this evidence",
+        )
     if record.share <= state.exposures.get(version.id, version.first_share):
         return FoldResult(state, Verdict.DUPLICATE)
     exposures = {**state.exposures, version.id: min(1.0, record.share)}
@@ -149,12 +169,20 @@
 def _check_snapshot(
     before: FleetState, advanced: FleetState, snapshot: Snapshot
 ) -> FoldResult:
-    """Ignore a snapshot, as a reader does that has every record itself."""
+    """Check a snapshot, without using it, in a reader that has every record."""
     covered = snapshot.state.revision
     if covered >= advanced.revision:
-        return FoldResult(advanced, Verdict.CONTRADICTION, "covers what comes after it")
+        return FoldResult(
+            advanced,
+            Verdict.CONTRADICTION,
+            "the snapshot covers revisions after its own offset",
+        )
     if covered == before.revision and snapshot.state != before:
-        return FoldResult(advanced, Verdict.CONTRADICTION, "differs from the records")
+        return FoldResult(
+            advanced,
+            Verdict.CONTRADICTION,
+            "the snapshot differs from the folded records",
+        )
     return FoldResult(advanced, Verdict.DUPLICATE)
 
 
@@ -163,7 +191,7 @@
 
 
 def _organisations(state: FleetState, note: ReleaseNote) -> dict[str, Organisation]:
-    """Merge the note's organisations into those in force."""
+    """Merge the organisations of a note into those in force."""
     merged = {**state.organisations, **{o.name: o for o in note.organisations}}
     for name in note.organisations_removed:
         merged.pop(name, None)
@@ -173,7 +201,7 @@
 def _without_versions(
     by_version: dict[VersionId, _T], declared: set[VersionId]
 ) -> dict[VersionId, _T]:
-    """Forget what evidence said of versions that a note declares anew."""
+    """Drop the values of versions that a note declares again."""
     return {v: value for v, value in by_version.items() if v not in declared}
 
 
--- a/acaciacove/state/release.py
+++ b/acaciacove/state/release.py
@@ -1,11 +1,11 @@
-"""The record by which an owner gives a claim up."""
+"""The record by which an owner releases a claim."""
 
 from attrs import frozen
 
 
 @frozen
 class Release:
-    """The claim was not run and never will be; the key is free again."""
+    """The claim was not executed and never will be; its key can be claimed again."""
 
     key: str
     claim_id: str
--- a/acaciacove/state/release_gossip.py
+++ b/acaciacove/state/release_gossip.py
@@ -1,7 +1,7 @@
-"""Spreads the release stream between processes, without the log if need be.
+"""Gossip of the release stream between processes, which also works without the log.
 
-A pure state machine: time, peers and randomness are handed in, and messages to
-send are returned. Its cost per process does not depend on the fleet's size.
+This is a pure state machine: time, peers and randomness are parameters, and messages
+to send are return values. Its cost per process does not depend on the fleet's size.
 """
 
 from collections.abc import Callable, Sequence
@@ -26,11 +26,12 @@
 
 
 class ReleaseGossip:
-    """One process's share of the spread.
+    """The gossip of one process.
 
-    ``status`` returns the process's own lifecycle status and ``evidence`` what it
-    has seen of others lately, in the form of ``Digest.peers``. ``pause_detector`` tells
-    whether the process may decide, or was paused and has not heard anything since.
+    ``status`` returns the lifecycle status of this process, and ``evidence`` its recent
+    evidence about peers, in the form of ``Digest.peers``. ``pause_detector`` determines
+    whether the process may decide, or was paused and has not been confirmed to be up
+    to date since.
     """
 
     def __init__(
@@ -42,7 +43,7 @@
         status: Callable[[], InstanceStatus] = lambda: InstanceStatus.LIVE,
         evidence: Callable[[], tuple[str, ...]] = tuple,
     ) -> None:
-        """Take what the spread works with."""
+        """Start without any messages sent or received."""
         self._me = me
         self._fleet_store = fleet_store
         self._settings = settings
@@ -62,11 +63,11 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this process knows enough to decide.
+        """Return whether the state of this process is complete enough to decide.
 
-        It does once it has read the log to its end, or has caught up with the
-        highest revision that ``start_peers`` peers told it. A process that served
-        from nothing would refuse allowed teams and serve withdrawn versions.
+        It is once the process has read the log to its end, or has reached the highest
+        revision that at least ``start_peers`` peers have reported. With an incomplete
+        state, it would refuse allowed organisations and serve withdrawn versions.
         """
         if self._fleet_store.revision == NO_REVISION:
             return False
@@ -77,21 +78,21 @@
         return enough and self._fleet_store.revision >= max(reported)
 
     def mark_log_caught_up(self) -> None:
-        """Learn that the release stream has been read to its end."""
+        """Record that the release stream has been read to its end."""
         self._log_caught_up = True
 
     def tick(self, now_s: float, peers: Sequence[Instance]) -> list[OutgoingMessage]:
-        """Return what to send now; call it every 0.1 s or so, and on each change.
+        """Return the messages to send now; call it about every 0.1 s and on changes.
 
-        ``peers`` are the instances of the fleet that are not known to be gone;
-        the own one is skipped.
+        ``peers`` are the instances of the fleet that are not known to be gone; the
+        local instance is skipped.
         """
         self.pause_detector.tick(now_s)
         outgoing: list[OutgoingMessage] = []
         outgoing += self._announce_revision(now_s, peers)
         if now_s >= self._next_digest_s:
-            # A fixed phase would let a thousand processes that were started
-            # together speak in the same instant, for ever.
+            # Without jitter, a thousand processes that were started together
+            # would always send at the same instant.
             interval_s = self._settings.interval_s * self._random.uniform(0.8, 1.2)
             self._next_digest_s = now_s + interval_s
             outgoing += self._digests_for(peers, 1)
@@ -100,13 +101,13 @@
     def announce_status(
         self, peers: Sequence[Instance], count: int
     ) -> list[OutgoingMessage]:
-        """Return digests for ``count`` peers now, such as the word that it leaves."""
+        """Return digests for ``count`` peers now, for instance to announce leaving."""
         return self._digests_for(peers, count)
 
     def on_message(
         self, sender: str, message: Message, now_s: float
     ) -> list[OutgoingMessage]:
-        """Take a Digest, Pull or Records in and return the replies."""
+        """Apply a Digest, Pull or Records message and return the replies."""
         match message:
             case Digest():
                 return self._on_digest(sender, message, now_s)
@@ -117,7 +118,7 @@
         return []
 
     def pull_if_behind(self, revision: int) -> Pull | None:
-        """Return what to ask the sender of a data message with ``revision`` for."""
+        """Return the request for missing records if a peer at ``revision`` is ahead."""
         return self._fleet_store.pull_if_behind(revision)
 
     def _on_digest(
@@ -129,17 +130,17 @@
         outgoing = self._pull(sender, digest.revision, now_s)
         behind = digest.revision < self._fleet_store.revision
         if behind or digest.reply_wanted:
-            # Whoever probes needs a sign of life, whatever its revision is.
+            # A peer that probes this process needs a reply at any revision.
             outgoing.append(OutgoingMessage(sender, self.digest(reply_wanted=False)))
         return outgoing
 
     def _announce_revision(
         self, now_s: float, peers: Sequence[Instance]
     ) -> list[OutgoingMessage]:
-        """Tell some peers of a new revision at once, and some more a little later.
+        """Send digests with a new revision to some peers at once, and again later.
 
-        Digests get lost. With one wave alone, a process in a fleet that loses a
-        third of them was 3.2 s behind once in a thousand releases or so.
+        Digests can be lost. If a fleet loses a third of them, a single wave leaves some
+        process 3.2 s behind in about one of a thousand releases.
         """
         if self._fleet_store.revision > self._announced_revision:
             self._announced_revision = self._fleet_store.revision
@@ -151,17 +152,19 @@
         return []
 
     def _on_pull(self, sender: str, pull: Pull, now_s: float) -> list[OutgoingMessage]:
-        """Answer with records, but not everybody at once.
+        """Reply with records, within a rate limit.
 
-        The first to read a release would otherwise send it to whoever meets it,
-        several times its share of the cost. Who gets no answer asks another peer.
+        Otherwise the first process that reads a release would send it to every peer
+        that asks, at several times its share of the cost. A peer without a reply asks
+        another one.
         """
         if self._answer_budget.refill(now_s) <= 0.0:
             return []
         records = self._fleet_store.records_for(pull)
         size = len(records.snapshot) + sum(len(r.payload) for r in records.records)
-        # A large release counts as a usual one. By its full size the first readers
-        # would be silent for minutes, and it would reach the others one by one.
+        # A large release counts as one of common size. If its full size counted, the
+        # first readers would send no replies for minutes, and it would reach the other
+        # processes one by one.
         self._answer_budget.spend(now_s, min(size, MAX_CHARGED_BYTES))
         return [OutgoingMessage(sender, records)]
 
@@ -174,7 +177,7 @@
         return self._pull(sender, message.revision, now_s)
 
     def _pull(self, sender: str, revision: int, now_s: float) -> list[OutgoingMessage]:
-        """Ask one peer at a time, so that a new record is not fetched many times."""
+        """Pull from one peer at a time, so that no record is transferred repeatedly."""
         pull = self._fleet_store.pull_if_behind(revision)
         if pull is None or now_s - self._last_pull_s < self._settings.pull_timeout_s:
             return []
@@ -182,7 +185,7 @@
         return [OutgoingMessage(sender, pull)]
 
     def _record_peer_revision(self, sender: str, revision: int) -> None:
-        """Remember what peers hold until this process knows enough itself."""
+        """Record the revisions of peers until this process is ready."""
         if not self.ready and revision != NO_REVISION:
             previous = self._peer_revisions.get(sender, NO_REVISION)
             self._peer_revisions[sender] = max(previous, revision)
@@ -196,7 +199,7 @@
         ]
 
     def digest(self, reply_wanted: bool) -> Digest:
-        """Write what this process has to say of itself."""
+        """Return a digest of this process."""
         return Digest(
             instance=self._me.name,
             incarnation=self._me.incarnation,
@@ -207,10 +210,10 @@
         )
 
     def _choose_peers(self, peers: Sequence[Instance], count: int) -> list[str]:
-        """Choose distinct peers at random, some of them far on purpose.
+        """Choose distinct random peers, a share of them in other zones.
 
-        In a fleet whose zones differ in size, a small or cut-off zone would
-        otherwise hear of a release late. Nothing here scans the fleet.
+        Otherwise a small or partitioned zone would receive a release late in a fleet
+        whose zones differ in size. The cost does not depend on the number of peers.
         """
         chosen: dict[str, None] = {}
         for _ in range(CHOICE_ATTEMPTS * count):
@@ -224,7 +227,7 @@
         return list(chosen)
 
     def _choose_remote(self, peers: Sequence[Instance], fallback: Instance) -> Instance:
-        """Look a few times for a peer in another zone."""
+        """Try a few times to choose a peer in another zone."""
         for _ in range(CHOICE_ATTEMPTS):
             peer = self._random.choice(peers)
             if peer.availability_zone != self._me.availability_zone:
--- a/acaciacove/state/release_gossip_settings.py
+++ b/acaciacove/state/release_gossip_settings.py
@@ -1,19 +1,20 @@
-"""Settings of the spread of releases between processes."""
+"""Settings of the gossip of releases between processes."""
 
 from attrs import frozen
 
 
 @frozen
 class ReleaseGossipSettings:
-    """How often a process speaks to how many peers.
+    """Intervals, fan-out and limits of the gossip.
 
-    Every ``interval_s`` one peer gets a digest. A process that has just learned
-    of a new revision tells ``eager_peers`` at once and as many again
-    ``eager_again_s`` later. ``far_share`` of the peers
-    are chosen from other availability zones and regions on purpose. A pull that
-    is not answered within ``pull_timeout_s`` is sent again to somebody else.
-    A process answers pulls with ``answer_bytes_per_s``, ``answer_burst_bytes`` at
-    once; a large release counts as 1,000 bytes.
+    One peer receives a digest every ``interval_s``. A process with a new revision
+    sends digests to ``eager_peers`` peers at once, and to as many again
+    ``eager_again_s`` later. ``far_share`` of the peers are chosen from other
+    availability zones and regions. A pull without a reply within ``pull_timeout_s``
+    is sent to another peer. Until a process has read the log to its end, it is ready
+    only after it has received the revisions of ``start_peers`` peers. Replies to pulls
+    are limited to ``answer_bytes_per_s``, with bursts of ``answer_burst_bytes``; a
+    large release counts as 1,000 bytes.
     """
 
     interval_s: float = 0.4
--- a/acaciacove/state/release_note.py
+++ b/acaciacove/state/release_note.py
@@ -1,4 +1,4 @@
-"""A release note: the one way in which operators change what is served."""
+"""A release note, by which operators change what is served."""
 
 from attrs import frozen
 
@@ -10,11 +10,11 @@
 
 @frozen
 class ReleaseNote:
-    """What is added, changed and withdrawn, on top of revision ``based_on``.
+    """Additions, changes and withdrawals relative to the revision ``based_on``.
 
-    ``note_id`` is unique to the note, so that an operator whose reply was lost can
-    find it again. Entries replace those of the same name; all of a note takes
-    effect or none of it.
+    ``note_id`` is unique, so that the note can be found in the log when the reply to
+    its publication was lost. Entries replace those of the same name. A note takes
+    effect completely or not at all.
     """
 
     note_id: str
--- a/acaciacove/state/rendezvous.py
+++ b/acaciacove/state/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: who is the usual owner of a partition, agreed by hash alone."""
+"""Rendezvous hashing: owners of partitions that need no coordination."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
@@ -12,15 +12,15 @@
 
 
 def rank_owners(partition: int, names: Iterable[str]) -> list[str]:
-    """Order instances by their weight for a partition, the usual owner first.
+    """Order instances by their weight for a partition, the preferred owner first.
 
-    When an instance joins or leaves, only partitions of its own change owners.
+    When an instance joins or leaves, only the partitions that it owns change owners.
     """
     return sorted(names, key=lambda name: (-_hash(f"{partition}/{name}"), name))
 
 
 def preferred_owner(partition: int, names: Iterable[str]) -> str | None:
-    """Return the first of ``rank_owners``; None when there is nobody."""
+    """Return the first of ``rank_owners``; None when there are no instances."""
     best = max(names, key=lambda name: (_hash(f"{partition}/{name}"), name), default="")
     return best or None
 
--- a/acaciacove/state/session_bases.py
+++ b/acaciacove/state/session_bases.py
@@ -1,4 +1,4 @@
-"""The version of sessions that carry no token, as part of the state in force."""
+"""The version of sessions without a token, as part of the fleet state."""
 
 from attrs import evolve
 
@@ -8,11 +8,11 @@
 
 
 def with_session_bases(state: FleetState) -> FleetState:
-    """Choose a base for every organisation and API, and keep those that hold.
+    """Choose a base version for every organisation and API without a usable one.
 
-    A base changes only when it is stopped or forbidden. Were it drawn anew from
-    what may be used now, a new version, or one that comes back, would move sessions
-    in the middle of a chat.
+    A base changes only when it is withdrawn, quarantined or no longer allowed. If it
+    were chosen again each time, a new version, or one that is usable again, would
+    move sessions in the middle of a chat.
     """
     bases: dict[str, VersionId] = {}
     for organisation in state.organisations.values():
@@ -27,7 +27,7 @@
 def may_use(
     state: FleetState, organisation: Organisation, api: str, version: VersionId
 ) -> bool:
-    """Tell whether an organisation may use a version for an API."""
+    """Return whether an organisation may use a version for an API."""
     known = state.versions.get(version)
     if known is None or known.api != api:
         return False
@@ -37,7 +37,7 @@
 def _choose_base(
     state: FleetState, organisation: Organisation, api: str, previous: VersionId | None
 ) -> VersionId | None:
-    """Keep a base, or take the first declared version that may be used."""
+    """Return the previous base, or else the first declared version that is usable."""
     if previous is not None and may_use(state, organisation, api, previous):
         return previous
     for version in state.versions:
--- a/acaciacove/state/session_pins.py
+++ b/acaciacove/state/session_pins.py
@@ -1,4 +1,4 @@
-"""Which version a session keeps, known to any entry without a store."""
+"""Pins sessions to versions by signed tokens, which any entry can verify."""
 
 import binascii
 import hmac
@@ -18,22 +18,22 @@
 
 
 class SessionPins:
-    """Signs and reads session tokens.
+    """Issues and verifies session tokens.
 
-    A token names a version and is bound to organisation, API and session, so that
-    it is worth nothing elsewhere. The first secret signs; tokens of the others are
-    still read, so that operators can change the secret. Without a secret no token
-    is issued or believed.
+    A token contains a version and is bound to an organisation, API and session; it is
+    invalid elsewhere. New tokens are signed with the first secret. Tokens signed with
+    any of the secrets are valid, so that operators can rotate the secret. Without a
+    secret, no token is issued or accepted.
     """
 
     def __init__(self, secrets: tuple[str, ...]) -> None:
-        """Keep the secrets that all entries share."""
+        """Initialise with the secrets that all entries share."""
         self._secrets = tuple(s.encode() for s in secrets if s)
 
     def issue(
         self, organisation: str, api: str, session: str, version: VersionId
     ) -> str:
-        """Return a token for the caller to send with its next request."""
+        """Return a token that the caller sends with its next request."""
         if not self._secrets:
             return ""
         name = str(version)
@@ -43,7 +43,7 @@
     def read(
         self, token: str, organisation: str, api: str, session: str
     ) -> VersionId | None:
-        """Return the version that a token names; None if it was not signed here."""
+        """Return the version in a token; None if its signature is invalid."""
         parts = token.split(SEPARATOR)
         if len(parts) != 2 or len(token) > MAX_TOKEN_LENGTH:
             return None
@@ -65,12 +65,12 @@
         session: str,
         token: str,
     ) -> VersionId | None:
-        """Return the version that a session has to get; None if it may be chosen.
+        """Return the version a session is pinned to; None if any may be chosen.
 
-        A caller that can carry tokens sends ``NEW_SESSION`` as its first one. The
-        version of a token is kept until it is withdrawn, quarantined or forbidden.
-        A session without a token keeps its organisation's base in the fleet state,
-        which every entry knows alike.
+        A caller that supports tokens sends ``NEW_SESSION`` as its first one. The
+        version of a token applies until it is withdrawn, quarantined or no longer
+        allowed. A session without a token uses the base version of its organisation,
+        which is part of the fleet state and therefore the same at every entry.
         """
         if not session:
             return None
--- a/acaciacove/state/snapshot.py
+++ b/acaciacove/state/snapshot.py
@@ -1,4 +1,4 @@
-"""The fleet state, appended again before the records it stands for expire."""
+"""A snapshot of the fleet state, appended before the records it covers expire."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Snapshot:
-    """``state`` is the fold of every record up to ``state.revision``."""
+    """``state`` is the result of folding every record up to ``state.revision``."""
 
     state: FleetState
     instance: str = ""
--- a/acaciacove/state/snapshot_schedule.py
+++ b/acaciacove/state/snapshot_schedule.py
@@ -1,4 +1,4 @@
-"""Re-appends the state in force before the records it stands for expire."""
+"""Schedules snapshots of the fleet state, before the records they cover expire."""
 
 from random import Random
 
@@ -13,12 +13,12 @@
 
 
 class SnapshotSchedule:
-    """Decides when this process appends a snapshot; every process runs one.
+    """Decides when this process appends a snapshot; every process has a schedule.
 
-    A snapshot is due ``interval_s`` after the last one, or sooner when many
-    records have followed it. Each process then waits a random part of
-    ``max_jitter_s`` and gives up as soon as another's snapshot arrives, so that as a
-    rule one of them writes it. Keep ``interval_s`` well under the log's retention.
+    A snapshot is due ``interval_s`` after the last one, or earlier when many records
+    have followed it. Each process then waits for a random part of ``max_jitter_s``
+    and skips its snapshot if it receives another process's before that. Usually one
+    process writes it. ``interval_s`` must be well below the log's retention period.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         interval_s: float = INTERVAL_S,
         max_jitter_s: float = MAX_JITTER_S,
     ) -> None:
-        """Start counting from the first call of ``snapshot_if_due``."""
+        """Start; the first interval begins at the first ``snapshot_if_due``."""
         self._fleet_store = fleet_store
         self._name = name
         self._random = random
@@ -40,7 +40,7 @@
         self._append_at_s: float | None = None
 
     def snapshot_if_due(self, now_s: float) -> bytes | None:
-        """Return a snapshot to append to the release stream now, if it is time."""
+        """Return a snapshot to append to the release stream now, or None."""
         fleet_store = self._fleet_store
         if fleet_store.revision == NO_REVISION or fleet_store.has_gap:
             return None
--- a/acaciacove/state/verdict.py
+++ b/acaciacove/state/verdict.py
@@ -1,10 +1,10 @@
-"""What the reducer made of a record."""
+"""The reducer's verdict on a record."""
 
 from enum import StrEnum
 
 
 class Verdict(StrEnum):
-    """Accepted, or the reason why a record changes nothing."""
+    """Accepted, or the reason why a record does not change the fleet state."""
 
     ACCEPTED = "accepted"
     STALE_BASE = "stale_base"
--- a/acaciacove/state/zone_decision.py
+++ b/acaciacove/state/zone_decision.py
@@ -1,11 +1,11 @@
-"""An operator's decision to take an availability zone out, or in again."""
+"""An operator's decision to take an availability zone out of service, or return it."""
 
 from attrs import frozen
 
 
 @frozen
 class ZoneDecision:
-    """Takes ``availability_zone`` out, or brings it back when ``out`` is false."""
+    """Takes a zone out of service, or returns it when ``out`` is false."""
 
     decision_id: str
     availability_zone: str
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -1,4 +1,4 @@
-"""Every reader folds the same records alike."""
+"""The reducer and the fleet store: equal records yield equal states."""
 
 from random import Random
 
@@ -55,7 +55,7 @@
 
 
 def create_log(plan):
-    """Write a plan down as a log; what a snapshot covers depends on its place."""
+    """Create a log from a plan; what a snapshot covers depends on its offset."""
     states, payloads = [FleetState()], []
     for offset, step in enumerate(plan):
         record = {
@@ -73,8 +73,8 @@
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_readers_at_the_same_revision_have_the_same_state(plan, random):
     # Records arrive late, twice, from peers in any order, or have expired and are
-    # replaced by snapshots. Two readers that disagreed at one revision would serve
-    # a withdrawn version on one entry and not on the other.
+    # replaced by snapshots. If two readers had different states at the same revision,
+    # one entry could serve a withdrawn version while the other does not.
     states, payloads = create_log(plan)
     full, late = FleetStore(), FleetStore()
     seen = []
@@ -100,8 +100,8 @@
 
 
 def test_first_of_two_concurrent_release_notes_wins():
-    # Two operators write notes on top of the same release. Without a check the
-    # second would silently undo the first; its operator has to be told instead.
+    # Two operators publish notes based on the same release. Without a check, the
+    # second would silently undo the first. Instead it must be rejected.
     second = ReleaseNote("b", -1, withdrawn=(OLD,))
     fleet_store = FleetStore()
     notes = [LogEntry(i, encode_record(r)) for i, r in enumerate((FIRST, second))]
@@ -118,8 +118,8 @@
 
 
 def test_duplicate_decision_does_not_undo_a_later_one():
-    # The reply to "take ozark out" was lost and its record lands twice, the second
-    # time after another operator brought the zone back.
+    # The reply to a decision to take a zone out was lost, so its record is appended
+    # twice, the second time after another operator has returned the zone to service.
     out = ZoneDecision("d1", "ozark", True)
     state = FleetState()
     for offset, record in enumerate((out, ZoneDecision("d2", "ozark", False), out)):
@@ -140,8 +140,8 @@
 
 
 def test_redeclared_version_is_usable_despite_old_evidence():
-    # A quarantined and withdrawn version is mended and declared again. A guard
-    # that has not read the note yet must not stop it for what it did before.
+    # A quarantined and withdrawn version is fixed and declared again. A rollout guard
+    # that has not read this note yet must not stop it because of old evidence.
     again = ReleaseNote("b", 2, versions=FIRST.versions)
     plan = [
         (FIRST, Verdict.ACCEPTED),
@@ -159,7 +159,8 @@
 
 
 def test_new_reader_starts_from_a_snapshot_after_records_expired():
-    # Nobody published for weeks: the release note itself is gone from the log.
+    # After weeks without a new release, the release note itself has expired from the
+    # log.
     state = fold(FleetState(), 0, FIRST).state
     decision = ZoneDecision("d1", "ozark", True)
     fleet_store = FleetStore()
@@ -173,7 +174,8 @@
 
 
 def test_few_processes_write_snapshots():
-    # Two hundred processes that all wrote it would use up the log's appends.
+    # If each of two hundred processes wrote a snapshot, they would use up the append
+    # rate of the log.
     fleet_stores = [FleetStore() for _ in range(200)]
     payloads = [encode_record(FIRST)]
     schedules = [
@@ -196,8 +198,8 @@
 
 
 def test_exposure_only_grows_until_the_version_is_redeclared():
-    # Two entries judge the same roll-out, one of them on older evidence. If its
-    # smaller share won, sessions would move to and fro between versions.
+    # Two entries evaluate the same rollout, one of them with older evidence. If its
+    # smaller share won, sessions would move back and forth between versions.
     note = ReleaseNote("a", -1, versions=(Version(OLD, "guide", 1.0, first_share=0.1),))
     state = fold(FleetState(), 0, note).state
     state = fold(state, 1, ExposureRecord(OLD, 0.5, based_on=0)).state
--- a/tests/test_state_log.py
+++ b/tests/test_state_log.py
@@ -1,4 +1,4 @@
-"""The log's writer and tail keep order, lose nothing and bound their appends."""
+"""Log writer and tail: order, no lost items, and a limited append rate."""
 
 import asyncio
 from random import Random
@@ -38,8 +38,8 @@
 )
 @settings(derandomize=True, deadline=None, max_examples=25)
 def test_items_are_appended_in_order_despite_log_faults(seed, lost, late, outage):
-    # Replies are lost after the effect, appends land late, and the log goes down
-    # in the middle. An item that vanished would be a lost bill.
+    # Replies are lost after the append, appends are written late, and the log is
+    # down for a while. A lost item would be a lost billing record.
     log = FaultyLog(Random(seed), lost_reply_share=lost, late_share=late)
 
     async def main():
@@ -57,12 +57,14 @@
     appended = appended_items(log)
     assert list(dict.fromkeys(appended)) == list(range(60))
     if not late:
-        assert appended == list(range(60))  # looked up, so none was written twice
+        assert appended == list(
+            range(60)
+        )  # searched before each retry, so none is written twice
 
 
 def test_append_rate_stays_within_its_budget():
-    # A thousand bookings a second would otherwise be a thousand appends, and the
-    # log takes only several hundred from the whole fleet.
+    # Without batches, a thousand claims a second would be a thousand appends. The
+    # log accepts only several hundred a second from the whole fleet.
     log = FaultyLog(Random(1))
 
     async def main():
@@ -80,7 +82,8 @@
 
 
 def test_item_is_not_sent_after_its_deadline():
-    # The log is slow and the caller gives up: "not appended" has to stay true.
+    # The log is slow and the caller's deadline passes. An item that was reported as
+    # not appended must not be appended afterwards.
     log = FaultyLog(Random(1), latency_s=1.0)
 
     async def main():
@@ -137,8 +140,8 @@
 
 
 def test_tail_resumes_after_expired_records_and_an_outage():
-    # Records expire while the reader is cut off. It must learn of the gap, and
-    # then get everything that is left, once and in order.
+    # Records expire during an outage. The reader must be notified of the gap, and
+    # then receive all remaining records once and in order.
     log = FaultyLog(Random(1), keep=10)
     seen, gaps = [], []
 
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -1,4 +1,4 @@
-"""Membership follows the fleet faster than the platform's list does."""
+"""Membership reflects changes of the fleet sooner than the platform's list."""
 
 from random import Random
 
@@ -37,7 +37,7 @@
 
 
 class SimulatedFleet:
-    """Processes that exchange digests under a clock that is stepped."""
+    """Processes that exchange digests, with a simulated clock."""
 
     def __init__(self, size, seed):
         self.random = Random(seed)
@@ -96,8 +96,8 @@
 
 
 def test_leaving_endpoint_gets_no_new_work_after_3_s_despite_a_stale_list():
-    # The platform stops an instance; its list says live for another minute. Work
-    # sent there would be cut when the instance ends.
+    # The platform stops an instance, but lists it as live for another minute.
+    # Requests sent to it would be interrupted when it ends.
     fleet = SimulatedFleet(40, seed=1)
     fleet.step(3)
     fleet.leave("e7")
@@ -108,8 +108,8 @@
 
 
 def test_paused_endpoint_gets_no_new_work_after_3_s_and_recovers():
-    # A machine freezes: its connections stay open and nothing answers. Callers
-    # would wait out their deadlines on it.
+    # A paused machine keeps its connections open but does not reply. Requests sent
+    # to it would run into their deadlines.
     fleet = SimulatedFleet(30, seed=2)
     fleet.step(3)
     fleet.paused.add("e7")
@@ -121,8 +121,8 @@
 
 
 def test_false_list_neither_removes_a_live_endpoint_nor_revives_a_dead_one():
-    # The list names e1 as leaving though it serves, drops e2, and calls e3 live
-    # though connections to it are refused.
+    # The list has e1 as leaving although it serves, lacks e2, and has e3 as live
+    # although it refuses connections.
     fleet = SimulatedFleet(12, seed=3)
     fleet.step(3)
     fleet.listed = [
@@ -141,8 +141,8 @@
 
 
 def test_reports_on_an_old_incarnation_are_ignored():
-    # An endpoint is replaced under its name. Late word that the old one leaves
-    # must not take the new one out for good.
+    # An endpoint is replaced by one of the same name. A late report that the old
+    # one is leaving must not exclude the new one.
     membership = create_membership(instance("e1"))
     membership.record_refusal("e1", 1, Reason.LEAVING, 1.0)
     assert usable_names(membership) == set()
@@ -199,9 +199,9 @@
 
 
 def test_starting_instance_is_probed_again_within_a_second():
-    # An instance tells its peers that it is starting and becomes ready right after.
-    # It has nobody to tell, and in a large fleet the next list is minutes away: its
-    # share of the work would go to the others all that time.
+    # An instance reports that it is starting and becomes ready right afterwards. It
+    # does not announce this, and the next list takes minutes in a large fleet. Without
+    # a probe it would receive no requests for all that time.
     membership = create_membership(instance("e1"))
     membership.record_heard("e1", 2, 1.0, InstanceStatus.STARTING)
     assert usable_names(membership) == set()
--- a/tests/test_state_pins_and_fences.py
+++ b/tests/test_state_pins_and_fences.py
@@ -1,4 +1,4 @@
-"""Sessions keep their version without a store, and old orders reach no engine."""
+"""Session pins need no shared store, and stale orders do not reach an engine."""
 
 import asyncio
 from itertools import pairwise
@@ -45,8 +45,8 @@
 
 
 def test_session_keeps_its_version_at_another_entry():
-    # The entry that pinned a chat dies. The swimmer's next message goes to another
-    # entry, and a change of model in mid-chat would lose the thread.
+    # The entry that pinned a chat fails, and the caller's next message reaches another
+    # entry. A different version in the middle of the chat would lose its context.
     fleet = fold_notes(([V1, V2], ()))
     token = SessionPins(("s",)).issue(TEAM.name, "guide", "chat", V2)
     other = SessionPins(("s",))
@@ -87,8 +87,8 @@
 @given(steps)
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_session_without_token_changes_version_only_when_it_is_unusable(steps):
-    # A keeper's till can carry no token. It must not change versions because a new
-    # one is rolled out, an old one comes back, or its team may use more.
+    # Some callers cannot send tokens. Their version must not change because a new one
+    # is rolled out, an old one becomes usable again, or more versions are allowed.
     pins = SessionPins(("s",))
     notes, before = [([V1, V2, V3], ())], None
     for declared, withdrawn, allowed in steps:
@@ -104,8 +104,8 @@
 
 
 def test_order_with_a_stale_fence_is_refused():
-    # A placing process is paused, the release moves on, and its old order arrives
-    # at a sidecar that was itself replaced in the meantime.
+    # A process is paused while a new release comes into force. Its stale order arrives
+    # at a sidecar that was restarted in the meantime.
     revision = 4
     gate = FenceGate(lambda: revision)
     assert gate.admit(4) is None
@@ -117,7 +117,7 @@
 
 
 class FakeWeightStore:
-    """Grants one load every 10 s, and is down at first."""
+    """Grants one load every 10 s; the first two calls fail."""
 
     def __init__(self):
         self.failures, self.free_s, self.granted_s = 2, 0.0, []
--- a/tests/test_state_spread.py
+++ b/tests/test_state_spread.py
@@ -1,4 +1,4 @@
-"""Releases reach every process through peers, at a constant cost."""
+"""Gossip of releases reaches every process, at a constant cost per process."""
 
 from random import Random
 
@@ -37,8 +37,8 @@
 
 
 def test_release_note_reaches_a_thousand_processes_within_3_s():
-    # The log goes down right after one process has read the note. A swimmer must
-    # not be served by a withdrawn version on any of the others.
+    # The log goes down right after one process has read the release note. The other
+    # processes must not serve requests with a withdrawn version.
     small, large = measure_spread(100, seed=5), measure_spread(1000, seed=5)
     assert large.all_in_force_s <= 3.0
     assert large.peak_bytes_per_s <= 1024.0
@@ -55,9 +55,9 @@
 def test_processes_converge_despite_lost_duplicated_and_reordered_messages(
     seed, size, loss, cut_off
 ):
-    # Messages vanish, come twice or late, and one zone hears nothing for a while.
-    # Without the pull that follows each digest, a process would stay behind, and
-    # with a wrong one it would go back to an older release.
+    # Messages are lost, duplicated or delayed, and one zone is partitioned for a while.
+    # Without the pull after a digest, a process would stay behind. With a wrong pull,
+    # it would return to an older release.
     random = Random(seed)
     zones = ["ozark" if n % 2 else "gulfcoast" for n in range(size)]
     gossips, fleet_stores = {}, {}
@@ -106,8 +106,8 @@
 
 
 def test_new_process_during_a_log_outage_waits_for_the_highest_peer_revision():
-    # The log is down while instances are replaced. A process that took the first
-    # peer's word would start on an old release and serve what was withdrawn since.
+    # The log is down while instances are replaced. A process that relied on the first
+    # peer alone would start with an old release and serve withdrawn versions.
     fresh, fleet_store = create_gossip("fresh")
     behind, ahead = (
         create_gossip("behind", offsets=3),
@@ -125,8 +125,8 @@
 
 
 def test_live_peer_answers_a_starting_process():
-    # Otherwise a fresh process with nobody ahead of it would never count enough
-    # peers, and would refuse every caller until the log is back.
+    # Otherwise a new process that no peer is ahead of would never receive digests from
+    # enough peers, and would refuse every request until the log is available again.
     live, _ = create_gossip("live", offsets=2)
     hello = Digest("fresh", 1, 1, InstanceStatus.STARTING, reply_wanted=True)
     (reply,) = live.on_message("fresh", hello, 0.0)
@@ -134,7 +134,8 @@
 
 
 def test_newer_revision_in_a_data_message_causes_a_pull():
-    # A process paused for minutes wakes up and gets work before its next digest.
+    # A process resumes after a pause of minutes and receives a request before the next
+    # digest. It must pull the records that it missed.
     paused, _ = create_gossip("paused", offsets=2)
     assert paused.pull_if_behind(1) is None
     assert paused.pull_if_behind(7) == Pull(2)
