--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -88,10 +88,10 @@
             self.fleet_store.revision,
         )
 
-    def record_heard(self, peer: Hello | None) -> None:
+    def record_message(self, peer: Hello | None) -> None:
         """Take in a sign of life of whoever is at the end of a connection."""
         if peer is not None:
-            self.membership.record_heard(peer.instance, peer.incarnation, _now_s())
+            self.membership.record_message(peer.instance, peer.incarnation, _now_s())
 
     def connection_lost(self, name: str) -> None:
         """Take in that an instance cannot be reached, or was lost half-way."""
--- a/acaciacove/entry/open_links.py
+++ b/acaciacove/entry/open_links.py
@@ -21,10 +21,10 @@
     def on_other(link: SidecarLink, message: Message) -> None:
         """Answer a sidecar that asks for records, or take in what it knows."""
         if isinstance(message, Hello):
-            shared.record_heard(message)
+            shared.record_message(message)
             return
         if isinstance(message, Load) and link.peer is not None:
-            shared.record_heard(link.peer)
+            shared.record_message(link.peer)
             on_load(link.peer.instance, message)
             return
         sender = link.peer.instance if link.peer else ""
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -69,7 +69,7 @@
                     yield AnswerPiece(event.data)
                 case End():
                     load = event.load
-                    entry.shared.record_heard(link.peer)
+                    entry.shared.record_message(link.peer)
                     entry.learn_revision(link, event.revision)
                     yield _answer_end(progress, version, endpoint, event)
                     return
--- a/acaciacove/state/exposure_record.py
+++ b/acaciacove/state/exposure_record.py
@@ -1,4 +1,4 @@
-"""The rollout guard's decision to raise a version's share of its traffic."""
+"""The rollout guard's decision to raise the traffic share of a version."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class ExposureRecord:
-    """Sends ``share`` of its traffic, from 0 to 1, to ``version``.
+    """Raises the traffic share of ``version`` to ``share``, from 0 to 1.
 
     ``based_on`` is the release revision at which the evidence was evaluated. If a
     later release note has declared the version again, its rollout has restarted and
--- a/acaciacove/state/fence_gate.py
+++ b/acaciacove/state/fence_gate.py
@@ -11,12 +11,12 @@
 class FenceGate:
     """Checks the fencing token of every order to one engine, in the engine's sidecar.
 
-    The fencing token of an order is the log offset of the record that it follows
-    from. Engines do not check it. Without this gate, an engine would execute the
-    order of a process that was paused and does not know of newer records, and load
-    a version that has been withdrawn. ``release_offset`` returns the offset of the
-    release in force, so that a sidecar that has just started also refuses older
-    orders before it has received a newer one.
+    The fencing token of an order is the log offset of the record that caused it.
+    Some engines ignore it. Without this gate, they would execute the order of a
+    process that was paused and does not know of newer records, and load a version
+    that has been withdrawn. ``release_offset`` returns the offset of the release in
+    force, so that a sidecar that has just started also refuses older orders before it
+    has received a newer one.
     """
 
     def __init__(self, release_offset: Callable[[], int]) -> None:
--- a/acaciacove/state/fleet_store.py
+++ b/acaciacove/state/fleet_store.py
@@ -32,7 +32,8 @@
     """Folds records from the log and from peers; the revision never decreases.
 
     ``snapshot_revision`` is the highest revision that a snapshot in the log is known
-    to cover.
+    to cover. ``contradictions`` counts snapshots that are malformed or do not agree
+    with the records.
     """
 
     def __init__(self) -> None:
--- a/acaciacove/state/log_tail.py
+++ b/acaciacove/state/log_tail.py
@@ -23,7 +23,7 @@
 
 
 class LogTail:
-    """Passes each entry of a stream on once, in offset order; ``run`` is its task.
+    """Passes on each entry of a stream once, in offset order; ``run`` is its task.
 
     When records expired before they were read, ``handle_gap`` is called with the
     earliest offset that can still be read. The entries from that offset on follow.
--- a/acaciacove/state/log_writer.py
+++ b/acaciacove/state/log_writer.py
@@ -23,7 +23,7 @@
 from acaciacove.state.token_bucket import TokenBucket
 
 READ_LIMIT = 1000
-MIN_WAIT_S = 0.0005
+MIN_WAIT_S = 0.0005  # batches that are due within this time are sent at once
 AppendListener = Callable[[str, int, bytes], None]
 QUEUE_SHARES = {Priority.DECISION: 1.0, Priority.CLAIM: 0.95, Priority.BILLING: 0.8}
 
--- a/acaciacove/state/member.py
+++ b/acaciacove/state/member.py
@@ -17,10 +17,11 @@
 
     Times are those of the event loop, in seconds. ``incarnation`` is the highest one
     seen; evidence about a lower one concerns a process that no longer exists.
-    ``heard_s`` is when the last message of the instance was received, ``probed_s``
-    when it was last probed, and ``learned_s`` when this process last learned that it
-    is leaving or gone. ``missing_since_s`` is since when the platform's list lacks
-    it. A ``watched`` instance is gone if it stays silent.
+    ``known_since_s`` is when that incarnation became known, ``heard_s`` when the last
+    message of the instance was received, and ``probed_s`` when it was last probed.
+    ``learned_s`` is when this process last learned that it is leaving or gone, and
+    ``missing_since_s`` when it disappeared from the platform's list. A ``watched``
+    instance is gone if it stays silent.
     """
 
     instance: Instance
--- a/acaciacove/state/membership.py
+++ b/acaciacove/state/membership.py
@@ -68,14 +68,14 @@
         return InstanceStatus.GONE if member is None else member.status
 
     def is_gone(self, name: str, incarnation: int) -> bool:
-        """Return whether an incarnation has ended, or is silent."""
+        """Return whether an incarnation is unknown, superseded, silent or lost."""
         member = self._members.get(name)
         if member is None or member.incarnation > incarnation:
             return True
         return member.state == InstanceStatus.GONE
 
     def set_watched(self, names: Iterable[str]) -> None:
-        """Detect silence of exactly these instances, which this process uses."""
+        """Set which instances this process uses, so that their silence is detected."""
         watched = set(names)
         for name, member in self._members.items():
             member.watched = name in watched
@@ -93,11 +93,11 @@
     def on_digest(self, digest: Digest, now_s: float) -> None:
         """Apply an instance's report about itself and about its peers."""
         status = _parse_status(digest.status)
-        self.record_heard(digest.instance, digest.incarnation, now_s, status)
+        self.record_message(digest.instance, digest.incarnation, now_s, status)
         for text in digest.peers:
             self._apply_peer_report(text, now_s)
 
-    def record_heard(
+    def record_message(
         self,
         name: str,
         incarnation: int,
@@ -127,14 +127,14 @@
     def record_refusal(
         self, name: str, incarnation: int, reason: Reason, now_s: float
     ) -> None:
-        """Record a refusal; one with a reason of leaving also announces leaving."""
+        """Record a refusal; the reasons LEAVING and DRAINING also announce leaving."""
         status = InstanceStatus.LIVE
         if reason in (Reason.LEAVING, Reason.DRAINING):
             status = InstanceStatus.LEAVING
-        self.record_heard(name, incarnation, now_s, status)
+        self.record_message(name, incarnation, now_s, status)
 
     def check_timeouts(self, now_s: float) -> None:
-        """Mark silent instances as gone, and remove those missing from the list."""
+        """Mark silent instances as gone; remove those long missing from the list."""
         for name, member in list(self._members.items()):
             if self._is_silent(member, now_s):
                 self._mark_gone(member, now_s)
@@ -174,9 +174,9 @@
             member.instance = evolve(listed, status=member.status)
         if listed.status in (InstanceStatus.LEAVING, InstanceStatus.GONE):
             # The list is sometimes wrong. A recent report of the instance itself
-            # takes precedence, since a false list would otherwise remove the whole
-            # fleet. An instance that does leave announces it to its peers.
-            if not self._was_heard_recently(member, now_s):
+            # takes precedence, since a false list could otherwise exclude all
+            # instances. An instance that does leave announces it to its peers.
+            if not self._was_seen_recently(member, now_s):
                 self._transition(member, listed.status)
             return
         if member.state == InstanceStatus.STARTING:
@@ -212,7 +212,7 @@
             return
         if status is InstanceStatus.LEAVING:
             self._mark_leaving(member, now_s)
-        elif status is InstanceStatus.GONE and not self._was_heard_recently(
+        elif status is InstanceStatus.GONE and not self._was_seen_recently(
             member, now_s
         ):
             member.probed_s = min(member.probed_s, now_s - self._settings.retry_s)
@@ -236,7 +236,7 @@
             self._recent_evidence.remove(member)
         self._recent_evidence.append(member)
 
-    def _was_heard_recently(self, member: Member, now_s: float) -> bool:
+    def _was_seen_recently(self, member: Member, now_s: float) -> bool:
         return now_s - member.heard_s < self._settings.fresh_s
 
     def _is_silent(self, member: Member, now_s: float) -> bool:
--- a/acaciacove/state/pause_detector.py
+++ b/acaciacove/state/pause_detector.py
@@ -24,7 +24,7 @@
     _resumed_s: float | None = None
 
     def tick(self, now_s: float) -> None:
-        """Call this from a task that runs several times a second."""
+        """Record a tick; a task calls this several times a second."""
         self._detect(now_s)
         self._last_tick_s = now_s
 
--- a/acaciacove/state/reducer.py
+++ b/acaciacove/state/reducer.py
@@ -95,7 +95,7 @@
 def _unknown_names(
     state: FleetState, note: ReleaseNote, versions: dict[VersionId, Version]
 ) -> list[str]:
-    """List the versions and organisations that a note removes but nobody declared."""
+    """List the undeclared versions and organisations that a note removes."""
     withdrawn = [str(v) for v in note.withdrawn if v not in versions]
     declared = {o.name for o in note.organisations}
     known = declared | state.organisations.keys()
--- a/acaciacove/state/release_gossip.py
+++ b/acaciacove/state/release_gossip.py
@@ -65,9 +65,10 @@
     def ready(self) -> bool:
         """Return whether the state of this process is complete enough to decide.
 
-        It is once the process has read the log to its end, or has reached the highest
-        revision that at least ``start_peers`` peers have reported. With an incomplete
-        state, it would refuse allowed organisations and serve withdrawn versions.
+        It is complete once the process has read the log to its end. It is also complete
+        once at least ``start_peers`` peers have reported their revisions and the
+        process has reached the highest of them. With an incomplete state, it would
+        refuse allowed organisations and serve withdrawn versions.
         """
         if self._fleet_store.revision == NO_REVISION:
             return False
@@ -162,7 +163,7 @@
             return []
         records = self._fleet_store.records_for(pull)
         size = len(records.snapshot) + sum(len(r.payload) for r in records.records)
-        # A large release counts as one of common size. If its full size counted, the
+        # A large release counts as one of usual size. If its full size counted, the
         # first readers would send no replies for minutes, and it would reach the other
         # processes one by one.
         self._answer_budget.spend(now_s, min(size, MAX_CHARGED_BYTES))
--- a/acaciacove/state/release_gossip_settings.py
+++ b/acaciacove/state/release_gossip_settings.py
@@ -11,8 +11,8 @@
     sends digests to ``eager_peers`` peers at once, and to as many again
     ``eager_again_s`` later. ``far_share`` of the peers are chosen from other
     availability zones and regions. A pull without a reply within ``pull_timeout_s``
-    is sent to another peer. Until a process has read the log to its end, it is ready
-    only after it has received the revisions of ``start_peers`` peers. Replies to pulls
+    is sent to another peer. A process that has not read the log to its end is ready
+    once it has reached the highest revision of ``start_peers`` peers. Replies to pulls
     are limited to ``answer_bytes_per_s``, with bursts of ``answer_burst_bytes``; a
     large release counts as 1,000 bytes.
     """
--- a/acaciacove/state/rendezvous.py
+++ b/acaciacove/state/rendezvous.py
@@ -1,4 +1,4 @@
-"""Rendezvous hashing: owners of partitions that need no coordination."""
+"""Rendezvous hashing: processes agree on partition owners without messages."""
 
 from collections.abc import Iterable
 from hashlib import blake2b
--- a/acaciacove/state/snapshot_schedule.py
+++ b/acaciacove/state/snapshot_schedule.py
@@ -29,7 +29,7 @@
         interval_s: float = INTERVAL_S,
         max_jitter_s: float = MAX_JITTER_S,
     ) -> None:
-        """Start; the first interval begins at the first ``snapshot_if_due``."""
+        """Initialise; the first ``snapshot_if_due`` starts the first interval."""
         self._fleet_store = fleet_store
         self._name = name
         self._random = random
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -117,7 +117,7 @@
             for name in fleet.services:
                 incarnation = fleet.sidecars[name].shared.me.incarnation
                 now_s = asyncio.get_running_loop().time()
-                membership.record_heard(
+                membership.record_message(
                     name, incarnation + 1, now_s, InstanceStatus.STARTING
                 )
             assert not {i.name for i in membership.usable()} & set(fleet.services)
--- a/tests/test_reducer.py
+++ b/tests/test_reducer.py
@@ -47,7 +47,7 @@
         st.builds(InstanceDecision, ids, names, st.booleans()),
         st.builds(QuarantineRecord, versions, st.just("slow"), st.just("entry-1"),
                   st.integers(-1, 12)),
-        st.sampled_from(["honest snapshot", "lagging snapshot", "lying snapshot",
+        st.sampled_from(["valid snapshot", "older snapshot", "wrong snapshot",
                          "junk"]),
     ),
     max_size=25,
@@ -59,9 +59,9 @@
     states, payloads = [FleetState()], []
     for offset, step in enumerate(plan):
         record = {
-            "honest snapshot": Snapshot(states[-1]),
-            "lagging snapshot": Snapshot(states[len(states) // 2]),
-            "lying snapshot": Snapshot(evolve(states[-1], revision=offset + 3)),
+            "valid snapshot": Snapshot(states[-1]),
+            "older snapshot": Snapshot(states[len(states) // 2]),
+            "wrong snapshot": Snapshot(evolve(states[-1], revision=offset + 3)),
             "junk": None,
         }.get(step, step) if isinstance(step, str) else step  # fmt: skip
         payloads.append(b"junk" if record is None else encode_record(record))
@@ -82,15 +82,15 @@
     full.offer([LogEntry(i, p) for i, p in enumerate(payloads)])
     assert full.state == states[-1]
     earliest = random.randint(0, len(payloads))
-    kept = [LogEntry(i, p) for i, p in enumerate(payloads)][earliest:]
+    retained = [LogEntry(i, p) for i, p in enumerate(payloads)][earliest:]
     for _ in range(20):
-        if random.random() < 0.5 and kept:
-            start = random.randrange(len(kept))
-            late.offer(kept[start : start + 4])
+        if random.random() < 0.5 and retained:
+            start = random.randrange(len(retained))
+            late.offer(retained[start : start + 4])
         elif random.random() < 0.5:
             late.apply_records(full.records_for(late.pull_if_behind(10**6)))
         else:
-            some = [PeerRecord(e.offset, e.payload) for e in kept]
+            some = [PeerRecord(e.offset, e.payload) for e in retained]
             random.shuffle(some)
             late.apply_records(Records(full.revision, records=tuple(some[:3])))
         expected = states[late.revision + 1]
@@ -134,9 +134,9 @@
                     organisations_removed=("nobody",)),
         ReleaseNote("c", 0, withdrawn=(VersionId("other", "1"),)),
     ):  # fmt: skip
-        folded = fold(state, 1, note)
-        assert folded.verdict is Verdict.UNKNOWN_NAME
-        assert folded.state == evolve(state, revision=1)
+        result = fold(state, 1, note)
+        assert result.verdict is Verdict.UNKNOWN_NAME
+        assert result.state == evolve(state, revision=1)
 
 
 def test_redeclared_version_is_usable_despite_old_evidence():
@@ -152,9 +152,9 @@
     ]
     state = FleetState()
     for offset, (record, verdict) in enumerate(plan):
-        folded = fold(state, offset, record)
-        assert folded.verdict is verdict
-        state = folded.state
+        result = fold(state, offset, record)
+        assert result.verdict is verdict
+        state = result.state
     assert state.is_usable(OLD)
 
 
--- a/tests/test_state_log.py
+++ b/tests/test_state_log.py
@@ -57,9 +57,8 @@
     appended = appended_items(log)
     assert list(dict.fromkeys(appended)) == list(range(60))
     if not late:
-        assert appended == list(
-            range(60)
-        )  # searched before each retry, so none is written twice
+        # The log is searched before each retry, so that no item is written twice.
+        assert appended == list(range(60))
 
 
 def test_append_rate_stays_within_its_budget():
--- a/tests/test_state_membership.py
+++ b/tests/test_state_membership.py
@@ -146,9 +146,9 @@
     membership = create_membership(instance("e1"))
     membership.record_refusal("e1", 1, Reason.LEAVING, 1.0)
     assert usable_names(membership) == set()
-    membership.record_heard("e1", 1, 1.5)
+    membership.record_message("e1", 1, 1.5)
     assert usable_names(membership) == set()
-    membership.record_heard("e1", 2, 2.0)
+    membership.record_message("e1", 2, 2.0)
     assert usable_names(membership) == {"e1"}
     membership.on_digest(Digest("e0", 1, 0, "live", peers=("e1/1/leaving",)), 2.1)
     membership.on_list([instance("e1", 1)], 2.2)
@@ -164,13 +164,13 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from(
-    ["fail", "live", "leaving", "new", "list", "hide", "hearsay", "silence"]),
+    ["fail", "live", "leaving", "new", "list", "unlist", "report", "silence"]),
     st.integers(1, 4)), max_size=30))  # fmt: skip
 @settings(derandomize=True, deadline=None, max_examples=150)
 def test_leaving_is_final_for_an_incarnation(events):
     membership = create_membership(instance("e1"))
     membership.set_watched(["e1"])
-    left, now_s = set(), 0.0
+    left_incarnations, now_s = set(), 0.0
     for event, incarnation in events:
         now_s += 0.7
         match event:
@@ -178,24 +178,24 @@
                 membership.record_connect_failure("e1", now_s)
                 assert usable_names(membership) == set()
             case "live" | "new":
-                membership.record_heard("e1", incarnation, now_s)
+                membership.record_message("e1", incarnation, now_s)
             case "leaving":
-                membership.record_heard("e1", incarnation, now_s, LEAVING)
-                left.add(incarnation)
+                membership.record_message("e1", incarnation, now_s, LEAVING)
+                left_incarnations.add(incarnation)
             case "list":
                 membership.on_list([instance("e1", incarnation)], now_s)
-            case "hide":
+            case "unlist":
                 membership.on_list([], now_s)
-            case "hearsay":
+            case "report":
                 text = f"e1/{incarnation}/leaving"
                 membership.on_digest(Digest("e0", 1, 0, "live", peers=(text,)), now_s)
-                left.add(incarnation)
+                left_incarnations.add(incarnation)
             case "silence":
                 now_s += 3.0
                 membership.check_timeouts(now_s)
                 assert usable_names(membership) == set()
         for used in membership._members.values():
-            assert used.state != "live" or used.incarnation not in left
+            assert used.state != "live" or used.incarnation not in left_incarnations
 
 
 def test_starting_instance_is_probed_again_within_a_second():
@@ -203,9 +203,9 @@
     # does not announce this, and the next list takes minutes in a large fleet. Without
     # a probe it would receive no requests for all that time.
     membership = create_membership(instance("e1"))
-    membership.record_heard("e1", 2, 1.0, InstanceStatus.STARTING)
+    membership.record_message("e1", 2, 1.0, InstanceStatus.STARTING)
     assert usable_names(membership) == set()
     assert [i.name for i in membership.due_probes(2.0)] == ["e1"]
     assert membership.due_probes(2.1) == []
-    membership.record_heard("e1", 2, 2.2, LIVE)
+    membership.record_message("e1", 2, 2.2, LIVE)
     assert usable_names(membership) == {"e1"}
--- a/tests/test_state_pins_and_fences.py
+++ b/tests/test_state_pins_and_fences.py
@@ -24,14 +24,16 @@
 from tests.virtual import run_virtual
 
 GUIDE_API = Api("guide", ApiKind.MODEL)
-TEAM = Organisation("ozark-guides", allowed={"g": ("*",)})
+ORGANISATION = Organisation("ozark-guides", allowed={"g": ("*",)})
 V1, V2, V3 = (VersionId("g", n) for n in "123")
 
 
 def fold_notes(*notes):
     state = FleetState()
     for offset, (declared, withdrawn, *allowed) in enumerate(notes):
-        team = Organisation(TEAM.name, allowed={"g": allowed[0] if allowed else ("*",)})
+        team = Organisation(
+            ORGANISATION.name, allowed={"g": allowed[0] if allowed else ("*",)}
+        )
         note = ReleaseNote(
             f"n{offset}",
             state.release_revision,
@@ -48,30 +50,34 @@
     # The entry that pinned a chat fails, and the caller's next message reaches another
     # entry. A different version in the middle of the chat would lose its context.
     fleet = fold_notes(([V1, V2], ()))
-    token = SessionPins(("s",)).issue(TEAM.name, "guide", "chat", V2)
+    token = SessionPins(("s",)).issue(ORGANISATION.name, "guide", "chat", V2)
     other = SessionPins(("s",))
-    assert other.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) == V2
+    assert other.pinned_version(fleet, ORGANISATION, GUIDE_API, "chat", token) == V2
     fleet = fold_notes(([V1, V2], ()), ([V3], (V2,)))
-    assert other.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) is None
+    assert other.pinned_version(fleet, ORGANISATION, GUIDE_API, "chat", token) is None
 
 
 def test_tokens_are_bound_to_their_session_and_survive_secret_rotation():
     fleet = fold_notes(([V1, V2], ()))
     old, new = SessionPins(("s",)), SessionPins(("t", "s"))
-    token = old.issue(TEAM.name, "guide", "chat", V2)
-    assert new.pinned_version(fleet, TEAM, GUIDE_API, "chat", token) == V2
+    token = old.issue(ORGANISATION.name, "guide", "chat", V2)
+    assert new.pinned_version(fleet, ORGANISATION, GUIDE_API, "chat", token) == V2
     for reader, session in ((new, "other"), (SessionPins(("t",)), "chat")):
-        assert reader.pinned_version(fleet, TEAM, GUIDE_API, session, token) == V1
+        assert (
+            reader.pinned_version(fleet, ORGANISATION, GUIDE_API, session, token) == V1
+        )
     assert new.read(token, "rival", "guide", "chat") is None
-    assert old.pinned_version(fleet, TEAM, GUIDE_API, "chat", NEW_SESSION) is None
-    assert SessionPins(("",)).issue(TEAM.name, "guide", "chat", V2) == ""
+    assert (
+        old.pinned_version(fleet, ORGANISATION, GUIDE_API, "chat", NEW_SESSION) is None
+    )
+    assert SessionPins(("",)).issue(ORGANISATION.name, "guide", "chat", V2) == ""
 
 
 @given(st.text(max_size=80))
 @settings(derandomize=True, deadline=None, max_examples=100)
 def test_invalid_tokens_are_ignored(token):
     pins = SessionPins(("s",))
-    assert pins.read(token, TEAM.name, "guide", "chat") is None
+    assert pins.read(token, ORGANISATION.name, "guide", "chat") is None
 
 
 steps = st.lists(
@@ -94,7 +100,7 @@
     for declared, withdrawn, allowed in steps:
         notes.append((sorted(declared), tuple(sorted(withdrawn)), allowed))
         fleet = fold_notes(*notes)
-        team = fleet.organisations[TEAM.name]
+        team = fleet.organisations[ORGANISATION.name]
         now = pins.pinned_version(fleet, team, GUIDE_API, "till", "")
         may_stay = before is not None and team.allows(before)
         if may_stay and fleet.is_usable(before):
--- a/tests/test_state_spread.py
+++ b/tests/test_state_spread.py
@@ -91,18 +91,8 @@
             highest[name] = fleet_store.revision
         if step > 200 and set(highest.values()) == {published - 1}:
             break
-    assert {fleet_store.revision for fleet_store in fleet_stores.values()} == {
-        published - 1
-    }
-    assert (
-        len(
-            {
-                fleet_store.state.availability_zones_out
-                for fleet_store in fleet_stores.values()
-            }
-        )
-        == 1
-    )
+    assert {s.revision for s in fleet_stores.values()} == {published - 1}
+    assert len({s.state.availability_zones_out for s in fleet_stores.values()}) == 1
 
 
 def test_new_process_during_a_log_outage_waits_for_the_highest_peer_revision():
