--- a/tests/test_sidecar_version_orders.py
+++ b/tests/test_sidecar_version_orders.py
@@ -42,7 +42,7 @@
 
 
 def rolling_out():
-    """Return a holder of a release that replaces the first version by a second."""
+    """Return a fleet store whose release replaces the first version by a second."""
     fleet_store = FleetStore()
     first = ReleaseNote("a", -1, versions=(Version(OLD, "guide", 1.0),))
     second = ReleaseNote("b", 0, versions=(Version(NEW, "guide", 1.0, replaces=OLD),))
