--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -57,7 +57,7 @@
         self._partitions: dict[int, ClaimPartition] = {}
         self._unsubmitted: deque[ClaimRecord] = deque()
         self._pending_claims = 0
-        writer.listen(self._on_appended)
+        writer.add_listener(self._on_appended)
 
     def table(self, key: str) -> ClaimTable:
         """Return the table of the key's partition, as far as it has been read."""
@@ -123,7 +123,7 @@
                 await tail.catch_up_to_end()
         except (PlatformUnavailableError, TimeoutError):
             return False
-        self._writer.note_end(tail.stream, tail.next_offset)
+        self._writer.record_end(tail.stream, tail.next_offset)
         return True
 
     def remove_expired(self, wall_s: float) -> None:
--- a/acaciacove/state/folded.py
+++ b/acaciacove/state/fold_result.py
@@ -7,8 +7,8 @@
 
 
 @frozen
-class Folded:
-    """The state after a record, and whether the record changed it."""
+class FoldResult:
+    """The fleet state after a record, and why the record did or did not change it."""
 
     state: FleetState
     verdict: Verdict
--- a/acaciacove/state/log_writer.py
+++ b/acaciacove/state/log_writer.py
@@ -1,4 +1,4 @@
-"""Appends to the platform's log for one process: group commit under a budget."""
+"""Appends to the platform's log by one process: group commit with a rate limit."""
 
 import asyncio
 from collections import deque
@@ -23,7 +23,7 @@
 from acaciacove.state.token_bucket import TokenBucket
 
 READ_LIMIT = 1000
-SHORTEST_WAIT_S = 0.0005
+MIN_WAIT_S = 0.0005  # batches that are due within this time are sent at once
 AppendListener = Callable[[str, int, bytes], None]
 QUEUE_SHARES = {Priority.DECISION: 1.0, Priority.CLAIM: 0.95, Priority.BILLING: 0.8}
 
@@ -31,9 +31,9 @@
 class LogWriter:
     """Queues items, groups them by stream and appends them; ``run`` is its task.
 
-    One payload a stream is under way at a time, so items of a stream land in the
+    Each stream has at most one append in flight, so that its items are written in the
     order in which they were submitted. Items submitted without a deadline are
-    kept until they are in the log.
+    retained until they are in the log.
     """
 
     def __init__(
@@ -45,7 +45,7 @@
         random: Random,
         health: LogHealth | None = None,
     ) -> None:
-        """Take what the writer works with; nothing is sent before ``run``."""
+        """Initialise the writer; it sends nothing before ``run``."""
         self.health = health or LogHealth()
         self._listeners: list[AppendListener] = []
         self._log = log
@@ -56,8 +56,8 @@
         self._sequence = 0
         self._queued = 0
         self._streams: dict[str, deque[PendingItem]] = {}
-        self._ends: dict[str, int] = {}
-        self._due: dict[str, float] = {}
+        self._next_offsets: dict[str, int] = {}
+        self._due_s: dict[str, float] = {}
         self._in_flight: dict[str, asyncio.Task[None]] = {}
         self._buckets: dict[Priority, TokenBucket] = {}
         self._wake = asyncio.Event()
@@ -65,28 +65,28 @@
 
     @property
     def queued(self) -> int:
-        """Return how many items wait or are under way."""
+        """Return the number of items that are waiting or in flight."""
         return self._queued
 
     @property
     def idle(self) -> bool:
-        """Tell whether everything that was submitted is settled."""
+        """Return whether every submitted item has a result."""
         return self._queued == 0
 
     @property
     def in_flight_tasks(self) -> list["asyncio.Task[None]"]:
-        """Return the tasks of the appends under way, such as to end them."""
+        """Return the tasks of the appends in flight, for instance to cancel them."""
         return list(self._in_flight.values())
 
-    def listen(self, listener: AppendListener) -> None:
-        """Call ``listener`` with stream, offset and payload of what has landed.
+    def add_listener(self, listener: AppendListener) -> None:
+        """Call ``listener`` with stream, offset and payload after each append.
 
-        It is called before anyone who waits for an item of the payload resumes.
+        It is called before the results of the payload's items are set.
         """
         self._listeners.append(listener)
 
     def configure(self, settings: LogWriterSettings) -> None:
-        """Change rates and bounds, for instance when the fleet has grown."""
+        """Change rates and limits, for instance when the fleet has grown."""
         self._settings = settings
         for priority in Priority:
             rate = settings.rate_per_s(priority)
@@ -96,32 +96,32 @@
             else:
                 bucket.rate_per_s = rate
 
-    def note_end(self, stream: str, next_offset: int) -> None:
-        """Learn how far a stream has been read, where a look-up may start."""
-        self._ends[stream] = max(self._ends.get(stream, 0), next_offset)
+    def record_end(self, stream: str, next_offset: int) -> None:
+        """Record how far a stream has been read; searches for a payload start there."""
+        self._next_offsets[stream] = max(self._next_offsets.get(stream, 0), next_offset)
 
     def has_room(self, priority: Priority) -> bool:
-        """Tell whether an item of this class would be taken now."""
+        """Return whether an item of this priority would be accepted now."""
         return self._queued < QUEUE_SHARES[priority] * self._settings.max_items
 
     def submit(
         self, stream: str, item: bytes, priority: Priority, linger_s: float = 0.0
     ) -> "asyncio.Future[AppendResult]":
-        """Queue an item that has to land, however long it takes.
+        """Queue an item without a deadline; it is retried until it is in the log.
 
-        It waits up to ``linger_s`` for more urgent company in its stream. Raises
-        LogQueueFullError when the class's share of the queue is used up; the caller
-        then keeps the item and applies backpressure.
+        It waits up to ``linger_s`` for a batch of its stream that is due earlier.
+        Raises LogQueueFullError when the priority's share of the queue is used up; the
+        caller then retains the item and applies backpressure.
         """
         return self._enqueue(stream, item, priority, linger_s).done
 
     async def append(
         self, stream: str, item: bytes, priority: Priority, deadline_s: float
     ) -> AppendResult:
-        """Append an item by ``deadline_s`` (the loop's time), or say what is known.
+        """Append an item by ``deadline_s`` (the loop's time) and return its state.
 
-        An item that has not been sent by then never will be; one that was sent
-        without an answer is in doubt. Raises LogQueueFullError.
+        An item that has not been sent by then is never sent. One that was sent
+        without a reply is in doubt. Raises LogQueueFullError.
         """
         pending = self._enqueue(stream, item, priority)
         timeout_s = max(0.0, deadline_s - asyncio.get_running_loop().time())
@@ -131,7 +131,7 @@
         pending.abandoned = True
         if pending.sent:
             return AppendResult(AppendState.IN_DOUBT)
-        self._forget(pending)
+        self._dequeue(pending)
         return AppendResult(AppendState.NOT_APPENDED)
 
     async def run(self) -> None:
@@ -146,7 +146,7 @@
                 task.cancel()
 
     async def flush(self, deadline_s: float) -> bool:
-        """Wait until everything has landed; false when the deadline came first."""
+        """Wait until every item has a result; return false at the deadline."""
         loop = asyncio.get_running_loop()
         while not self.idle and loop.time() < deadline_s:
             await asyncio.sleep(min(0.02, max(0.001, deadline_s - loop.time())))
@@ -162,20 +162,20 @@
         pending = PendingItem(stream, item, priority, loop.time(), done)
         self._streams.setdefault(stream, deque()).append(pending)
         due_s = loop.time() + linger_s
-        self._due[stream] = min(due_s, self._due.get(stream, due_s))
+        self._due_s[stream] = min(due_s, self._due_s.get(stream, due_s))
         self._queued += 1
         self._wake.set()
         return pending
 
-    def _forget(self, pending: PendingItem) -> None:
-        """Take an item that was never sent out of its queue."""
+    def _dequeue(self, pending: PendingItem) -> None:
+        """Remove an item that was never sent from its queue."""
         queue = self._streams.get(pending.stream)
         if queue is not None and pending in queue:
             queue.remove(pending)
             self._queued -= 1
 
     async def _sleep(self, delay_s: float | None) -> None:
-        """Wait for work, or until a batch that lingers is due."""
+        """Wait for a new item or a finished append, at most ``delay_s``."""
         try:
             async with asyncio.timeout(delay_s):
                 await self._wake.wait()
@@ -183,20 +183,20 @@
             return
 
     def _start_batches(self, now_s: float) -> float | None:
-        """Start what may go now; return the seconds until more may."""
+        """Start all batches that are due; return the seconds until the next is."""
         soonest_s: float | None = None
-        for stream in self._by_urgency():
+        for stream in self._ready_streams():
             if len(self._in_flight) >= self._settings.max_in_flight:
                 return None
             wait_s = self._wait_s(stream, now_s)
-            if wait_s > SHORTEST_WAIT_S:
+            if wait_s > MIN_WAIT_S:
                 soonest_s = wait_s if soonest_s is None else min(soonest_s, wait_s)
                 continue
-            self._start(stream, now_s)
+            self._start_batch(stream, now_s)
         return soonest_s
 
-    def _by_urgency(self) -> list[str]:
-        """List streams with work and nothing under way, the most urgent first."""
+    def _ready_streams(self) -> list[str]:
+        """List streams with items and no append in flight, the most urgent first."""
         free = [s for s, q in self._streams.items() if q and s not in self._in_flight]
         return sorted(free, key=self._urgency)
 
@@ -205,7 +205,7 @@
         return first.priority, first.queued_s, stream
 
     def _wait_s(self, stream: str, now_s: float) -> float:
-        """Return how long a stream's batch still has to wait."""
+        """Return how much longer a stream's batch has to wait."""
         queue = self._streams[stream]
         first = queue[0]
         bucket = self._buckets[first.priority]
@@ -213,31 +213,31 @@
         if len(queue) >= self._settings.max_batch_items:
             return token_s
         linger_s = self._linger_s(first.priority, bucket)
-        return max(token_s, self._due[stream] + linger_s - now_s)
+        return max(token_s, self._due_s[stream] + linger_s - now_s)
 
     def _linger_s(self, priority: Priority, bucket: TokenBucket) -> float:
-        """Wait longer for company the scarcer the appends have become."""
+        """Return how long to wait for more items: longer when few tokens are left."""
         if priority is Priority.BILLING:
             return self._settings.billing_linger_s
         if priority is Priority.DECISION:
             return 0.0
-        emptiness = 1.0 - bucket.tokens / bucket.burst
-        return self._settings.max_linger_s * max(0.0, emptiness - 0.5)
+        used_share = 1.0 - bucket.tokens / bucket.burst
+        return self._settings.max_linger_s * max(0.0, used_share - 0.5)
 
-    def _start(self, stream: str, now_s: float) -> None:
+    def _start_batch(self, stream: str, now_s: float) -> None:
         """Send a stream's next batch."""
         batch = self._next_batch(stream)
         self._buckets[batch[0].priority].spend(now_s)
         task = asyncio.create_task(self._commit(stream, batch))
         self._in_flight[stream] = task
-        task.add_done_callback(lambda _: self._finished(stream))
+        task.add_done_callback(lambda _: self._on_batch_done(stream))
 
-    def _finished(self, stream: str) -> None:
+    def _on_batch_done(self, stream: str) -> None:
         self._in_flight.pop(stream, None)
         self._wake.set()
 
     def _next_batch(self, stream: str) -> list[PendingItem]:
-        """Take items off a stream's queue, up to the batch's bounds."""
+        """Remove items from a stream's queue, up to the limits of a batch."""
         queue = self._streams[stream]
         single = stream in self._settings.single_streams
         limit = 1 if single else self._settings.max_batch_items
@@ -250,13 +250,13 @@
             batch.append(queue.popleft())
         for item in batch:
             item.sent = True
-        self._due.pop(stream)
+        self._due_s.pop(stream)
         if queue:
-            self._due[stream] = queue[0].queued_s
+            self._due_s[stream] = queue[0].queued_s
         return batch
 
     def _payload(self, stream: str, batch: list[PendingItem]) -> bytes:
-        """Write a batch so that no other payload equals it."""
+        """Encode a batch so that no other payload equals it."""
         if stream in self._settings.single_streams:
             return batch[0].data
         self._sequence += 1
@@ -264,24 +264,24 @@
         return encode_batch(self._name, self._incarnation, self._sequence, items)
 
     async def _commit(self, stream: str, batch: list[PendingItem]) -> None:
-        """Append one batch, however often it takes.
+        """Append one batch, with as many retries as necessary.
 
-        The reply to an append can be lost after the record was written. A blind
-        repeat would write it twice and use up appends in the middle of an outage;
-        so the stream is read for the payload before every repeat. An append that
-        is still on its way then can land later all the same: readers ignore the
-        second of two equal items.
+        The reply to an append can be lost after the record was written. Appending
+        again without a check would write the record twice, and use up the append
+        rate during an outage. Therefore the stream is searched for the payload
+        before every retry. An earlier append can still be in flight at that time
+        and be written later; readers ignore the second of two equal items.
         """
         payload = self._payload(stream, batch)
-        start = self._ends.get(stream, 0)
-        backoff = Backoff(self._random, limit_s=self._settings.backoff_limit_s)
+        start = self._next_offsets.get(stream, 0)
+        backoff = Backoff(self._random, max_delay_s=self._settings.backoff_limit_s)
         offset = await self._append_once(stream, payload)
         while offset is None:
             await asyncio.sleep(backoff.next_delay_s())
             try:
-                offset = await self._find(stream, payload, start)
+                offset = await self._find_payload(stream, payload, start)
             except (PlatformUnavailableError, TimeoutError):
-                self.health.failed(asyncio.get_running_loop().time())
+                self.health.record_failure(asyncio.get_running_loop().time())
                 continue
             if offset is None and all(item.abandoned for item in batch):
                 break
@@ -290,10 +290,10 @@
         if offset is not None:
             for listener in self._listeners:
                 listener(stream, offset, payload)
-        self._settle(stream, batch, offset)
+        self._resolve(stream, batch, offset)
 
     async def _append_once(self, stream: str, payload: bytes) -> int | None:
-        """Send one append; None when no reply came."""
+        """Send one append; return None if it was not confirmed in time."""
         loop = asyncio.get_running_loop()
         started_s = loop.time()
         self.health.appends += 1
@@ -301,20 +301,25 @@
             async with asyncio.timeout(self._settings.append_timeout_s):
                 offset = await self._log.append(stream, payload)
         except (PlatformUnavailableError, TimeoutError):
-            self.health.failed(loop.time())
+            self.health.record_failure(loop.time())
             return None
-        self.health.succeeded(loop.time() - started_s)
+        self.health.record_success(loop.time() - started_s)
         return offset
 
-    async def _find(self, stream: str, payload: bytes, start: int) -> int | None:
-        """Read a stream to its end for a payload; None when it is not there."""
+    async def _find_payload(
+        self, stream: str, payload: bytes, start: int
+    ) -> int | None:
+        """Search a stream up to its end for a payload; return its offset or None."""
         offset = start
         while True:
             try:
                 entries = await self._read(stream, offset)
             except OffsetExpiredError as error:
                 if error.earliest_offset <= offset:
-                    raise PlatformUnavailableError("contradictory offsets") from error
+                    raise PlatformUnavailableError(
+                        f"log stream {stream}: offset {offset} expired, "
+                        f"but the earliest offset is {error.earliest_offset}"
+                    ) from error
                 offset = error.earliest_offset
                 continue
             for entry in entries:
@@ -330,17 +335,17 @@
         self.health.reads += 1
         async with asyncio.timeout(self._settings.append_timeout_s):
             entries = await self._log.read(stream, offset, READ_LIMIT)
-        self.health.succeeded(loop.time() - started_s)
+        self.health.record_success(loop.time() - started_s)
         return entries
 
-    def _settle(
+    def _resolve(
         self, stream: str, batch: list[PendingItem], offset: int | None
     ) -> None:
-        """Tell everyone who waits for an item of the batch."""
+        """Set the results of a batch's items."""
         result = AppendResult(AppendState.IN_DOUBT)
         if offset is not None:
             result = AppendResult(AppendState.APPENDED, offset)
-            self.note_end(stream, offset + 1)
+            self.record_end(stream, offset + 1)
         self._queued -= len(batch)
         for item in batch:
             if not item.done.done():
--- a/acaciacove/state/session_bases.py
+++ b/acaciacove/state/session_bases.py
@@ -1,4 +1,4 @@
-"""The version of sessions that carry no token, as part of the state in force."""
+"""The version of sessions without a token, as part of the fleet state."""
 
 from attrs import evolve
 
@@ -8,17 +8,17 @@
 
 
 def with_session_bases(state: FleetState) -> FleetState:
-    """Choose a base for every organisation and API, and keep those that hold.
+    """Choose a base version for every organisation and API without a usable one.
 
-    A base changes only when it is stopped or forbidden. Were it drawn anew from
-    what may be used now, a new version, or one that comes back, would move sessions
-    in the middle of a chat.
+    A base changes only when it is withdrawn, quarantined or no longer allowed. If it
+    were chosen again each time, a new version, or one that is usable again, would
+    move sessions in the middle of a chat.
     """
     bases: dict[str, VersionId] = {}
     for organisation in state.organisations.values():
         for api in state.apis:
             key = session_base_key(organisation.name, api)
-            base = _base(state, organisation, api, state.session_bases.get(key))
+            base = _choose_base(state, organisation, api, state.session_bases.get(key))
             if base is not None:
                 bases[key] = base
     return evolve(state, session_bases=bases)
@@ -27,19 +27,19 @@
 def may_use(
     state: FleetState, organisation: Organisation, api: str, version: VersionId
 ) -> bool:
-    """Tell whether an organisation may use a version for an API."""
+    """Return whether an organisation may use a version for an API."""
     known = state.versions.get(version)
     if known is None or known.api != api:
         return False
     return state.is_usable(version) and organisation.allows(version)
 
 
-def _base(
-    state: FleetState, organisation: Organisation, api: str, before: VersionId | None
+def _choose_base(
+    state: FleetState, organisation: Organisation, api: str, previous: VersionId | None
 ) -> VersionId | None:
-    """Keep a base, or take the first declared version that may be used."""
-    if before is not None and may_use(state, organisation, api, before):
-        return before
+    """Return the previous base, or else the first declared version that is usable."""
+    if previous is not None and may_use(state, organisation, api, previous):
+        return previous
     for version in state.versions:
         if may_use(state, organisation, api, version):
             return version
