--- a/acaciacove/state/claim_log.py
+++ b/acaciacove/state/claim_log.py
@@ -77,9 +77,7 @@
         """
         down = self._writer.health.status is LogStatus.DOWN
         if down and self._pending_claims > 0:
-            return claim_unavailable(
-                "the platform log is unavailable; another claim is waiting for it"
-            )
+            return claim_unavailable("the log is down")
         self._pending_claims += 1
         try:
             return await self._append_and_read(claim, deadline_s)
@@ -94,7 +92,7 @@
         except LogQueueFullError as error:
             return claim_unavailable(str(error))
         if result.state is AppendState.NOT_APPENDED:
-            return claim_unavailable("the claim was not appended to the log in time")
+            return claim_unavailable("the log took no claim in time")
         release = Release(claim.key, claim.claim_id)
         if not result.appended:
             # The log did not respond, so the claim may have been appended. The call
--- a/acaciacove/state/claim_owner.py
+++ b/acaciacove/state/claim_owner.py
@@ -110,7 +110,7 @@
                 return result
             if loop.time() >= deadline_s:
                 return claim_unavailable(
-                    "the key was released too late to be claimed again"
+                    "the key was released too late to claim it anew"
                 )
 
     async def run(self, preferred_partitions: Callable[[], Iterable[int]]) -> None:
@@ -154,16 +154,14 @@
         settings = self._settings
         if issued_s is None:
             if settings.dated_keys_only:
-                detail = "the idempotency key must be a UUID version 7"
+                detail = "the key has to be a UUID version 7"
                 return Refusal(Reason.KEY_REQUIRED, True, detail)
             return None
         age_s = self._wall_s() - issued_s
         if age_s > settings.window_s:
-            return key_expired("the idempotency key is older than the claim window")
+            return key_expired("the key is past its window")
         if age_s < -settings.clock_error_s:
-            return Refusal(
-                Reason.KEY_EXPIRED, True, "the idempotency key has a future timestamp"
-            )
+            return Refusal(Reason.KEY_EXPIRED, True, "the key is from the future")
         return None
 
     async def _run_or_resolve(
@@ -276,7 +274,7 @@
         covered_s = self._claims.table(local_call.claim.key).covered_since_s
         if local_call.issued_s + self._settings.clock_error_s >= covered_s:
             return None
-        return key_expired("the idempotency key is older than the retained records")
+        return key_expired("the key is older than the records that the log has kept")
 
     async def _make_call(self, local_call: LocalCall, call: Call) -> None:
         """Make the call and record its outcome."""
--- a/acaciacove/state/claim_refusals.py
+++ b/acaciacove/state/claim_refusals.py
@@ -18,20 +18,18 @@
 
 def answer_not_retained() -> Refusal:
     """Refuse because the call has completed and its answer is no longer stored."""
-    return outcome_unknown("the call has completed; its answer is no longer stored")
+    return outcome_unknown("the call has finished; its answer is no longer kept")
 
 
 def in_progress() -> Refusal:
     """Refuse because an earlier attempt with the key has no outcome yet."""
-    detail = "an earlier attempt with this idempotency key is still running"
+    detail = "an earlier attempt with this key is still running"
     return Refusal(Reason.IN_PROGRESS, False, detail, RETRY_AFTER_S)
 
 
 def key_reused() -> Refusal:
     """Refuse a key that was used for another request."""
-    return Refusal(
-        Reason.KEY_REUSED, True, "the idempotency key was used for another request"
-    )
+    return Refusal(Reason.KEY_REUSED, True, "the key was used for another request")
 
 
 def key_expired(detail: str) -> Refusal:
--- a/acaciacove/state/claim_resolver.py
+++ b/acaciacove/state/claim_resolver.py
@@ -66,7 +66,7 @@
         if claim.fingerprint != fingerprint:
             return key_reused()
         if self._wall_s() - claim.at_s > self._settings.window_s:
-            return key_expired("the idempotency key is older than the claim window")
+            return key_expired("the key is past its window")
         loop = asyncio.get_running_loop()
         while True:
             current = self._claims.holder(claim.key)
@@ -87,7 +87,7 @@
         """Refuse a retry whose result was not found by the deadline."""
         if self._is_abandoned(held):
             return claim_unavailable(
-                "the release of an earlier claim is not yet in the log"
+                "the release of an earlier claim is not in the log yet"
             )
         return in_progress()
 
@@ -103,7 +103,7 @@
         """Return the result of a claim that is in the log; None if not yet known."""
         claim, outcome = held.claim, held.outcome
         if outcome is not None and not outcome.known:
-            return outcome_unknown("the endpoint returned no answer")
+            return outcome_unknown("the endpoint gave no answer")
         if outcome is not None and outcome.answer_kept:
             return await self._claims.read_answer(held)
         if self._is_local(claim):
@@ -117,7 +117,7 @@
             claim.owner, claim.incarnation
         )
         if owner_ended and not await self._outcome_changed(held):
-            return outcome_unknown("the process that made the call has ended")
+            return outcome_unknown("the owner of the call is gone")
         return None
 
     def _result_from_owner(
@@ -127,7 +127,7 @@
             case ClaimStatus.DONE:
                 return ServiceAnswer(answer.http_status, answer.headers, answer.body)
             case ClaimStatus.OUTCOME_UNKNOWN:
-                return outcome_unknown("the endpoint returned no answer")
+                return outcome_unknown("the endpoint gave no answer")
             case ClaimStatus.NOT_HELD if outcome is not None:
                 return answer_not_retained()
         return None
--- a/acaciacove/state/load_permit.py
+++ b/acaciacove/state/load_permit.py
@@ -44,8 +44,6 @@
             return find_refusal()
         wait_s *= random.uniform(1.0, 1.0 + MAX_JITTER_SHARE)
         if loop.time() + wait_s > deadline_s:
-            detail = (
-                f"the weight store permits no load of {weights} before the deadline"
-            )
+            detail = f"no permit to load {weights} in time"
             return Refusal(Reason.OVERLOADED, True, detail, wait_s)
         await asyncio.sleep(wait_s)
