--- a/acaciacove/entry/answer_piece.py
+++ b/acaciacove/entry/answer_chunk.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class AnswerPiece:
+class AnswerChunk:
     """Bytes that go to the caller as they are."""
 
     data: bytes
--- a/acaciacove/entry/answer_event.py
+++ b/acaciacove/entry/answer_event.py
@@ -1,8 +1,8 @@
 """The union of events of an answer; a Refusal ends one that cannot be whole."""
 
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.refusal import Refusal
 
-AnswerEvent = AnswerHead | AnswerPiece | AnswerEnd | Refusal
+AnswerEvent = AnswerHead | AnswerChunk | AnswerEnd | Refusal
--- a/acaciacove/entry/learn_from.py
+++ b/acaciacove/entry/answer_feedback.py
@@ -4,16 +4,16 @@
 
 from acaciacove.decisions.answer_signal import AnswerSignal
 from acaciacove.decisions.rated_class import RatedClass, signal_bin
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.entry.caller_request import CallerRequest
+from acaciacove.entry.complete_answer import CompleteAnswer
 from acaciacove.entry.entry_state import EntryState
-from acaciacove.entry.whole_answer import WholeAnswer
 from acaciacove.fleet.api_kind import ApiKind
 
 
-def signal_of(head: AnswerHead, end: AnswerEnd) -> float:
+def compute_signal(head: AnswerHead, end: AnswerEnd) -> float:
     """Sum up how good an answer looks before anyone has rated it, from 0 to 1."""
     return AnswerSignal(
         status=head.status,
@@ -22,12 +22,12 @@
     ).value()
 
 
-def learn_from(
+def record_first_answer(
     request: CallerRequest,
     entry: EntryState,
     end: AnswerEnd,
     signal: float,
-    pieces: Sequence[AnswerPiece],
+    chunks: Sequence[AnswerChunk],
     is_trial: bool,
 ) -> None:
     """Count a first answer by its signal, and have a sample of them rated."""
@@ -37,16 +37,16 @@
     entry.router.estimates.record_answer(end.version, request.request_class, bin_)
     rated_class = str(RatedClass(request.request_class, signal_bin=bin_))
     entry.rater.offer(
-        request.request_id, end.version, rated_class, _body(pieces), is_trial
+        request.request_id, end.version, rated_class, _body(chunks), is_trial
     )
 
 
-def learn_from_second(
+def record_escalated_answer(
     request: CallerRequest,
     entry: EntryState,
-    first: WholeAnswer,
+    first: CompleteAnswer,
     signal: float,
-    second: WholeAnswer,
+    second: CompleteAnswer,
 ) -> None:
     """Have the answer rated that took the place of one judged short."""
     rated_class = RatedClass(
@@ -56,9 +56,9 @@
         request.request_id,
         second.end.version,
         str(rated_class),
-        _body(second.pieces),
+        _body(second.chunks),
     )
 
 
-def _body(pieces: Sequence[AnswerPiece]) -> bytes:
-    return b"".join(piece.data for piece in pieces)
+def _body(chunks: Sequence[AnswerChunk]) -> bytes:
+    return b"".join(chunk.data for chunk in chunks)
--- a/acaciacove/entry/rate_answer.py
+++ b/acaciacove/entry/answer_rater.py
@@ -31,12 +31,12 @@
         version: VersionId,
         rated_class: str,
         answer: bytes,
-        explored: bool = False,
+        is_trial: bool = False,
     ) -> None:
         """Submit an answer if it falls into the sample and few are under way."""
         if self.service is None or len(self._pending) >= MAX_PENDING:
             return
-        if not explored and self.rng.random() >= self.share:
+        if not is_trial and self.rng.random() >= self.share:
             return
         text = answer.decode("utf-8", "replace")[:MAX_ANSWER_CHARS]
         task = asyncio.create_task(
--- a/acaciacove/entry/app.py
+++ b/acaciacove/entry/app.py
@@ -10,16 +10,16 @@
 from starlette.routing import BaseRoute, Route
 
 from acaciacove.entry import header_names
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_event import AnswerEvent
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.entry.answer_response import AnswerResponse
 from acaciacove.entry.caller_request import CallerRequest
+from acaciacove.entry.cancel_on_disconnect import cancel_on_disconnect
 from acaciacove.entry.entry_state import EntryState
 from acaciacove.entry.problem import problem_document, problem_response
 from acaciacove.entry.read_request import CHAT_PATH, read_request
-from acaciacove.entry.until_caller_leaves import until_caller_leaves
 from acaciacove.refusal import Refusal
 
 EVENT_STREAM = "text/event-stream"
@@ -27,27 +27,27 @@
 DONE_EVENT = b"data: [DONE]\n\n"
 SERVICE_METHODS = ["GET", "HEAD", "POST", "PUT", "PATCH", "DELETE"]
 
-Answers = Callable[[CallerRequest], AsyncGenerator[AnswerEvent, None]]
+AnswerSource = Callable[[CallerRequest], AsyncGenerator[AnswerEvent, None]]
 
 
 def build_entry_app(
-    entry: EntryState, answer: Answers, probes: list[BaseRoute]
+    entry: EntryState, answer: AnswerSource, probes: list[BaseRoute]
 ) -> Starlette:
     """Build the application; ``answer`` yields the events of an answer."""
 
     async def serve(request: Request) -> Response:
         request_id = entry.new_request_id()
         with entry.counted_in_flight():
-            read = await read_request(request, entry, request_id)
-            if isinstance(read, Refusal):
-                entry.metrics.count_refusal(read)
-                return problem_response(read, request_id)
-            if read.stream:
-                return await _streamed(entry, read, answer(read))
-            whole = _whole(entry, read, answer(read))
-            if read.non_idempotent:
-                return await whole
-            return await until_caller_leaves(request, whole)
+            parsed = await read_request(request, entry, request_id)
+            if isinstance(parsed, Refusal):
+                entry.metrics.count_refusal(parsed)
+                return problem_response(parsed, request_id)
+            if parsed.stream:
+                return await _streamed_response(entry, parsed, answer(parsed))
+            response = _buffered_response(entry, parsed, answer(parsed))
+            if parsed.non_idempotent:
+                return await response
+            return await cancel_on_disconnect(request, response)
 
     return Starlette(
         routes=[
@@ -58,31 +58,31 @@
     )
 
 
-async def _whole(
+async def _buffered_response(
     entry: EntryState,
     request: CallerRequest,
     events: AsyncGenerator[AnswerEvent, None],
 ) -> Response:
     """Answer with one body, or with a problem if it cannot be whole."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     head: AnswerHead | None = None
     async with aclosing(events):
         async for event in events:
             match event:
                 case AnswerHead():
                     head = event
-                case AnswerPiece():
-                    pieces.append(event.data)
+                case AnswerChunk():
+                    chunks.append(event.data)
                 case AnswerEnd() if head is not None:
-                    headers = _headers(entry, request, head)
+                    headers = _response_headers(entry, request, head)
                     headers[header_names.COST] = f"{event.cost:.6f}"
-                    return Response(b"".join(pieces), head.status, headers)
+                    return Response(b"".join(chunks), head.status, headers)
                 case Refusal():
                     return problem_response(event, request.request_id)
     raise AssertionError("an answer ends with AnswerEnd or Refusal")
 
 
-async def _streamed(
+async def _streamed_response(
     entry: EntryState,
     request: CallerRequest,
     events: AsyncGenerator[AnswerEvent, None],
@@ -92,15 +92,15 @@
     if isinstance(first, Refusal):
         return problem_response(first, request.request_id)
     assert isinstance(first, AnswerHead)
-    headers = _headers(entry, request, first)
+    headers = _response_headers(entry, request, first)
     if first.status != OK:
-        return await _whole(entry, request, _put_back(first, events))
+        return await _buffered_response(entry, request, _prepend(first, events))
     headers["cache-control"] = "no-store"
-    body = _event_bytes(entry, request.request_id, events)
+    body = _stream_body(entry, request.request_id, events)
     return AnswerResponse(body, first.status, headers, media_type=EVENT_STREAM)
 
 
-async def _put_back(
+async def _prepend(
     first: AnswerHead, events: AsyncGenerator[AnswerEvent, None]
 ) -> AsyncGenerator[AnswerEvent, None]:
     """Yield an event that was looked at, then the rest."""
@@ -110,7 +110,7 @@
             yield event
 
 
-async def _event_bytes(
+async def _stream_body(
     entry: EntryState,
     request_id: str,
     events: AsyncGenerator[AnswerEvent, None],
@@ -120,7 +120,7 @@
         async with aclosing(events):
             async for event in events:
                 match event:
-                    case AnswerPiece():
+                    case AnswerChunk():
                         yield event.data
                     case AnswerEnd():
                         yield DONE_EVENT
@@ -128,7 +128,7 @@
                         yield _error_event(event, request_id)
 
 
-def _headers(
+def _response_headers(
     entry: EntryState, request: CallerRequest, head: AnswerHead
 ) -> dict[str, str]:
     """List an answer's headers with those that tell who answered."""
--- a/acaciacove/entry/authenticate.py
+++ b/acaciacove/entry/authenticate.py
@@ -7,12 +7,12 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-SCHEME = "bearer "
+BEARER_PREFIX = "bearer "
 
 MISSING_TOKEN = Refusal(
     Reason.BAD_TOKEN, True, "send your organisation's token as Authorization: Bearer"
 )
-WRONG_TOKEN = Refusal(Reason.BAD_TOKEN, True, "no organisation has this token")
+UNKNOWN_TOKEN = Refusal(Reason.BAD_TOKEN, True, "no organisation has this token")
 
 
 def authenticate(fleet: FleetState, authorization: str) -> Organisation | Refusal:
@@ -20,11 +20,11 @@
 
     Tokens are looked up by digest, so the time taken says nothing of the token.
     """
-    if not authorization.lower().startswith(SCHEME):
+    if not authorization.lower().startswith(BEARER_PREFIX):
         return MISSING_TOKEN
-    token = authorization[len(SCHEME) :].strip()
+    token = authorization[len(BEARER_PREFIX) :].strip()
     digest = sha256(token.encode("utf-8", "surrogateescape")).hexdigest()
     for organisation in fleet.organisations.values():
         if digest in organisation.token_sha256:
             return organisation
-    return WRONG_TOKEN
+    return UNKNOWN_TOKEN
--- a/acaciacove/entry/bill_request.py
+++ b/acaciacove/entry/bill_request.py
@@ -11,7 +11,7 @@
 from acaciacove.state.billing_price import billing_id
 from acaciacove.state.billing_record import BillingRecord
 
-TELL_S = 2.0
+CONFIRM_INTERVAL_S = 2.0
 
 
 def bill_request(
@@ -44,16 +44,18 @@
         completion_tokens=end.completion_tokens if end else 0,
         at_s=time(),
     )
-    entry.billing.bill(record, progress.asked, asyncio.get_running_loop().time())
+    entry.billing.bill(
+        record, progress.attempted_endpoints, asyncio.get_running_loop().time()
+    )
 
 
-async def tell_billed(entry: EntryState) -> None:
+async def send_billing_confirmations(entry: EntryState) -> None:
     """Tell sidecars which bills are in the log, where no request carries the word."""
     while True:
-        await asyncio.sleep(TELL_S)
+        await asyncio.sleep(CONFIRM_INTERVAL_S)
         for link in entry.links.values():
             if link.peer is None:
                 continue
             request_ids = entry.billing.confirmations(link.peer.instance)
             if request_ids:
-                link.tell(Billed(request_ids))
+                link.send_if_open(Billed(request_ids))
--- a/acaciacove/entry/caller_request.py
+++ b/acaciacove/entry/caller_request.py
@@ -1,4 +1,4 @@
-"""One request of a caller, after it was read and checked."""
+"""A parsed and validated request of a caller."""
 
 from attrs import frozen
 
@@ -10,11 +10,12 @@
 
 @frozen
 class CallerRequest:
-    """What the dispatch needs to know of a request.
+    """Fields of a request that the dispatch needs.
 
-    ``deadline_at_s`` is on the event loop's clock. ``explicit`` is the version that
-    the caller named instead of an API, ``pinned`` the one its session keeps.
-    ``prefix_hash`` stands for the start of the prompt, for cache affinity.
+    ``deadline_at_s`` is on the event loop's clock. ``requested_version`` is the
+    version that the caller named instead of an API. ``pinned`` is the version that
+    the request's session is bound to. ``prefix_hash`` identifies the start of the
+    prompt, for cache affinity.
     """
 
     request_id: str
@@ -29,7 +30,7 @@
     batch: bool = False
     session: str = ""
     pinned: VersionId | None = None
-    explicit: VersionId | None = None
+    requested_version: VersionId | None = None
     idempotency_key: str = ""
     request_class: str = ""
     estimated_tokens: int = 0
@@ -37,5 +38,5 @@
 
     @property
     def non_idempotent(self) -> bool:
-        """Tell whether this call may run at most once."""
+        """Return whether this call may run at most once."""
         return not self.api.may_repeat(self.method, self.path)
--- a/acaciacove/entry/until_caller_leaves.py
+++ b/acaciacove/entry/cancel_on_disconnect.py
@@ -9,29 +9,29 @@
 CLIENT_CLOSED_REQUEST = 499
 
 
-async def until_caller_leaves(
-    request: Request, answering: Coroutine[None, None, Response]
+async def cancel_on_disconnect(
+    request: Request, work: Coroutine[None, None, Response]
 ) -> Response:
     """Return the answer, or cancel the work when the caller disconnects first.
 
     An engine would otherwise go on for callers that have given up, seen under
     overload as work done and no answers delivered.
     """
-    answer = asyncio.create_task(answering)
-    leaving = asyncio.create_task(_disconnected(request))
+    answer = asyncio.create_task(work)
+    disconnect = asyncio.create_task(_wait_for_disconnect(request))
     try:
-        await asyncio.wait({answer, leaving}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({answer, disconnect}, return_when=asyncio.FIRST_COMPLETED)
         if answer.done():
             return answer.result()
         return Response(status_code=CLIENT_CLOSED_REQUEST)
     finally:
-        leaving.cancel()
+        disconnect.cancel()
         if not answer.done():
             answer.cancel()
             await asyncio.wait({answer})
 
 
-async def _disconnected(request: Request) -> None:
+async def _wait_for_disconnect(request: Request) -> None:
     """Wait until the caller has closed its connection."""
     while True:
         message = await request.receive()
--- a/acaciacove/entry/choose.py
+++ b/acaciacove/entry/choose_route.py
@@ -13,10 +13,10 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-RETRY_LATER_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
-def choose(
+def choose_route(
     request: CallerRequest, progress: Progress, entry: EntryState
 ) -> tuple[Version, Instance] | Refusal:
     """Choose version and endpoint for the next attempt, and log why."""
@@ -24,22 +24,22 @@
     if progress.decision is None:
         decision = entry.router.choose_version(fleet, request)
         if isinstance(decision, Refusal):
-            return _refused(request, progress, entry, decision)
+            return _refuse(request, progress, entry, decision)
         progress.decision = decision
-    version = progress.decision.ladder[progress.step]
+    version = progress.decision.ladder[progress.ladder_index]
     if not fleet.is_usable(version):
         # A release note or the guard stopped the version between two attempts.
         # Another attempt would be new work on it.
         refusal = Refusal(Reason.VERSION_WITHDRAWN, True, str(version))
-        return _refused(request, progress, entry, refusal)
+        return _refuse(request, progress, entry, refusal)
     chosen = entry.router.choose_endpoint(fleet, request, version, progress)
     if isinstance(chosen, Refusal):
-        return _refused(request, progress, entry, chosen)
+        return _refuse(request, progress, entry, chosen)
     _log_route(request, progress, entry, progress.decision, chosen)
     return fleet.versions[version], chosen.endpoint
 
 
-def _refused(
+def _refuse(
     request: CallerRequest, progress: Progress, entry: EntryState, refusal: Refusal
 ) -> Refusal:
     """Log a request that has nowhere to go; "not run" holds for all attempts.
@@ -49,24 +49,24 @@
     """
     if progress.last_refused is not None:
         refusal = as_refusal(progress.last_refused, progress)
-    truthful = Refusal(
+    overall = Refusal(
         refusal.reason,
         refusal.not_run and not progress.may_have_run,
         refusal.detail,
-        refusal.retry_after_s or RETRY_LATER_S,
+        refusal.retry_after_s or RETRY_AFTER_S,
     )
-    entry.metrics.count_refusal(truthful)
+    entry.metrics.count_refusal(overall)
     log_event(
         "refuse",
         request_id=request.request_id,
         organisation=request.organisation.name,
         api=request.api.name,
-        reason=truthful.reason,
-        not_run=truthful.not_run,
-        detail=truthful.detail,
+        reason=overall.reason,
+        not_run=overall.not_run,
+        detail=overall.detail,
         revision=entry.holder.state.revision,
     )
-    return truthful
+    return overall
 
 
 def _log_route(
@@ -86,13 +86,13 @@
         attempt=progress.attempts + 1,
         version=str(progress.version),
         version_why=version.decision.why,
-        versions_lost=_lost(version.decision),
+        versions_lost=_rejection_reasons(version.decision),
         endpoint=endpoint.endpoint.name,
         endpoint_why=endpoint.decision.why,
-        endpoints_lost=_lost(endpoint.decision),
+        endpoints_lost=_rejection_reasons(endpoint.decision),
         revision=entry.holder.state.revision,
     )
 
 
-def _lost(decision: Decision) -> dict[str, str]:
+def _rejection_reasons(decision: Decision) -> dict[str, str]:
     return {c.name: c.lost.value for c in decision.candidates if c.lost}
--- a/acaciacove/entry/whole_answer.py
+++ b/acaciacove/entry/complete_answer.py
@@ -2,15 +2,15 @@
 
 from attrs import frozen
 
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 
 
 @frozen
-class WholeAnswer:
+class CompleteAnswer:
     """All events of one attempt that went well."""
 
     head: AnswerHead
-    pieces: tuple[AnswerPiece, ...]
+    chunks: tuple[AnswerChunk, ...]
     end: AnswerEnd
--- a/acaciacove/entry/dispatch.py
+++ b/acaciacove/entry/dispatch.py
@@ -6,20 +6,24 @@
 
 from acaciacove.daemon.decision_log import log_event
 from acaciacove.decisions.cascade import should_escalate
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_event import AnswerEvent
+from acaciacove.entry.answer_feedback import (
+    compute_signal,
+    record_escalated_answer,
+    record_first_answer,
+)
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.entry.bill_request import bill_request
+from acaciacove.entry.buffered_attempt import request_answer
 from acaciacove.entry.caller_request import CallerRequest
-from acaciacove.entry.choose import choose
+from acaciacove.entry.choose_route import choose_route
+from acaciacove.entry.complete_answer import CompleteAnswer
 from acaciacove.entry.entry_state import EntryState
-from acaciacove.entry.learn_from import learn_from, learn_from_second, signal_of
 from acaciacove.entry.progress import Progress
 from acaciacove.entry.retry_rule import as_refusal, final_refusal
 from acaciacove.entry.try_endpoint import try_endpoint
-from acaciacove.entry.whole_answer import WholeAnswer
-from acaciacove.entry.whole_attempt import whole_answer
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.version import Version
 from acaciacove.messages.refused import Refused
@@ -42,16 +46,16 @@
     end: AnswerEnd | None = None
     loop = asyncio.get_running_loop()
     started_s = loop.time()
-    has_begun = False
-    events = _all_attempts(request, progress, entry)
+    has_first_chunk = False
+    events = _attempt_until_final(request, progress, entry)
     try:
         async with aclosing(events):
             async for event in events:
                 match event:
-                    case AnswerPiece() if not has_begun:
-                        has_begun = True
+                    case AnswerChunk() if not has_first_chunk:
+                        has_first_chunk = True
                         latency_s = loop.time() - started_s
-                        entry.metrics.count_first_piece(request, latency_s)
+                        entry.metrics.count_first_chunk(request, latency_s)
                     case AnswerEnd():
                         end = event
                         entry.metrics.count_answer(
@@ -59,19 +63,23 @@
                         )
                 yield event
     finally:
-        if end is None and progress.asked and not progress.is_settled:
+        if (
+            end is None
+            and progress.attempted_endpoints
+            and not progress.all_attempts_ended
+        ):
             progress.may_have_run = True
         bill_request(request, progress, entry, end)
 
 
-async def _all_attempts(
+async def _attempt_until_final(
     request: CallerRequest, progress: Progress, entry: EntryState
 ) -> AsyncGenerator[AnswerEvent, None]:
     """Make attempts until one succeeds or none may follow."""
     while True:
-        chosen = choose(request, progress, entry)
+        chosen = choose_route(request, progress, entry)
         if isinstance(chosen, Refusal):
-            progress.is_settled = True
+            progress.all_attempts_ended = True
             yield chosen
             return
         refused: Refused | None = None
@@ -84,9 +92,9 @@
                 yield event
         if refused is None:
             return
-        refusal = _after_refused(refused, request, progress, entry, chosen[1])
+        refusal = _record_failed_attempt(refused, request, progress, entry, chosen[1])
         if refusal is not None:
-            progress.is_settled = True
+            progress.all_attempts_ended = True
             yield refusal
             return
 
@@ -105,19 +113,21 @@
             async for event in events:
                 yield event
         return
-    whole = await whole_answer(request, progress, entry, version, endpoint)
-    if isinstance(whole, Refused):
-        yield whole
+    answer = await request_answer(request, progress, entry, version, endpoint)
+    if isinstance(answer, Refused):
+        yield answer
         return
-    signal = signal_of(whole.head, whole.end)
-    learn_from(request, entry, whole.end, signal, whole.pieces, progress.is_trial)
-    if _escalates(request, progress, entry, whole, signal):
-        better = await _escalated(request, progress, entry, whole, signal)
-        whole = better or whole
-    yield whole.head
-    for piece in whole.pieces:
-        yield piece
-    yield whole.end
+    signal = compute_signal(answer.head, answer.end)
+    record_first_answer(
+        request, entry, answer.end, signal, answer.chunks, progress.is_trial
+    )
+    if _may_escalate(request, progress, entry, answer, signal):
+        escalated_answer = await _escalate(request, progress, entry, answer, signal)
+        answer = escalated_answer or answer
+    yield answer.head
+    for chunk in answer.chunks:
+        yield chunk
+    yield answer.end
 
 
 async def _streamed_events(
@@ -128,9 +138,9 @@
     endpoint: Instance,
 ) -> AsyncGenerator[AnswerEvent | Refused, None]:
     """Relay a stream, without a second head where one is resumed."""
-    is_resumed = progress.is_begun
+    is_resumed = progress.has_delivered
     head: AnswerHead | None = None
-    pieces: list[AnswerPiece] = []
+    chunks: list[AnswerChunk] = []
     events = try_endpoint(request, progress, entry, version, endpoint)
     async with aclosing(events):
         async for event in events:
@@ -139,52 +149,57 @@
                     head = event
                     if is_resumed:
                         continue
-                case AnswerPiece():
-                    pieces.append(event)
+                case AnswerChunk():
+                    chunks.append(event)
                 case AnswerEnd() if head is not None and not is_resumed:
-                    learn_from(
-                        request, entry, event, signal_of(head, event), pieces, False
+                    record_first_answer(
+                        request,
+                        entry,
+                        event,
+                        compute_signal(head, event),
+                        chunks,
+                        False,
                     )
             yield event
 
 
-def _escalates(
+def _may_escalate(
     request: CallerRequest,
     progress: Progress,
     entry: EntryState,
-    whole: WholeAnswer,
+    answer: CompleteAnswer,
     signal: float,
 ) -> bool:
     """Say whether to ask a better version, if the time left allows it."""
     decision = progress.decision
-    if decision is None or request.non_idempotent or progress.step > 0:
+    if decision is None or request.non_idempotent or progress.ladder_index > 0:
         return False
     left_s = request.deadline_at_s - asyncio.get_running_loop().time()
-    has_time = left_s > whole.end.service_s
+    has_time = left_s > answer.end.service_s
     return should_escalate(decision, signal, entry.rng, has_time)
 
 
-async def _escalated(
+async def _escalate(
     request: CallerRequest,
     progress: Progress,
     entry: EntryState,
-    first: WholeAnswer,
+    first: CompleteAnswer,
     signal: float,
-) -> WholeAnswer | None:
+) -> CompleteAnswer | None:
     """Ask the next version on the ladder; None leaves the answer at hand."""
-    progress.step += 1
+    progress.ladder_index += 1
     entry.metrics.escalations.inc({"api": request.api.name})
-    chosen = choose(request, progress, entry)
+    chosen = choose_route(request, progress, entry)
     if isinstance(chosen, Refusal):
         return None
-    whole = await whole_answer(request, progress, entry, *chosen)
-    if isinstance(whole, Refused):
+    answer = await request_answer(request, progress, entry, *chosen)
+    if isinstance(answer, Refused):
         return None
-    learn_from_second(request, entry, first, signal, whole)
-    return whole
+    record_escalated_answer(request, entry, first, signal, answer)
+    return answer
 
 
-def _after_refused(
+def _record_failed_attempt(
     refused: Refused,
     request: CallerRequest,
     progress: Progress,
@@ -203,8 +218,8 @@
     )
     progress.last_refused = refused
     if refused.reason == Reason.NO_ENDPOINT and progress.version is not None:
-        entry.router.lacks(endpoint, progress.version)
-        if not progress.is_begun and request.explicit is None:
+        entry.router.record_missing_version(endpoint, progress.version)
+        if not progress.has_delivered and request.requested_version is None:
             # Another version may serve meanwhile, as if this one had not been tried.
             progress.decision = None
     progress.may_have_run |= not refused.not_run
--- a/acaciacove/entry/entry_metrics.py
+++ b/acaciacove/entry/entry_metrics.py
@@ -21,10 +21,10 @@
     escalations: Counter = field(init=False)
     cost: Counter = field(init=False)
     tokens: Counter = field(init=False)
-    strays: Gauge = field(init=False)
+    stray_answers: Gauge = field(init=False)
     in_flight: Gauge = field(init=False)
     first_token_s: Histogram = field(init=False)
-    whole_s: Histogram = field(init=False)
+    answer_s: Histogram = field(init=False)
 
     def __attrs_post_init__(self) -> None:
         """Register the metrics."""
@@ -34,7 +34,7 @@
         self.escalations = self._counter("escalations_total", "answers judged short")
         self.cost = self._counter("cost_total", "cost of answers")
         self.tokens = self._counter("tokens_total", "tokens generated")
-        self.strays = Gauge(
+        self.stray_answers = Gauge(
             "acaciacove_stray_answers",
             "answers nobody waited for",
             registry=self.registry,
@@ -43,7 +43,7 @@
             "acaciacove_in_flight", "requests being served", registry=self.registry
         )
         self.first_token_s = self._histogram("first_token_seconds", "to first piece")
-        self.whole_s = self._histogram("answer_seconds", "to the whole answer")
+        self.answer_s = self._histogram("answer_seconds", "to the whole answer")
 
     def count_refusal(self, refusal: Refusal) -> None:
         """Count a refusal by its reason."""
@@ -62,9 +62,9 @@
         self.requests.inc(labels)
         self.cost.add(labels, end.cost)
         self.tokens.add(labels, end.completion_tokens)
-        self.whole_s.observe({"api": request.api.name}, latency_s)
+        self.answer_s.observe({"api": request.api.name}, latency_s)
 
-    def count_first_piece(self, request: CallerRequest, latency_s: float) -> None:
+    def count_first_chunk(self, request: CallerRequest, latency_s: float) -> None:
         """Count the time to the first piece of an answer."""
         self.first_token_s.observe({"api": request.api.name}, latency_s)
 
--- a/acaciacove/entry/entry_state.py
+++ b/acaciacove/entry/entry_state.py
@@ -10,9 +10,9 @@
 from acaciacove.daemon.shared_state import SharedState
 from acaciacove.decisions.budget import Budget
 from acaciacove.decisions.hedging import HedgeDelays
+from acaciacove.entry.answer_rater import AnswerRater
 from acaciacove.entry.entry_metrics import EntryMetrics
-from acaciacove.entry.learner import Learner
-from acaciacove.entry.rate_answer import AnswerRater
+from acaciacove.entry.quality_monitor import QualityMonitor
 from acaciacove.entry.router import Router
 from acaciacove.entry.sidecar_link import SidecarLink
 from acaciacove.fleet.instance import Instance
@@ -36,7 +36,7 @@
     rng: Random
     retries: Budget
     hedges: Budget
-    learner: Learner
+    quality_monitor: QualityMonitor
     rater: AnswerRater
     billing: BillingOutbox
     pins: SessionPins
@@ -50,11 +50,11 @@
         """Return the state in force."""
         return self.shared.holder
 
-    def learn_revision(self, link: SidecarLink, revision: int) -> None:
+    def pull_if_behind(self, link: SidecarLink, revision: int) -> None:
         """Ask a sidecar for the records that it has and this entry lacks."""
         pull = self.holder.needs_from_peer(revision)
         if pull is not None:
-            link.tell(pull)
+            link.send_if_open(pull)
 
     def close_links(self) -> None:
         """Close the connections to all sidecars."""
--- a/acaciacove/entry/header_names.py
+++ b/acaciacove/entry/header_names.py
@@ -11,7 +11,7 @@
 ENDPOINT = "x-endpoint"
 COST = "x-cost"
 
-BATCH = "batch"
+BATCH_PRIORITY = "batch"
 
 # Headers that belong to one connection or to this system, not to the endpoint.
 NOT_FORWARDED = frozenset(
--- a/acaciacove/entry/open_links.py
+++ b/acaciacove/entry/link_factory.py
@@ -10,7 +10,7 @@
 from acaciacove.messages.message import Message
 
 
-def open_links(
+def build_link_factory(
     shared: SharedState, on_load: Callable[[str, Load], None]
 ) -> Callable[[Instance], SidecarLink]:
     """Return what makes a link to an endpoint's sidecar.
@@ -18,7 +18,7 @@
     ``on_load`` gets an endpoint's name and the load that its sidecar has reported.
     """
 
-    def on_other(link: SidecarLink, message: Message) -> None:
+    def on_control_message(link: SidecarLink, message: Message) -> None:
         """Answer a sidecar that asks for records, or take in what it knows."""
         if isinstance(message, Hello):
             shared.heard(message)
@@ -29,9 +29,11 @@
             return
         sender = link.peer.instance if link.peer else ""
         for reply in shared.network.answer(sender, message):
-            link.tell(reply)
+            link.send_if_open(reply)
 
     def open_link(endpoint: Instance) -> SidecarLink:
-        return SidecarLink(endpoint.host, endpoint.port, shared.hello, on_other)
+        return SidecarLink(
+            endpoint.host, endpoint.port, shared.hello, on_control_message
+        )
 
     return open_link
--- a/acaciacove/entry/parse_chat.py
+++ b/acaciacove/entry/parse_chat.py
@@ -9,7 +9,7 @@
 from acaciacove.refusal import Refusal
 
 # A guess of what is generated when the caller sets no limit; sidecars correct it.
-USUAL_TOKENS = 64
+DEFAULT_MAX_TOKENS = 64
 MAX_TOKENS_LIMIT = 1_000_000
 MAX_MESSAGES = 10_000
 
@@ -22,21 +22,21 @@
         return _malformed(f"the body is not JSON: {error}")
     if not isinstance(document, dict):
         return _malformed("the body must be a JSON object")
-    fault = _fault(document)
-    if fault:
-        return _malformed(fault)
+    validation_error = _validation_error(document)
+    if validation_error:
+        return _malformed(validation_error)
     texts = [_text(message) for message in document["messages"]]
     return ChatBody(
         model=document["model"],
         stream=document.get("stream", False),
         prompt_chars=sum(len(text) for text in texts),
-        max_tokens=document.get("max_tokens") or USUAL_TOKENS,
+        max_tokens=document.get("max_tokens") or DEFAULT_MAX_TOKENS,
         first_message=texts[0],
         document=document,
     )
 
 
-def _fault(document: dict[str, Any]) -> str:
+def _validation_error(document: dict[str, Any]) -> str:
     """Name the first field that is wrong, or return an empty text."""
     model = document.get("model")
     if not isinstance(model, str) or not model:
@@ -49,14 +49,14 @@
     messages = document.get("messages")
     if not isinstance(messages, list) or not 0 < len(messages) <= MAX_MESSAGES:
         return f"messages: must be a list of 1 to {MAX_MESSAGES} messages"
-    for place, message in enumerate(messages):
-        fault = _message_fault(message)
-        if fault:
-            return f"messages[{place}]{fault}"
+    for index, message in enumerate(messages):
+        validation_error = _message_error(message)
+        if validation_error:
+            return f"messages[{index}]{validation_error}"
     return ""
 
 
-def _message_fault(message: Any) -> str:
+def _message_error(message: Any) -> str:
     if not isinstance(message, dict):
         return ": must be an object"
     if not isinstance(message.get("role"), str):
--- a/acaciacove/entry/learner.py
+++ b/acaciacove/entry/quality_monitor.py
@@ -18,14 +18,14 @@
 # The origin that all readers of ratings count under: they count the same.
 RATINGS_ORIGIN = "ratings"
 MAX_CELLS = 2048
-PUBLISHED_BYTES_PER_S = 500.0
-PUBLISH_INTERVAL_S = 2.0
+MAX_PUBLISH_BYTES_PER_S = 500.0
+MIN_PUBLISH_INTERVAL_S = 2.0
 
-Judgement = QuarantineRecord | ExposureRecord
+RolloutDecision = QuarantineRecord | ExposureRecord
 
 
 @define(eq=False)
-class Learner:
+class QualityMonitor:
     """Counts ratings, publishes the counts, and judges the versions in use."""
 
     name: str
@@ -34,9 +34,9 @@
     sequence: int = 0
     published_sequence: int = 0
     next_publish_s: float = 0.0
-    judged: set[tuple[VersionId, int, float]] = field(factory=set)
+    decided: set[tuple[VersionId, int, float]] = field(factory=set)
 
-    def take_ratings(self, ratings: list[Rating], fleet: FleetState) -> None:
+    def apply_ratings(self, ratings: list[Rating], fleet: FleetState) -> None:
         """Count ratings that come after those counted so far."""
         for rating in ratings:
             if rating.sequence <= self.sequence:
@@ -53,7 +53,7 @@
             )
             self.sequence = rating.sequence
 
-    def take_evidence(self, cells: tuple[SharedCell, ...]) -> None:
+    def apply_evidence(self, cells: tuple[SharedCell, ...]) -> None:
         """Count what sidecars saw of errors and latency."""
         self.guard.merge(cells)
 
@@ -66,7 +66,7 @@
         self.sequence = record.sequence
         self.published_sequence = record.sequence
 
-    def due_record(self, now_s: float) -> bytes | None:
+    def due_estimates(self, now_s: float) -> bytes | None:
         """Return what to publish now, so that readers get a bounded byte rate."""
         if self.sequence == self.published_sequence or now_s < self.next_publish_s:
             return None
@@ -80,28 +80,28 @@
         )
         payload = encode_estimates(record)
         self.published_sequence = self.sequence
-        pause_s = len(payload) / PUBLISHED_BYTES_PER_S
-        self.next_publish_s = now_s + max(PUBLISH_INTERVAL_S, pause_s)
+        interval_s = len(payload) / MAX_PUBLISH_BYTES_PER_S
+        self.next_publish_s = now_s + max(MIN_PUBLISH_INTERVAL_S, interval_s)
         return payload
 
-    def judgements(self, fleet: FleetState) -> list[Judgement]:
+    def new_decisions(self, fleet: FleetState) -> list[RolloutDecision]:
         """Judge every version in use; each judgement is returned once."""
-        found: list[Judgement] = []
+        found: list[RolloutDecision] = []
         for version in fleet.versions.values():
             if not fleet.is_usable(version.id):
                 continue
-            judgement = self._judge(version, fleet)
-            if judgement is not None:
-                found.append(judgement)
+            decision = self._decide(version, fleet)
+            if decision is not None:
+                found.append(decision)
         return found
 
-    def _judge(self, version: Version, fleet: FleetState) -> Judgement | None:
+    def _decide(self, version: Version, fleet: FleetState) -> RolloutDecision | None:
         verdict = self.guard.verdict(fleet, version)
         declared_at = fleet.declared_at.get(version.id, -1)
-        mark = (version.id, declared_at, verdict.share)
-        if verdict.action is GuardAction.KEEP or mark in self.judged:
+        decision_key = (version.id, declared_at, verdict.share)
+        if verdict.action is GuardAction.KEEP or decision_key in self.decided:
             return None
-        self.judged.add(mark)
+        self.decided.add(decision_key)
         if verdict.action is GuardAction.QUARANTINE:
             return QuarantineRecord(
                 version.id, verdict.reason, self.name, based_on=fleet.revision
--- a/acaciacove/entry/learning.py
+++ b/acaciacove/entry/quality_monitoring.py
@@ -22,34 +22,34 @@
 from acaciacove.state.record import RELEASE_STREAM
 from acaciacove.state.record_codec import encode_record
 
-LOOK_S = 0.5
+POLL_INTERVAL_S = 0.5
 READ_LIMIT = 500
 
 
-async def learn(entry: EntryState, ratings: RatingService | None) -> None:
+async def monitor_quality(entry: EntryState, ratings: RatingService | None) -> None:
     """Read ratings while this entry has the duty, and judge what they say."""
     while True:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         instances = entry.shared.membership.usable()
         if entry.settings.name not in duty_names(instances, entry.settings.name):
             continue
         if ratings is not None:
             with suppress(Unavailable):
-                await _read(entry, ratings)
+                await _fetch_ratings(entry, ratings)
         with suppress(LogQueueFullError):
-            _publish(entry)
-            _judge(entry)
+            _publish_estimates(entry)
+            _append_decisions(entry)
 
 
-def take_estimates(entry: EntryState, entries: list[LogEntry]) -> None:
+def apply_estimates(entry: EntryState, entries: list[LogEntry]) -> None:
     """Merge published estimates into the ones that this entry chooses by."""
     for log_entry in entries:
-        for record in _records(log_entry):
+        for record in _decode_records(log_entry):
             entry.router.estimates.merge(record.quality)
-            entry.learner.restore(record)
+            entry.quality_monitor.restore(record)
 
 
-def _records(log_entry: LogEntry) -> list[EstimatesRecord]:
+def _decode_records(log_entry: LogEntry) -> list[EstimatesRecord]:
     """Read what can be read; a record of a later release is passed over."""
     found: list[EstimatesRecord] = []
     with suppress(MalformedMessageError):
@@ -58,30 +58,30 @@
     return found
 
 
-def take_evidence(entry: EntryState, evidence: Evidence) -> Evidence:
+def apply_evidence(entry: EntryState, evidence: Evidence) -> Evidence:
     """Count what a sidecar saw, and tell it the window to count in."""
-    entry.learner.take_evidence(from_message_cells(evidence.cells))
-    return Evidence(window=entry.learner.guard.window)
+    entry.quality_monitor.apply_evidence(from_message_cells(evidence.cells))
+    return Evidence(window=entry.quality_monitor.guard.window)
 
 
-async def _read(entry: EntryState, ratings: RatingService) -> None:
+async def _fetch_ratings(entry: EntryState, ratings: RatingService) -> None:
     """Fetch the ratings that came since the last look."""
     while True:
-        fetched = await ratings.fetch(entry.learner.sequence, READ_LIMIT)
-        entry.learner.take_ratings(fetched, entry.holder.state)
+        fetched = await ratings.fetch(entry.quality_monitor.sequence, READ_LIMIT)
+        entry.quality_monitor.apply_ratings(fetched, entry.holder.state)
         if len(fetched) < READ_LIMIT:
             return
 
 
-def _publish(entry: EntryState) -> None:
-    payload = entry.learner.due_record(asyncio.get_running_loop().time())
+def _publish_estimates(entry: EntryState) -> None:
+    payload = entry.quality_monitor.due_estimates(asyncio.get_running_loop().time())
     if payload is not None:
         entry.shared.writer.submit(ESTIMATES_STREAM, payload, Priority.BILLING)
 
 
-def _judge(entry: EntryState) -> None:
+def _append_decisions(entry: EntryState) -> None:
     """Append what follows from the evidence; every process reads it there."""
-    for judgement in entry.learner.judgements(entry.holder.state):
-        log_event("judge", record=judgement, revision=entry.holder.revision)
-        payload = encode_record(judgement)
+    for decision in entry.quality_monitor.new_decisions(entry.holder.state):
+        log_event("judge", record=decision, revision=entry.holder.revision)
+        payload = encode_record(decision)
         entry.shared.writer.submit(RELEASE_STREAM, payload, Priority.DECISION)
--- a/acaciacove/entry/read_body.py
+++ b/acaciacove/entry/read_body.py
@@ -12,19 +12,19 @@
     request: Request, max_bytes: int, deadline_s: float
 ) -> bytes | Refusal:
     """Read the whole body, or refuse one that is too large or too slow."""
-    pieces: list[bytes] = []
+    chunks: list[bytes] = []
     size_bytes = 0
     try:
         async with asyncio.timeout(deadline_s):
-            async for piece in request.stream():
-                size_bytes += len(piece)
+            async for chunk in request.stream():
+                size_bytes += len(chunk)
                 if size_bytes > max_bytes:
                     detail = f"the body is larger than {max_bytes} bytes"
                     return Refusal(Reason.TOO_LARGE, True, detail)
-                pieces.append(piece)
+                chunks.append(chunk)
     except TimeoutError:
         detail = f"the body did not arrive within {deadline_s} s"
         return Refusal(Reason.DEADLINE_EXCEEDED, True, detail)
     except ClientDisconnect:
         return Refusal(Reason.CANCELLED, True, "the caller left before its body came")
-    return b"".join(pieces)
+    return b"".join(chunks)
--- a/acaciacove/entry/read_request.py
+++ b/acaciacove/entry/read_request.py
@@ -25,11 +25,11 @@
 MAX_NAME_CHARS = 200
 CHARS_PER_TOKEN = 4
 CHAT_PATH = "/v1/chat/completions"
-WAS_PAUSED = Refusal(
+CATCHING_UP = Refusal(
     Reason.STALE_REVISION, True, "the entry was paused and is catching up", 1.0
 )
 NOT_READY = Refusal(Reason.NOT_READY, True, "no release note is known yet", 1.0)
-NO_ROOM = Refusal(
+BILLING_BACKLOG_FULL = Refusal(
     Reason.OVERLOADED, True, "too many bills wait for the platform's log", 5.0
 )
 DRAINING = Refusal(Reason.DRAINING, True, "this instance is leaving", 0.0)
@@ -40,7 +40,7 @@
 ) -> CallerRequest | Refusal:
     """Check a request from the outside in: state, headers, caller, body."""
     arrived_s = asyncio.get_running_loop().time()
-    refusal = _refuse_early(request, entry)
+    refusal = _check_preconditions(request, entry)
     if refusal is not None:
         return refusal
     deadline_s = _deadline_s(request, entry.settings.default_deadline_s)
@@ -54,20 +54,22 @@
     body = await read_body(request, entry.settings.max_body_bytes, deadline_s)
     if isinstance(body, Refusal):
         return body
-    read = _read_chat if request.url.path == CHAT_PATH else _read_service_call
-    return read(request, entry, request_id, organisation, body, arrived_s + deadline_s)
+    parse = (
+        _parse_chat_request if request.url.path == CHAT_PATH else _parse_service_call
+    )
+    return parse(request, entry, request_id, organisation, body, arrived_s + deadline_s)
 
 
-def _refuse_early(request: Request, entry: EntryState) -> Refusal | None:
+def _check_preconditions(request: Request, entry: EntryState) -> Refusal | None:
     """Refuse what needs no look at the body."""
     if entry.lifecycle.is_leaving and not entry.lifecycle.takes_work:
         return DRAINING
     if not entry.lifecycle.takes_work:
         return NOT_READY
     if not entry.shared.may_decide:
-        return WAS_PAUSED
+        return CATCHING_UP
     if not entry.billing.has_room:
-        return NO_ROOM
+        return BILLING_BACKLOG_FULL
     header_bytes = sum(len(name) + len(value) for name, value in request.headers.raw)
     if header_bytes > entry.settings.max_header_bytes:
         detail = f"headers are larger than {entry.settings.max_header_bytes} bytes"
@@ -95,7 +97,7 @@
     return Refusal(Reason.MALFORMED_REQUEST, True, detail)
 
 
-def _read_chat(
+def _parse_chat_request(
     request: Request,
     entry: EntryState,
     request_id: str,
@@ -107,10 +109,10 @@
     chat = parse_chat(body)
     if isinstance(chat, Refusal):
         return chat
-    named = _api_of_model(entry, chat.model)
-    if isinstance(named, Refusal):
-        return named
-    api, explicit = named
+    api_and_version = _find_api(entry, chat.model)
+    if isinstance(api_and_version, Refusal):
+        return api_and_version
+    api, requested_version = api_and_version
     prompt_tokens = chat.prompt_chars // CHARS_PER_TOKEN
     batch = _is_batch(request)
     return CallerRequest(
@@ -123,15 +125,15 @@
         stream=chat.stream,
         batch=batch,
         session=request.headers.get(header_names.SESSION_ID, ""),
-        pinned=_pinned(request, entry, organisation, api),
-        explicit=explicit,
+        pinned=_pinned_version(request, entry, organisation, api),
+        requested_version=requested_version,
         estimated_tokens=prompt_tokens + chat.max_tokens,
         prefix_hash=f"{crc32(chat.first_message.encode()):08x}",
         request_class=classify_request(api, prompt_tokens, batch),
     )
 
 
-def _pinned(
+def _pinned_version(
     request: Request, entry: EntryState, organisation: Organisation, api: Api
 ) -> VersionId | None:
     """Return the version that the caller's session keeps."""
@@ -144,22 +146,20 @@
     )
 
 
-def _api_of_model(
-    entry: EntryState, model: str
-) -> tuple[Api, VersionId | None] | Refusal:
+def _find_api(entry: EntryState, model: str) -> tuple[Api, VersionId | None] | Refusal:
     """Find the API that a chat request names, by itself or by a version."""
     fleet = entry.holder.state
     api = fleet.apis.get(model)
     if api is not None and api.kind is ApiKind.MODEL:
         return api, None
-    explicit = parse_version_id(model)
-    version = fleet.versions.get(explicit) if explicit else None
+    requested_version = parse_version_id(model)
+    version = fleet.versions.get(requested_version) if requested_version else None
     if version is None or version.api not in fleet.apis:
         return Refusal(Reason.UNKNOWN_API, True, f"model: no API is called {model!r}")
     return fleet.apis[version.api], version.id
 
 
-def _read_service_call(
+def _parse_service_call(
     request: Request,
     entry: EntryState,
     request_id: str,
@@ -179,7 +179,7 @@
         deadline_at_s=deadline_at_s,
         method=request.method,
         path=_service_path(request),
-        headers=_forwarded(request),
+        headers=_forwarded_headers(request),
         body=body,
         batch=_is_batch(request),
         session=request.headers.get(header_names.SESSION_ID, ""),
@@ -199,7 +199,7 @@
     return f"{path}?{request.url.query}" if request.url.query else path
 
 
-def _forwarded(request: Request) -> tuple[Header, ...]:
+def _forwarded_headers(request: Request) -> tuple[Header, ...]:
     """List the headers that a service gets to see."""
     return tuple(
         Header(name, value)
@@ -209,4 +209,4 @@
 
 
 def _is_batch(request: Request) -> bool:
-    return request.headers.get(header_names.PRIORITY, "") == header_names.BATCH
+    return request.headers.get(header_names.PRIORITY, "") == header_names.BATCH_PRIORITY
--- a/acaciacove/entry/with_starting.py
+++ b/acaciacove/entry/routable_instances.py
@@ -6,7 +6,7 @@
 from acaciacove.fleet.role import Role
 
 
-def with_starting(
+def routable_instances(
     live: Sequence[Instance], starting: Sequence[Instance]
 ) -> list[Instance]:
     """Add starting endpoints of versions that no live endpoint serves.
--- a/acaciacove/entry/router.py
+++ b/acaciacove/entry/router.py
@@ -28,9 +28,9 @@
 from acaciacove.state.claim_key import claim_key
 from acaciacove.state.rendezvous import partition_of, usual_owner
 
-RETRY_LATER_S = 1.0
+RETRY_AFTER_S = 1.0
 SESSION_PARTITIONS = 4096
-LACKING_S = 2.0
+MISSING_VERSION_TTL_S = 2.0
 
 
 @define(eq=False)
@@ -50,7 +50,7 @@
     views: dict[str, EndpointView] = field(factory=dict)
     subsets: dict[VersionId, tuple[Instance, ...]] = field(factory=dict)
     serving: dict[VersionId, tuple[Instance, ...]] = field(factory=dict)
-    lacking: dict[tuple[str, VersionId], float] = field(factory=dict)
+    missing_until_s: dict[tuple[str, VersionId], float] = field(factory=dict)
 
     def update(self, instances: list[Instance], fleet: FleetState) -> None:
         """Follow the fleet: endpoints keep their views, subsets are made anew."""
@@ -81,15 +81,15 @@
 
         A version that the caller named itself is never replaced by another one.
         """
-        if request.explicit is not None:
-            refusal = self._refuse_named(fleet, request, request.explicit)
+        if request.requested_version is not None:
+            refusal = self._refuse_requested(fleet, request, request.requested_version)
             if refusal is not None:
                 return refusal
-        pinned = request.explicit or request.pinned
+        pinned = request.requested_version or request.pinned
         if pinned is not None and pinned not in self.subsets:
             # Its endpoints are out or lost for the moment. Another version would
             # move the session, which only a withdrawal may do.
-            return Refusal(Reason.NO_ENDPOINT, True, str(pinned), RETRY_LATER_S)
+            return Refusal(Reason.NO_ENDPOINT, True, str(pinned), RETRY_AFTER_S)
         return choose_version(
             fleet,
             request.organisation,
@@ -100,41 +100,45 @@
             pinned=pinned,
             session=request.session,
             shares=exposures(fleet),
-            serving=self._served() if pinned else self._open_versions(fleet),
+            serving=self._served_versions()
+            if pinned
+            else self._available_versions(fleet),
         )
 
-    def _open_versions(self, fleet: FleetState) -> set[VersionId]:
+    def _available_versions(self, fleet: FleetState) -> set[VersionId]:
         """List the versions with an endpoint that operators have not taken out.
 
         A cheap version whose zones are all out would otherwise be chosen still, and
         its callers refused, although a dearer one stands ready. If all are out, all
         are listed, so that the refusal names the reason.
         """
-        served = self._served()
+        served = self._served_versions()
         now_s = _now_s()
-        open_versions = {
+        available = {
             version
             for version in served
-            if any(_is_open(i, fleet) for i in self._holding(version, now_s))
+            if any(
+                _is_available(i, fleet) for i in self._endpoints_with(version, now_s)
+            )
         }
-        return open_versions or served
+        return available or served
 
-    def _refuse_named(
-        self, fleet: FleetState, request: CallerRequest, named: VersionId
+    def _refuse_requested(
+        self, fleet: FleetState, request: CallerRequest, requested: VersionId
     ) -> Refusal | None:
         """Refuse a named version that is not allowed, not usable or not served.
 
         The choice would otherwise pass it over and take another one: a caller who
         named the dear version would get the cheap one's answer under status 200.
         """
-        if not request.organisation.allows(named):
-            detail = f"{request.organisation.name} may not reach {named}"
+        if not request.organisation.allows(requested):
+            detail = f"{request.organisation.name} may not reach {requested}"
             return Refusal(Reason.NOT_ALLOWED, True, detail)
-        if not fleet.is_usable(named):
-            detail = f"{named} is no longer served"
+        if not fleet.is_usable(requested):
+            detail = f"{requested} is no longer served"
             return Refusal(Reason.VERSION_WITHDRAWN, True, detail)
-        if named not in self.subsets:
-            return Refusal(Reason.NO_ENDPOINT, True, str(named), 1.0)
+        if requested not in self.subsets:
+            return Refusal(Reason.NO_ENDPOINT, True, str(requested), 1.0)
         return None
 
     def choose_endpoint(
@@ -146,11 +150,11 @@
     ) -> EndpointDecision | Refusal:
         """Choose one of this entry's endpoints of a version."""
         now_s = _now_s()
-        subset = self._holding(version, now_s)
+        subset = self._endpoints_with(version, now_s)
         if request.non_idempotent:
-            subset = self._claim_owner(fleet, request, version, progress)
+            subset = self._preferred_owner(fleet, request, version, progress)
         if not subset:
-            return Refusal(Reason.NO_ENDPOINT, True, str(version), RETRY_LATER_S)
+            return Refusal(Reason.NO_ENDPOINT, True, str(version), RETRY_AFTER_S)
         zones = {instance.availability_zone for instance in subset}
         return choose_endpoint(
             subset,
@@ -165,28 +169,36 @@
             zone_shares={zone: self.zone_moves.share(zone, now_s) for zone in zones},
         )
 
-    def _served(self) -> set[VersionId]:
+    def _served_versions(self) -> set[VersionId]:
         """Return the versions that some endpoint is believed to hold."""
         now_s = _now_s()
-        return {version for version in self.subsets if self._holding(version, now_s)}
+        return {
+            version for version in self.subsets if self._endpoints_with(version, now_s)
+        }
 
-    def lacks(self, endpoint: Instance, version: VersionId) -> None:
+    def record_missing_version(self, endpoint: Instance, version: VersionId) -> None:
         """Note that an endpoint does not hold a version yet."""
-        self.lacking[(endpoint.name, version)] = _now_s() + LACKING_S
+        self.missing_until_s[(endpoint.name, version)] = (
+            _now_s() + MISSING_VERSION_TTL_S
+        )
 
-    def _holding(self, version: VersionId, now_s: float) -> tuple[Instance, ...]:
+    def _endpoints_with(self, version: VersionId, now_s: float) -> tuple[Instance, ...]:
         """Return this entry's endpoints of a version, less those still loading it.
 
         Endpoints are known by plan, which is ahead of the engines. Without the note
         every request would try the same endpoint in vain and use up retries.
         """
         subset = self.subsets.get(version, ())
-        if not self.lacking:
+        if not self.missing_until_s:
             return subset
-        self.lacking = {k: until for k, until in self.lacking.items() if until > now_s}
-        return tuple(e for e in subset if (e.name, version) not in self.lacking)
+        self.missing_until_s = {
+            k: expires_s
+            for k, expires_s in self.missing_until_s.items()
+            if expires_s > now_s
+        }
+        return tuple(e for e in subset if (e.name, version) not in self.missing_until_s)
 
-    def _claim_owner(
+    def _preferred_owner(
         self,
         fleet: FleetState,
         request: CallerRequest,
@@ -198,7 +210,7 @@
         Every entry asks the same one, so that a retry tends to meet its first
         attempt. Only the log decides who runs the call.
         """
-        able = {
+        candidates = {
             e.name: e
             for e in self.serving.get(version, ())
             if e.availability_zone not in fleet.availability_zones_out
@@ -208,8 +220,8 @@
         key = claim_key(
             request.organisation.name, request.api.name, request.idempotency_key
         )
-        owner = usual_owner(partition_of(key), able)
-        return (able[owner],) if owner else ()
+        owner = usual_owner(partition_of(key), candidates)
+        return (candidates[owner],) if owner else ()
 
     def sent(self, endpoint: Instance, request: CallerRequest) -> None:
         """Count an attempt that was sent."""
@@ -251,7 +263,7 @@
     return usual_owner(key, (endpoint.name for endpoint in subset)) or ""
 
 
-def _is_open(instance: Instance, fleet: FleetState) -> bool:
+def _is_available(instance: Instance, fleet: FleetState) -> bool:
     """Tell whether operators let an instance get work."""
     return (
         instance.availability_zone not in fleet.availability_zones_out
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -32,19 +32,23 @@
 from acaciacove.decisions.plan_cache import PlanCache
 from acaciacove.decisions.quality_estimates import QualityEstimates
 from acaciacove.entry.answer_event import AnswerEvent
+from acaciacove.entry.answer_rater import AnswerRater
 from acaciacove.entry.app import build_entry_app
-from acaciacove.entry.bill_request import tell_billed
+from acaciacove.entry.bill_request import send_billing_confirmations
 from acaciacove.entry.caller_request import CallerRequest
 from acaciacove.entry.dispatch import dispatch
 from acaciacove.entry.entry_metrics import EntryMetrics
 from acaciacove.entry.entry_state import EntryState
 from acaciacove.entry.estimates_record import ESTIMATES_STREAM
-from acaciacove.entry.learner import Learner
-from acaciacove.entry.learning import learn, take_estimates, take_evidence
-from acaciacove.entry.open_links import open_links
-from acaciacove.entry.rate_answer import AnswerRater
+from acaciacove.entry.link_factory import build_link_factory
+from acaciacove.entry.quality_monitor import QualityMonitor
+from acaciacove.entry.quality_monitoring import (
+    apply_estimates,
+    apply_evidence,
+    monitor_quality,
+)
+from acaciacove.entry.routable_instances import routable_instances
 from acaciacove.entry.router import Router
-from acaciacove.entry.with_starting import with_starting
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.role import Role
 from acaciacove.settings.entry_settings import EntrySettings
@@ -74,15 +78,15 @@
     """Serve callers while the block runs, and drain when it ends."""
     registry = Registry()
     sockets = bind_peer_sockets(settings.host, settings.peer_port)
-    entry = _build(settings, registry, sockets.port)
+    entry = _build_entry_state(settings, registry, sockets.port)
     shared = entry.shared
     process = ProcessMetrics(registry)
 
     def status() -> dict[str, Any]:
         process.refresh(shared.holder.revision, shared.network.control_bytes)
-        strays = sum(link.stray_count for link in entry.links.values())
-        entry.metrics.strays.set({}, strays)
-        return _status(entry)
+        stray_answers = sum(link.stray_count for link in entry.links.values())
+        entry.metrics.stray_answers.set({}, stray_answers)
+        return _status_document(entry)
 
     def answer(request: CallerRequest) -> AsyncGenerator[AnswerEvent, None]:
         return dispatch(request, entry)
@@ -95,11 +99,11 @@
         await shared.knows_endpoints()
         entry.lifecycle.become_ready()
 
-    shared.network.on_evidence = lambda evidence: take_evidence(entry, evidence)
+    shared.network.on_evidence = lambda evidence: apply_evidence(entry, evidence)
     estimates = LogTail(
         shared.log,
         ESTIMATES_STREAM,
-        lambda entries: take_estimates(entry, entries),
+        lambda entries: apply_estimates(entry, entries),
         lambda _: None,
         entry.rng,
     )
@@ -111,10 +115,10 @@
         shared.running(sockets.datagrams),
         background(
             become_ready(),
-            learn(entry, entry.rater.service),
+            monitor_quality(entry, entry.rater.service),
             estimates.run(),
             tick_billing(entry.billing),
-            tell_billed(entry),
+            send_billing_confirmations(entry),
         ),
         http_server(
             app, settings.host, settings.http_port, settings.max_header_bytes
@@ -137,7 +141,9 @@
     entry.lifecycle.stop()
 
 
-def _build(settings: EntrySettings, registry: Registry, peer_port: int) -> EntryState:
+def _build_entry_state(
+    settings: EntrySettings, registry: Registry, peer_port: int
+) -> EntryState:
     """Put the parts of an entry together."""
     rng = Random(settings.seed) if settings.seed else Random()
     client = open_client()
@@ -153,12 +159,12 @@
 
     def on_change() -> None:
         membership = shared.membership
-        known = with_starting(membership.usable(), membership.starting())
-        router.update(known, shared.holder.state)
+        instances = routable_instances(membership.usable(), membership.starting())
+        router.update(instances, shared.holder.state)
         shared.membership.watch(router.views)
 
     shared = build_shared_state(
-        me=_me(settings, peer_port),
+        me=_local_instance(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
@@ -174,13 +180,13 @@
         rng=rng,
         retries=Budget(settings.retry_share),
         hedges=Budget(settings.hedge_share, tokens=0.0),
-        learner=Learner(settings.name),
+        quality_monitor=QualityMonitor(settings.name),
         rater=AnswerRater(
             _rating_service(settings, client), settings.rating_share, rng
         ),
         billing=BillingOutbox(settings.name, shared.writer, BillingSettings()),
         pins=SessionPins(tuple(settings.session_secret.split(","))),
-        open_link=open_links(shared, router.reported),
+        open_link=build_link_factory(shared, router.reported),
     )
 
 
@@ -191,7 +197,7 @@
     return HttpRatingService(settings.rating_url, client)
 
 
-def _me(settings: EntrySettings, peer_port: int) -> Instance:
+def _local_instance(settings: EntrySettings, peer_port: int) -> Instance:
     return Instance(
         name=settings.name,
         role=Role.ENTRY,
@@ -203,7 +209,7 @@
     )
 
 
-def _status(entry: EntryState) -> dict[str, Any]:
+def _status_document(entry: EntryState) -> dict[str, Any]:
     """Describe the entry for ``/status``."""
     return {
         "name": entry.settings.name,
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -3,10 +3,10 @@
 import asyncio
 from collections.abc import AsyncGenerator
 
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_event import AnswerEvent
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.entry.attempt import Attempt
 from acaciacove.entry.caller_request import CallerRequest
 from acaciacove.entry.entry_state import EntryState
@@ -38,24 +38,24 @@
     progress.attempts += 1
     entry.metrics.attempts.inc({"endpoint": endpoint.name})
     remaining_s = request.deadline_at_s - asyncio.get_running_loop().time()
-    run = _run_message(request, progress, entry, version, endpoint, remaining_s)
+    run = _build_run(request, progress, entry, version, endpoint, remaining_s)
     link = entry.link_to(endpoint)
-    attempt = await link.start(run)
+    attempt = await link.start_attempt(run)
     if isinstance(attempt, Refused):
         entry.shared.connection_lost(endpoint.name)
         yield attempt
         return
     entry.router.sent(endpoint, request)
-    progress.asked.append(endpoint.name)
+    progress.attempted_endpoints.append(endpoint.name)
     load: Load | None = None
     # An attempt that is given up unfinished says nothing of its endpoint: the caller
     # has left, or a second attempt was sooner.
     ok = True
     expected_sequence = 0
-    until_s = request.deadline_at_s + DEADLINE_GRACE_S
+    deadline_at_s = request.deadline_at_s + DEADLINE_GRACE_S
     try:
         while True:
-            event = await _next_event(attempt, until_s, expected_sequence)
+            event = await _next_event(attempt, deadline_at_s, expected_sequence)
             match event:
                 case Head():
                     yield AnswerHead(
@@ -66,27 +66,27 @@
                     if request.stream:
                         progress.delivered_tokens += event.tokens
                         progress.delivered_bytes += len(event.data)
-                    yield AnswerPiece(event.data)
+                    yield AnswerChunk(event.data)
                 case End():
                     load = event.load
                     entry.shared.heard(link.peer)
-                    entry.learn_revision(link, event.revision)
+                    entry.pull_if_behind(link, event.revision)
                     yield _answer_end(progress, version, endpoint, event)
                     return
                 case Refused():
                     load = event.load
                     ok = event.not_run
                     entry.shared.refused(link.peer, endpoint.name, event)
-                    entry.learn_revision(link, event.revision)
+                    entry.pull_if_behind(link, event.revision)
                     yield event
                     return
     finally:
         entry.router.ended(endpoint, request, load, ok)
-        link.finish(attempt)
+        link.end_attempt(attempt)
 
 
 async def _next_event(
-    attempt: Attempt, until_s: float, expected_sequence: int
+    attempt: Attempt, deadline_at_s: float, expected_sequence: int
 ) -> Head | Chunk | End | Refused:
     """Wait for the next event; a gap or the deadline is a Refused.
 
@@ -94,13 +94,15 @@
     while a slow caller is being written to, and cut its stream without a word.
     """
     try:
-        async with asyncio.timeout_at(until_s):
+        async with asyncio.timeout_at(deadline_at_s):
             event = await attempt.next_event()
     except TimeoutError:
         detail = "the deadline passed while the endpoint was working"
-        return _failed(attempt, Reason.DEADLINE_EXCEEDED, detail)
+        return _refused_may_have_run(attempt, Reason.DEADLINE_EXCEEDED, detail)
     if _has_gap(event, expected_sequence):
-        return _failed(attempt, Reason.ANSWER_TRUNCATED, "pieces are missing")
+        return _refused_may_have_run(
+            attempt, Reason.ANSWER_TRUNCATED, "pieces are missing"
+        )
     return event
 
 
@@ -115,7 +117,7 @@
     return isinstance(event, End) and event.chunks != expected_sequence
 
 
-def _failed(attempt: Attempt, reason: Reason, detail: str) -> Refused:
+def _refused_may_have_run(attempt: Attempt, reason: Reason, detail: str) -> Refused:
     """End an attempt that may have run."""
     return Refused(attempt.request_id, attempt.number, reason, False, detail)
 
@@ -135,7 +137,7 @@
     )
 
 
-def _run_message(
+def _build_run(
     request: CallerRequest,
     progress: Progress,
     entry: EntryState,
--- a/tests/test_entry_reading.py
+++ b/tests/test_entry_reading.py
@@ -17,7 +17,7 @@
 HELLO = [{"role": "user", "content": "hello"}]
 
 
-def test_a_chat_body_is_read():
+def test_a_chat_body_is_parsed():
     body = orjson.dumps({"model": "guide", "messages": HELLO, "stream": True})
     chat = parse_chat(body)
     assert isinstance(chat, ChatBody)
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("document", "place"),
+    ("document", "expected_detail"),
     [
         ([], "object"),
         ({"messages": HELLO}, "model"),
@@ -39,12 +39,12 @@
         ({"model": "guide", "messages": HELLO, "max_tokens": -1}, "max_tokens"),
     ],
 )
-def test_a_fault_in_a_chat_body_is_named(document, place):
+def test_an_invalid_chat_body_field_is_named(document, expected_detail):
     refusal = parse_chat(orjson.dumps(document))
     assert isinstance(refusal, Refusal)
     assert refusal.reason is Reason.MALFORMED_REQUEST
     assert refusal.not_run
-    assert place in refusal.detail
+    assert expected_detail in refusal.detail
 
 
 json_values = st.recursive(
@@ -61,17 +61,17 @@
 
 @given(json_values)
 @settings(derandomize=True, deadline=None, max_examples=300)
-def test_any_json_is_read_or_refused(document):
+def test_any_json_is_parsed_or_refused(document):
     assert isinstance(parse_chat(orjson.dumps(document)), ChatBody | Refusal)
 
 
 @given(st.binary(max_size=40))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_any_bytes_are_read_or_refused(body):
+def test_any_bytes_are_parsed_or_refused(body):
     assert isinstance(parse_chat(body), ChatBody | Refusal)
 
 
-def test_only_a_known_token_opens_the_door():
+def test_only_a_known_token_is_authenticated():
     digest = "2bb80d537b1da3e38bd30361aa855686bde0eacd7162fef6a25fe97bf527a25b"
     guides = Organisation("ozark-guides", token_sha256=(digest,))
     fleet = FleetState(organisations={"ozark-guides": guides})
@@ -82,7 +82,7 @@
         assert refusal.reason is Reason.BAD_TOKEN
 
 
-def test_a_problem_tells_whether_the_request_ran():
+def test_a_problem_document_states_whether_the_request_ran():
     refusal = Refusal(Reason.OVERLOADED, True, "queue full", 2.5)
     document = problem_document(refusal, "r-1")
     assert document["status"] == 429
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -9,7 +9,7 @@
 QUESTION = {"model": "guide", "messages": [{"role": "user", "content": "Any creeks?"}]}
 
 
-def test_a_chat_request_is_answered_whole_by_the_cheapest_version():
+def test_a_chat_request_is_answered_by_the_cheapest_version():
     async def test():
         async with embedded_fleet() as fleet:
             response = await fleet.post("/v1/chat/completions", orjson.dumps(QUESTION))
@@ -49,7 +49,7 @@
     run(test)
 
 
-def test_many_callers_get_their_own_answers():
+def test_concurrent_callers_receive_their_own_answers():
     async def test():
         async with embedded_fleet() as fleet:
 
@@ -67,7 +67,7 @@
     run(test)
 
 
-def test_a_request_that_cannot_be_read_is_refused_with_a_reason():
+def test_a_malformed_request_is_refused_with_a_reason():
     async def test():
         async with embedded_fleet() as fleet:
             response = await fleet.post("/v1/chat/completions", b"{")
--- a/tests/test_path_bad_input.py
+++ b/tests/test_path_bad_input.py
@@ -11,7 +11,7 @@
 QUESTION = {"model": "guide", "messages": [{"role": "user", "content": "Any creeks?"}]}
 
 
-async def told(response):
+async def read_problem(response):
     problem = orjson.loads(await response.content())
     assert response.headers["content-type"] == "application/problem+json"
     assert problem["not_run"] is True
@@ -43,13 +43,15 @@
         ("/services/rides/shuttles", b"{}", {}, 400, "key_required"),
     ],
 )
-def test_what_cannot_be_served_is_refused_by_name(path, body, headers, status, reason):
+def test_invalid_requests_are_refused_with_their_reason(
+    path, body, headers, status, reason
+):
     async def test():
         async with embedded_fleet() as fleet:
             response = await fleet.post(path, body, **headers)
-            got = await told(response)
-            assert got[:2] == (status, reason)
-            assert got[2]
+            problem = await read_problem(response)
+            assert problem[:2] == (status, reason)
+            assert problem[2]
             assert all(e.counters.started == 0 for e in fleet.engines.values())
             assert all(s.calls == 0 for s in fleet.services.values())
 
--- a/tests/test_path_rollout.py
+++ b/tests/test_path_rollout.py
@@ -31,15 +31,15 @@
     await until(lambda: entry.holder.revision >= offset)
 
 
-async def ask_until(fleet, done, limit=4000):
+async def post_until(fleet, condition, limit=4000):
     for number in range(limit):
-        if done():
+        if condition():
             return
         response = await fleet.post(CHAT, question(number))
         await response.content()
 
 
-def test_a_version_that_rates_badly_is_stopped_everywhere():
+def test_a_version_with_poor_ratings_is_quarantined_everywhere():
     # Operators roll out a version whose answers are a third worse. Nobody reports an
     # error; callers just get worse answers until its ratings stop it.
     async def test():
@@ -47,7 +47,7 @@
             fleet.rating.qualities = {str(SMALL): 0.8, str(NEW): 0.5}
             await roll_out(fleet, 0.3)
             state = fleet.entries[0].shared.holder
-            await ask_until(fleet, lambda: NEW in state.state.quarantines)
+            await post_until(fleet, lambda: NEW in state.state.quarantines)
             assert "rating" in state.state.quarantines[NEW].reason
             sidecars = [s.shared.holder for s in fleet.sidecars.values()]
             await until(lambda: all(NEW in h.state.quarantines for h in sidecars))
@@ -64,20 +64,20 @@
     run(test)
 
 
-def test_a_version_that_rates_well_earns_its_full_share():
+def test_a_version_with_good_ratings_reaches_full_exposure():
     async def test():
         async with embedded_fleet(services=0, rated=True, extra=(NEW,)) as fleet:
             fleet.rating.qualities = {str(SMALL): 0.8, str(NEW): 0.8}
             await roll_out(fleet, 0.3)
             state = fleet.entries[0].shared.holder
-            await ask_until(fleet, lambda: state.state.exposures.get(NEW, 0) >= 1.0)
+            await post_until(fleet, lambda: state.state.exposures.get(NEW, 0) >= 1.0)
             assert state.state.exposures[NEW] == 1.0
             assert NEW not in state.state.quarantines
 
     run(test)
 
 
-def test_a_roll_out_loads_the_new_version_and_a_withdrawal_unloads_the_old():
+def test_rollout_loads_the_new_version_and_withdrawal_unloads_the_old():
     # Operators declare a version that no engine holds yet. Sidecars load it on a few
     # endpoints, later on all; the withdrawn one is unloaded. Callers see no failure.
     async def test():
@@ -86,15 +86,15 @@
             fleet.publish(ReleaseNote("note-2", 0, versions=(version,)))
             engines = fleet.engines.values()
 
-            def holding():
+            def engines_with_version():
                 return sum(str(NEW) in engine.versions for engine in engines)
 
-            await until(lambda: holding() == 2)
+            await until(lambda: engines_with_version() == 2)
             for number in range(10):
                 response = await fleet.post(CHAT, question(number))
                 assert response.status_code == 200
             fleet.publish(ExposureRecord(NEW, 1.0))
-            await until(lambda: holding() == 4)
+            await until(lambda: engines_with_version() == 4)
             fleet.publish(ReleaseNote("note-3", 1, withdrawn=(SMALL,)))
             await until(lambda: not any(str(SMALL) in e.versions for e in engines))
             for number in range(10):
@@ -105,7 +105,7 @@
     run(test)
 
 
-def test_an_engine_gets_no_order_that_was_overtaken():
+def test_an_engine_gets_no_stale_load_order():
     # An engine ignores fencing numbers. A sidecar that waits for its weights while
     # the version is withdrawn must not load it after all.
     async def test():
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -18,15 +18,15 @@
 CHAT = "/v1/chat/completions"
 BOOK = "/services/rides/shuttles"
 # Rounds of its own check that an entry is given to become ready too early.
-READY_CHECKS = 4
+READY_CHECK_ROUNDS = 4
 
 
-def holders(fleet):
+def fleet_stores(fleet):
     shared = [s.shared for s in fleet.sidecars.values()]
     return [s.holder for s in shared + [e.shared for e in fleet.entries]]
 
 
-def test_a_note_that_one_process_has_read_is_in_force_everywhere_in_a_log_outage():
+def test_a_release_note_read_by_one_process_reaches_all_during_a_log_outage():
     # The log fails right after one sidecar has read a withdrawal. Everybody else
     # must learn of it from peers, or callers get the withdrawn version for hours.
     async def test():
@@ -34,14 +34,14 @@
             fleet.log.faults.outage = True
             note = encode_record(ReleaseNote("note-2", 0, withdrawn=(SMALL,)))
             fleet.sidecars["guide-0"].shared.holder.offer([LogEntry(1, note)])
-            await until(lambda: all(h.revision == 1 for h in holders(fleet)))
+            await until(lambda: all(h.revision == 1 for h in fleet_stores(fleet)))
             response = await fleet.post(CHAT, QUESTION)
             assert response.headers["x-version"] == str(LARGE)
 
     run(test)
 
 
-def test_the_first_request_corrects_a_stale_entry():
+def test_a_sidecar_updates_a_stale_entry_on_its_first_request():
     # A sidecar knows of a withdrawal, the entry does not yet. The entry must not get
     # an answer from the withdrawn version, and learns of it on the same connection.
     async def test():
@@ -59,7 +59,7 @@
     run(test)
 
 
-def test_a_stale_sidecar_catches_up_before_it_decides():
+def test_a_stale_sidecar_catches_up_before_it_runs_a_request():
     # A sidecar was paused while a version was withdrawn and another one declared.
     # An entry that knows sends it a request; it must decide on the entry's revision.
     async def test():
@@ -75,7 +75,7 @@
     run(test)
 
 
-def test_an_entry_starts_from_its_peers_while_the_log_is_down():
+def test_an_entry_starts_from_peer_state_while_the_log_is_down():
     async def test():
         async with embedded_fleet() as fleet:
             fleet.log.faults.outage = True
@@ -86,7 +86,7 @@
     run(test)
 
 
-def test_an_entry_that_has_read_no_instance_list_takes_no_callers():
+def test_an_entry_without_an_instance_list_is_not_ready():
     # The log answers a starting entry, and the instance list does not. The entry
     # knows every release and not one endpoint. Its callers read "no endpoint" and
     # lose a booking while the whole fleet stands ready.
@@ -97,7 +97,7 @@
             await until(lambda: len(fleet.entries) == 2)
             late = fleet.entries[1]
             await until(lambda: late.shared.spread.ready)
-            await asyncio.sleep(READY_CHECKS * READY_CHECK_S)
+            await asyncio.sleep(READY_CHECK_ROUNDS * READY_CHECK_S)
             assert not late.state.lifecycle.accepts_callers
             fleet.listing.faults.outage = False
             await started
@@ -107,7 +107,7 @@
     run(test)
 
 
-def test_endpoints_that_were_starting_a_moment_ago_are_asked():
+def test_starting_endpoints_get_requests_when_no_live_one_serves():
     # A whole fleet starts. Every endpoint of an API tells an entry that it is
     # starting, becomes ready a moment later, and has no reason to speak again for a
     # second. The entry refuses bookings with "no endpoint" while all stand ready.
@@ -125,7 +125,7 @@
     run(test)
 
 
-def test_an_endpoint_that_is_lost_gets_no_more_work_though_the_list_shows_it():
+def test_a_lost_endpoint_gets_no_requests_despite_a_stale_list():
     # An endpoint's instance vanishes and the platform's list goes on showing it.
     # Callers are answered by others; the lost one is not tried again and again.
     async def test():
@@ -142,7 +142,7 @@
     run(test)
 
 
-def test_a_list_that_lies_does_not_empty_the_fleet():
+def test_a_false_instance_list_does_not_remove_live_endpoints():
     # The platform's list calls every endpoint leaving, wrongly. They say themselves
     # that they serve, so callers go on being served.
     async def test():
