--- a/acaciacove/entry/__init__.py
+++ b/acaciacove/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The entry daemon: tasks around the decisions, towards callers."""
+"""The entry daemon: accepts callers' requests and routes them to endpoints."""
--- a/acaciacove/entry/answer_chunk.py
+++ b/acaciacove/entry/answer_chunk.py
@@ -1,10 +1,10 @@
-"""A piece of an answer on its way to the caller."""
+"""A chunk of an answer."""
 
 from attrs import frozen
 
 
 @frozen
 class AnswerChunk:
-    """Bytes that go to the caller as they are."""
+    """Bytes that are sent to the caller unchanged."""
 
     data: bytes
--- a/acaciacove/entry/answer_end.py
+++ b/acaciacove/entry/answer_end.py
@@ -1,4 +1,4 @@
-"""The last event of a whole answer."""
+"""The last event of a complete answer."""
 
 from attrs import frozen
 
@@ -7,9 +7,9 @@
 
 @frozen
 class AnswerEnd:
-    """The answer is whole; what it took.
+    """Totals of a complete answer.
 
-    ``cost`` covers every finished attempt, ``confidence`` is the engine's own.
+    ``cost`` covers every finished attempt.
     """
 
     version: VersionId
--- a/acaciacove/entry/answer_event.py
+++ b/acaciacove/entry/answer_event.py
@@ -1,4 +1,4 @@
-"""The union of events of an answer; a Refusal ends one that cannot be whole."""
+"""The union of answer events; a Refusal ends an answer that is not complete."""
 
 from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
--- a/acaciacove/entry/answer_feedback.py
+++ b/acaciacove/entry/answer_feedback.py
@@ -1,4 +1,4 @@
-"""What an entry learns from the answers that it relays."""
+"""Records answers for the quality estimates and offers them for rating."""
 
 from collections.abc import Sequence
 
@@ -14,7 +14,7 @@
 
 
 def compute_signal(head: AnswerHead, end: AnswerEnd) -> float:
-    """Sum up how good an answer looks before anyone has rated it, from 0 to 1."""
+    """Return the quality signal of an unrated answer, from 0 to 1."""
     return AnswerSignal(
         status=head.status,
         finish_reason=end.finish_reason,
@@ -30,7 +30,7 @@
     chunks: Sequence[AnswerChunk],
     is_trial: bool,
 ) -> None:
-    """Count a first answer by its signal, and have a sample of them rated."""
+    """Count a first answer by its signal and offer it for rating."""
     if request.api.kind is not ApiKind.MODEL:
         return
     bin_ = signal_bin(signal)
@@ -48,7 +48,7 @@
     signal: float,
     second: CompleteAnswer,
 ) -> None:
-    """Have the answer rated that took the place of one judged short."""
+    """Offer for rating the answer that an escalation gave in place of ``first``."""
     rated_class = RatedClass(
         request.request_class, str(first.end.version), signal_bin(signal)
     )
--- a/acaciacove/entry/answer_head.py
+++ b/acaciacove/entry/answer_head.py
@@ -8,7 +8,7 @@
 
 @frozen
 class AnswerHead:
-    """Status and headers for the caller, and who answers."""
+    """Status and headers for the caller, and the version and endpoint that answer."""
 
     status: int
     headers: tuple[Header, ...]
--- a/acaciacove/entry/answer_rater.py
+++ b/acaciacove/entry/answer_rater.py
@@ -1,4 +1,4 @@
-"""Hands a sample of the answers to the rating service."""
+"""Submits a sample of the answers to the rating service."""
 
 import asyncio
 from random import Random
@@ -15,9 +15,10 @@
 
 @define(eq=False)
 class AnswerRater:
-    """Submits in the background; answers are never held up, or lost, for ratings.
+    """Submits answers in the background, so ratings never delay or lose an answer.
 
-    ``share`` of the answers is submitted, those that were explored always.
+    ``share`` is the fraction of answers to submit; trial answers are always
+    submitted.
     """
 
     service: RatingService | None
@@ -33,7 +34,7 @@
         answer: bytes,
         is_trial: bool = False,
     ) -> None:
-        """Submit an answer if it falls into the sample and few are under way."""
+        """Submit an answer if it is sampled and fewer than MAX_PENDING are pending."""
         if self.service is None or len(self._pending) >= MAX_PENDING:
             return
         if not is_trial and self.rng.random() >= self.share:
--- a/acaciacove/entry/answer_response.py
+++ b/acaciacove/entry/answer_response.py
@@ -1,4 +1,4 @@
-"""A streamed response that closes its source whatever ends it."""
+"""A streamed response that always closes its source generator."""
 
 from contextlib import aclosing
 
@@ -7,13 +7,14 @@
 
 
 class AnswerResponse(StreamingResponse):
-    """Closes the answer's generator at once when the caller leaves.
+    """Closes the answer's generator as soon as the caller disconnects.
 
-    A caller that leaves while a piece is being written would otherwise leave the
-    generator to the garbage collector, and its engine generating for nobody.
+    If a caller disconnected while a chunk was being written, the generator would
+    otherwise stay open until garbage collection. Until then the engine would
+    generate an answer that nobody receives.
     """
 
     async def stream_response(self, send: Send) -> None:
-        """Send the pieces, then close where they come from."""
+        """Send the chunks, then close their source."""
         async with aclosing(self.body_iterator):  # type: ignore[type-var]
             await super().stream_response(send)
--- a/acaciacove/entry/app.py
+++ b/acaciacove/entry/app.py
@@ -1,4 +1,4 @@
-"""The HTTP application that callers speak to."""
+"""The HTTP application for callers."""
 
 from collections.abc import AsyncGenerator, AsyncIterator, Callable
 from contextlib import aclosing
@@ -63,7 +63,7 @@
     request: CallerRequest,
     events: AsyncGenerator[AnswerEvent, None],
 ) -> Response:
-    """Answer with one body, or with a problem if it cannot be whole."""
+    """Collect the answer into one body, or respond with a problem document."""
     chunks: list[bytes] = []
     head: AnswerHead | None = None
     async with aclosing(events):
@@ -79,7 +79,7 @@
                     return Response(b"".join(chunks), head.status, headers)
                 case Refusal():
                     return problem_response(event, request.request_id)
-    raise AssertionError("an answer ends with AnswerEnd or Refusal")
+    raise AssertionError("answer events ended without AnswerEnd or Refusal")
 
 
 async def _streamed_response(
@@ -87,7 +87,7 @@
     request: CallerRequest,
     events: AsyncGenerator[AnswerEvent, None],
 ) -> Response:
-    """Relay server-sent events as they come; a failure ends them by name."""
+    """Relay server-sent events as they arrive; a failure ends them with an error."""
     first = await anext(events)
     if isinstance(first, Refusal):
         return problem_response(first, request.request_id)
@@ -103,7 +103,7 @@
 async def _prepend(
     first: AnswerHead, events: AsyncGenerator[AnswerEvent, None]
 ) -> AsyncGenerator[AnswerEvent, None]:
-    """Yield an event that was looked at, then the rest."""
+    """Yield ``first``, then the remaining events."""
     yield first
     async with aclosing(events):
         async for event in events:
@@ -115,7 +115,7 @@
     request_id: str,
     events: AsyncGenerator[AnswerEvent, None],
 ) -> AsyncIterator[bytes]:
-    """Yield what the caller gets of a streamed answer."""
+    """Yield the body of a streamed response."""
     with entry.counted_in_flight():
         async with aclosing(events):
             async for event in events:
@@ -131,7 +131,7 @@
 def _response_headers(
     entry: EntryState, request: CallerRequest, head: AnswerHead
 ) -> dict[str, str]:
-    """List an answer's headers with those that tell who answered."""
+    """Return the answer's headers, with request id, version and endpoint added."""
     headers = {header.name.lower(): header.value for header in head.headers}
     headers[header_names.REQUEST_ID] = request.request_id
     headers[header_names.VERSION] = str(head.version)
@@ -144,6 +144,9 @@
 
 
 def _error_event(refusal: Refusal, request_id: str) -> bytes:
-    """End a stream that has begun with a typed error, never silently short."""
+    """Encode the error event that ends a started stream.
+
+    Without it the caller could not tell a truncated stream from a complete one.
+    """
     document = {"error": problem_document(refusal, request_id)}
     return b"event: error\ndata: " + orjson.dumps(document) + b"\n\n"
--- a/acaciacove/entry/attempt.py
+++ b/acaciacove/entry/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at a request on one endpoint, as its entry sees it."""
+"""The entry's record of one attempt at a request on one endpoint."""
 
 from asyncio import Queue
 
@@ -16,8 +16,8 @@
 class Attempt:
     """Events of one attempt, in the order in which the sidecar sent them.
 
-    ``buffered_bytes`` is what the caller has not read yet; see MAX_BUFFERED_BYTES
-    in ``entry.sidecar_link``.
+    ``buffered_bytes`` counts the bytes that the caller has not read yet. Its limit is
+    MAX_BUFFERED_BYTES in ``entry.sidecar_link``.
     """
 
     request_id: str
@@ -27,7 +27,7 @@
 
     @property
     def key(self) -> tuple[str, int]:
-        """Name this attempt among all of one connection."""
+        """Return the key that identifies this attempt on its connection."""
         return (self.request_id, self.number)
 
     async def next_event(self) -> AttemptEvent:
--- a/acaciacove/entry/authenticate.py
+++ b/acaciacove/entry/authenticate.py
@@ -1,4 +1,4 @@
-"""Finds the organisation behind a bearer token."""
+"""Authenticates a bearer token and returns its organisation."""
 
 from hashlib import sha256
 
@@ -12,13 +12,15 @@
 MISSING_TOKEN = Refusal(
     Reason.BAD_TOKEN, True, "send your organisation's token as Authorization: Bearer"
 )
-UNKNOWN_TOKEN = Refusal(Reason.BAD_TOKEN, True, "no organisation has this token")
+UNKNOWN_TOKEN = Refusal(
+    Reason.BAD_TOKEN, True, "the bearer token belongs to no organisation"
+)
 
 
 def authenticate(fleet: FleetState, authorization: str) -> Organisation | Refusal:
-    """Return the organisation that a release note gave this token to.
+    """Return the organisation whose token digests include the given token.
 
-    Tokens are looked up by digest, so the time taken says nothing of the token.
+    Tokens are compared by digest, so the response time reveals nothing about them.
     """
     if not authorization.lower().startswith(BEARER_PREFIX):
         return MISSING_TOKEN
--- a/acaciacove/entry/bill_request.py
+++ b/acaciacove/entry/bill_request.py
@@ -1,4 +1,4 @@
-"""The entry's bill for a request."""
+"""Writes an entry's billing record for a request."""
 
 import asyncio
 from time import time
@@ -19,11 +19,11 @@
 ) -> None:
     """Bill a request once, when it has ended; nothing is billed for "not run".
 
-    A request that may have run without a whole answer is recorded as costing
-    nothing, which keeps the copies of sidecars from counting. A call that may not be
-    repeated is left to its sidecar, which knows whether it took effect: a record of
-    nothing owed would come first, and a booking whose answer a later retry gets
-    would never be billed.
+    A request that may have run without a complete answer is recorded at zero cost.
+    That record comes first, so the sidecars' copies do not count. A call that may
+    not be repeated is billed by its sidecar, which knows whether the call took
+    effect. If the entry recorded zero cost first, a booking whose answer reaches the
+    caller on a later retry would never be billed.
     """
     unanswered = end is None
     if unanswered and (request.non_idempotent or not progress.may_have_run):
@@ -50,7 +50,7 @@
 
 
 async def send_billing_confirmations(entry: EntryState) -> None:
-    """Tell sidecars which bills are in the log, where no request carries the word."""
+    """Send confirmed billing records to sidecars that get no request meanwhile."""
     while True:
         await asyncio.sleep(CONFIRM_INTERVAL_S)
         for link in entry.links.values():
--- a/acaciacove/entry/buffered_attempt.py
+++ b/acaciacove/entry/buffered_attempt.py
@@ -1,4 +1,4 @@
-"""Attempts at answers that the caller gets in one piece."""
+"""Attempts whose answer is buffered until it is complete, with hedging."""
 
 import asyncio
 from contextlib import aclosing
@@ -29,7 +29,7 @@
     version: Version,
     endpoint: Instance,
 ) -> CompleteAnswer | Refused:
-    """Ask an endpoint, and a second one when the first is unusually slow."""
+    """Request an answer, from a second endpoint too if the first is unusually slow."""
     delay_s = entry.hedge_delays.delay_s(request.request_class)
     if delay_s is None or request.non_idempotent:
         return await _buffer_answer(request, progress, entry, version, endpoint)
@@ -52,7 +52,7 @@
     endpoint: Instance,
     first: AnswerTask,
 ) -> CompleteAnswer | Refused:
-    """Send a second attempt elsewhere; the first whole answer of the two counts."""
+    """Send a second attempt elsewhere and return the first complete answer."""
     progress.failed_endpoints.add(endpoint.name)
     chosen = choose_route(request, progress, entry)
     if isinstance(chosen, Refusal):
@@ -72,7 +72,7 @@
 
 
 def _may_hedge(request: CallerRequest, entry: EntryState, delay_s: float) -> bool:
-    """Decide on a second attempt, which the budget has to allow."""
+    """Return whether deadline and hedge budget allow a second attempt."""
     left_s = request.deadline_at_s - asyncio.get_running_loop().time()
     return should_hedge(delay_s, delay_s, True, left_s, entry.hedges)
 
@@ -84,10 +84,10 @@
     version: Version,
     endpoint: Instance,
 ) -> CompleteAnswer | Refused:
-    """Hold an answer back until it is whole.
+    """Buffer an answer until it is complete.
 
-    An attempt that fails half-way can then be repeated elsewhere without a trace of
-    the first one in the caller's answer.
+    An attempt that fails midway can then be repeated on another endpoint, and no part
+    of the failed one reaches the caller.
     """
     head: AnswerHead | None = None
     chunks: list[AnswerChunk] = []
@@ -106,4 +106,4 @@
                     return CompleteAnswer(head, tuple(chunks), event)
                 case Refused():
                     return event
-    raise AssertionError("an attempt ends with AnswerEnd or Refused")
+    raise AssertionError("attempt events ended without AnswerEnd or Refused")
--- a/acaciacove/entry/cancel_on_disconnect.py
+++ b/acaciacove/entry/cancel_on_disconnect.py
@@ -1,4 +1,4 @@
-"""Stops work that nobody waits for any more."""
+"""Cancels work whose caller has disconnected."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -12,10 +12,10 @@
 async def cancel_on_disconnect(
     request: Request, work: Coroutine[None, None, Response]
 ) -> Response:
-    """Return the answer, or cancel the work when the caller disconnects first.
+    """Return the answer, or cancel the work if the caller disconnects first.
 
-    An engine would otherwise go on for callers that have given up, seen under
-    overload as work done and no answers delivered.
+    Otherwise engines would go on generating for callers that have given up. Under
+    overload they would work at full load and deliver no answers.
     """
     answer = asyncio.create_task(work)
     disconnect = asyncio.create_task(_wait_for_disconnect(request))
--- a/acaciacove/entry/chat_body.py
+++ b/acaciacove/entry/chat_body.py
@@ -1,4 +1,4 @@
-"""The body of a chat request, as far as routing reads it."""
+"""The fields of a chat request that routing uses."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 @frozen
 class ChatBody:
-    """The checked fields of a chat completion request; ``document`` is all of it."""
+    """Validated fields of a chat completion request; ``document`` is the whole body."""
 
     model: str
     stream: bool
--- a/acaciacove/entry/choose_route.py
+++ b/acaciacove/entry/choose_route.py
@@ -1,4 +1,4 @@
-"""Chooses version and endpoint for the next attempt, with one log line."""
+"""Chooses version and endpoint for the next attempt and logs the decision."""
 
 from acaciacove.daemon.decision_log import log_event
 from acaciacove.decisions.decision import Decision
@@ -19,7 +19,7 @@
 def choose_route(
     request: CallerRequest, progress: Progress, entry: EntryState
 ) -> tuple[Version, Instance] | Refusal:
-    """Choose version and endpoint for the next attempt, and log why."""
+    """Choose version and endpoint for the next attempt and log the reasons."""
     fleet = entry.holder.state
     if progress.decision is None:
         decision = entry.router.choose_version(fleet, request)
@@ -28,9 +28,11 @@
         progress.decision = decision
     version = progress.decision.ladder[progress.ladder_index]
     if not fleet.is_usable(version):
-        # A release note or the guard stopped the version between two attempts.
-        # Another attempt would be new work on it.
-        refusal = Refusal(Reason.VERSION_WITHDRAWN, True, str(version))
+        # A release note or the roll-out guard stopped the version between two
+        # attempts. Another attempt would start new work on a stopped version.
+        refusal = Refusal(
+            Reason.VERSION_WITHDRAWN, True, f"{version} is no longer served"
+        )
         return _refuse(request, progress, entry, refusal)
     chosen = entry.router.choose_endpoint(fleet, request, version, progress)
     if isinstance(chosen, Refusal):
@@ -42,10 +44,10 @@
 def _refuse(
     request: CallerRequest, progress: Progress, entry: EntryState, refusal: Refusal
 ) -> Refusal:
-    """Log a request that has nowhere to go; "not run" holds for all attempts.
+    """Log and return a refusal; its "not run" covers all attempts.
 
-    Where attempts were made, what the last one met tells a caller more than that
-    no endpoint is left.
+    After failed attempts the caller gets the reason of the last one. It is more
+    useful than the reason that no further endpoint can be chosen.
     """
     if progress.last_refused is not None:
         refusal = as_refusal(progress.last_refused, progress)
@@ -76,7 +78,7 @@
     version: VersionDecision,
     endpoint: EndpointDecision,
 ) -> None:
-    """Write the one line that says what was chosen and why the others lost."""
+    """Log the chosen version and endpoint and why the others were rejected."""
     log_event(
         "route",
         request_id=request.request_id,
--- a/acaciacove/entry/complete_answer.py
+++ b/acaciacove/entry/complete_answer.py
@@ -1,4 +1,4 @@
-"""An answer held back until it is whole."""
+"""A buffered complete answer."""
 
 from attrs import frozen
 
@@ -9,7 +9,7 @@
 
 @frozen
 class CompleteAnswer:
-    """All events of one attempt that went well."""
+    """All events of one successful attempt."""
 
     head: AnswerHead
     chunks: tuple[AnswerChunk, ...]
--- a/acaciacove/entry/daemon.py
+++ b/acaciacove/entry/daemon.py
@@ -1,4 +1,4 @@
-"""The entry as a process of its own."""
+"""Runs the entry as a process."""
 
 from acaciacove.daemon.decision_log import start_log
 from acaciacove.daemon.stop_signal import stop_on_signals
@@ -8,7 +8,7 @@
 
 
 async def run_entry(settings: EntrySettings) -> ExitStatus:
-    """Serve until SIGTERM, then drain; work that is cut is an error."""
+    """Serve until SIGTERM, then drain; interrupted requests are an error."""
     start_log()
     stop = stop_on_signals()
     async with running_entry(settings) as running:
--- a/acaciacove/entry/dispatch.py
+++ b/acaciacove/entry/dispatch.py
@@ -1,4 +1,4 @@
-"""The way of one request: choose, attempt, and go on elsewhere when allowed."""
+"""Dispatches one request: chooses a route, attempts it and retries if allowed."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -38,7 +38,8 @@
 ) -> AsyncGenerator[AnswerEvent, None]:
     """Yield the events of an answer; the last is an AnswerEnd or a Refusal.
 
-    The request is billed however this ends, also when the caller leaves half-way.
+    The request is billed in every case, also when the caller disconnects before the
+    answer is complete.
     """
     progress = Progress()
     entry.retries.earn()
@@ -75,7 +76,7 @@
 async def _attempt_until_final(
     request: CallerRequest, progress: Progress, entry: EntryState
 ) -> AsyncGenerator[AnswerEvent, None]:
-    """Make attempts until one succeeds or none may follow."""
+    """Make attempts until one succeeds or no further one is allowed."""
     while True:
         chosen = choose_route(request, progress, entry)
         if isinstance(chosen, Refusal):
@@ -106,7 +107,7 @@
     version: Version,
     endpoint: Instance,
 ) -> AsyncGenerator[AnswerEvent | Refused, None]:
-    """Yield one attempt's events, or those of the version it escalates to."""
+    """Yield the events of one attempt, or of the version it escalates to."""
     if request.stream:
         events = _streamed_events(request, progress, entry, version, endpoint)
         async with aclosing(events):
@@ -137,7 +138,7 @@
     version: Version,
     endpoint: Instance,
 ) -> AsyncGenerator[AnswerEvent | Refused, None]:
-    """Relay a stream, without a second head where one is resumed."""
+    """Relay a stream; a resumed stream gets no second head."""
     is_resumed = progress.has_delivered
     head: AnswerHead | None = None
     chunks: list[AnswerChunk] = []
@@ -170,7 +171,7 @@
     answer: CompleteAnswer,
     signal: float,
 ) -> bool:
-    """Say whether to ask a better version, if the time left allows it."""
+    """Return whether to request a better version in the remaining time."""
     decision = progress.decision
     if decision is None or request.non_idempotent or progress.ladder_index > 0:
         return False
@@ -186,7 +187,7 @@
     first: CompleteAnswer,
     signal: float,
 ) -> CompleteAnswer | None:
-    """Ask the next version on the ladder; None leaves the answer at hand."""
+    """Request the next version on the ladder; None means keep the first answer."""
     progress.ladder_index += 1
     entry.metrics.escalations.inc({"api": request.api.name})
     chosen = choose_route(request, progress, entry)
@@ -206,7 +207,7 @@
     entry: EntryState,
     endpoint: Instance,
 ) -> Refusal | None:
-    """Take note of a failed attempt; a Refusal means that it was the last."""
+    """Record a failed attempt; return a Refusal if no further one is allowed."""
     log_event(
         "attempt_failed",
         request_id=request.request_id,
@@ -220,7 +221,8 @@
     if refused.reason == Reason.NO_ENDPOINT and progress.version is not None:
         entry.router.record_missing_version(endpoint, progress.version)
         if not progress.has_delivered and request.requested_version is None:
-            # Another version may serve meanwhile, as if this one had not been tried.
+            # Choose the version again as for a new request, since another one may be
+            # served meanwhile.
             progress.decision = None
     progress.may_have_run |= not refused.not_run
     progress.failed_endpoints.add(endpoint.name)
--- a/acaciacove/entry/entry_metrics.py
+++ b/acaciacove/entry/entry_metrics.py
@@ -12,7 +12,7 @@
 
 @define(eq=False)
 class EntryMetrics:
-    """Counters and histograms by organisation, API and version."""
+    """Metrics of an entry by organisation, API and version."""
 
     registry: Registry
     requests: Counter = field(init=False)
@@ -28,22 +28,26 @@
 
     def __attrs_post_init__(self) -> None:
         """Register the metrics."""
-        self.requests = self._counter("requests_total", "whole answers")
+        self.requests = self._counter("requests_total", "complete answers")
         self.refusals = self._counter("refusals_total", "refusals by reason")
         self.attempts = self._counter("attempts_total", "attempts at endpoints")
-        self.escalations = self._counter("escalations_total", "answers judged short")
+        self.escalations = self._counter(
+            "escalations_total", "escalations of answers, including failed ones"
+        )
         self.cost = self._counter("cost_total", "cost of answers")
         self.tokens = self._counter("tokens_total", "tokens generated")
         self.stray_answers = Gauge(
             "acaciacove_stray_answers",
-            "answers nobody waited for",
+            "answers to attempts that had already ended",
             registry=self.registry,
         )
         self.in_flight = Gauge(
             "acaciacove_in_flight", "requests being served", registry=self.registry
         )
-        self.first_token_s = self._histogram("first_token_seconds", "to first piece")
-        self.answer_s = self._histogram("answer_seconds", "to the whole answer")
+        self.first_token_s = self._histogram(
+            "first_token_seconds", "time to the first chunk"
+        )
+        self.answer_s = self._histogram("answer_seconds", "time to the complete answer")
 
     def count_refusal(self, refusal: Refusal) -> None:
         """Count a refusal by its reason."""
@@ -53,7 +57,7 @@
     def count_answer(
         self, request: CallerRequest, end: AnswerEnd, latency_s: float
     ) -> None:
-        """Count a whole answer."""
+        """Count a complete answer."""
         labels = {
             "organisation": request.organisation.name,
             "api": request.api.name,
@@ -65,11 +69,11 @@
         self.answer_s.observe({"api": request.api.name}, latency_s)
 
     def count_first_chunk(self, request: CallerRequest, latency_s: float) -> None:
-        """Count the time to the first piece of an answer."""
+        """Record the time to the first chunk of an answer."""
         self.first_token_s.observe({"api": request.api.name}, latency_s)
 
     def set_in_flight(self, in_flight: int) -> None:
-        """Set how many requests are being served."""
+        """Set the number of requests that are being served."""
         self.in_flight.set({}, in_flight)
 
     def _counter(self, name: str, doc: str) -> Counter:
--- a/acaciacove/entry/entry_state.py
+++ b/acaciacove/entry/entry_state.py
@@ -1,4 +1,4 @@
-"""Everything that the tasks of one entry share."""
+"""State that the tasks of one entry share."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -26,7 +26,7 @@
 
 @define(eq=False)
 class EntryState:
-    """The parts of one entry; each is owned by one task and read by the others."""
+    """The components of one entry; each is owned by one task and read by others."""
 
     settings: EntrySettings
     lifecycle: ProcessLifecycle
@@ -47,11 +47,11 @@
 
     @property
     def holder(self) -> FleetHolder:
-        """Return the state in force."""
+        """Return the store of the current fleet state."""
         return self.shared.holder
 
     def pull_if_behind(self, link: SidecarLink, revision: int) -> None:
-        """Ask a sidecar for the records that it has and this entry lacks."""
+        """Request the records that a sidecar has and this entry is missing."""
         pull = self.holder.needs_from_peer(revision)
         if pull is not None:
             link.send_if_open(pull)
@@ -70,12 +70,12 @@
         return link
 
     def new_request_id(self) -> str:
-        """Return an id that no other request has, of this entry or another."""
+        """Return a request id that is unique across all entries."""
         return f"{self.rng.getrandbits(REQUEST_ID_BITS):032x}"
 
     @contextmanager
     def counted_in_flight(self) -> Iterator[None]:
-        """Count a request while it is being served, for a shutdown to wait for."""
+        """Count a request while it is being served, so that a drain waits for it."""
         self.in_flight += 1
         self.metrics.set_in_flight(self.in_flight)
         try:
--- a/acaciacove/entry/estimates_record.py
+++ b/acaciacove/entry/estimates_record.py
@@ -1,4 +1,4 @@
-"""What ratings have taught, as the entries that read them publish it."""
+"""Quality estimates from ratings, as published by the entries that read them."""
 
 from typing import Any
 
@@ -15,8 +15,8 @@
 class EstimatesRecord:
     """Counters changed since the last record, and the last rating they include.
 
-    ``sequence`` is the rating service's. Whoever reads the same ratings counts the
-    same, so two publishers at once do no harm.
+    ``sequence`` is the rating service's sequence number. All readers of the same
+    ratings compute the same counts, so two concurrent publishers do no harm.
     """
 
     sequence: int
@@ -25,7 +25,7 @@
 
 
 def encode_estimates(record: EstimatesRecord) -> bytes:
-    """Write a record, with cells as arrays to keep it small."""
+    """Encode a record, with cells as arrays to keep it small."""
     document = {
         "sequence": record.sequence,
         "quality": [_to_list(cell) for cell in record.quality],
@@ -35,7 +35,7 @@
 
 
 def decode_estimates(document: dict[str, Any]) -> EstimatesRecord:
-    """Read a record from its JSON object; raises MalformedMessageError."""
+    """Decode a record from its JSON object; raises MalformedMessageError."""
     try:
         return EstimatesRecord(
             int(document["sequence"]),
@@ -43,7 +43,9 @@
             tuple(_from_list(cell) for cell in document["guard"]),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedMessageError(f"not estimates: {error}") from error
+        raise MalformedMessageError(
+            f"invalid record in the estimates stream: {error}"
+        ) from error
 
 
 def _to_list(cell: SharedCell) -> list[object]:
@@ -53,7 +55,9 @@
 def _from_list(values: list[object]) -> SharedCell:
     origin, name, count, total, squares = values
     if not isinstance(name, list):
-        raise TypeError("a cell's name is a list")
+        raise TypeError(
+            f"name of an estimates cell: expected a list, got {type(name).__name__}"
+        )
     return SharedCell(
         str(origin),
         tuple(str(part) for part in name),
--- a/acaciacove/entry/header_names.py
+++ b/acaciacove/entry/header_names.py
@@ -1,4 +1,4 @@
-"""Headers that callers send and get."""
+"""Names of the HTTP headers that callers send and receive."""
 
 AUTHORIZATION = "authorization"
 IDEMPOTENCY_KEY = "idempotency-key"
@@ -13,7 +13,7 @@
 
 BATCH_PRIORITY = "batch"
 
-# Headers that belong to one connection or to this system, not to the endpoint.
+# Headers of one connection or of acaciacove itself, not for the endpoint.
 NOT_FORWARDED = frozenset(
     {
         AUTHORIZATION,
--- a/acaciacove/entry/link_factory.py
+++ b/acaciacove/entry/link_factory.py
@@ -1,4 +1,4 @@
-"""Connections to sidecars, and what comes on them beside answers."""
+"""Creates links to sidecars and processes their control messages."""
 
 from collections.abc import Callable
 
@@ -13,13 +13,13 @@
 def build_link_factory(
     shared: SharedState, on_load: Callable[[str, Load], None]
 ) -> Callable[[Instance], SidecarLink]:
-    """Return what makes a link to an endpoint's sidecar.
+    """Return a function that creates the link to an endpoint's sidecar.
 
-    ``on_load`` gets an endpoint's name and the load that its sidecar has reported.
+    ``on_load`` receives an endpoint's name and the load that its sidecar reports.
     """
 
     def on_control_message(link: SidecarLink, message: Message) -> None:
-        """Answer a sidecar that asks for records, or take in what it knows."""
+        """Apply a sidecar's update, or reply to its request for records."""
         if isinstance(message, Hello):
             shared.heard(message)
             return
--- a/acaciacove/entry/problem.py
+++ b/acaciacove/entry/problem.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents (RFC 9457)."""
+"""Encodes refusals as problem documents (RFC 9457)."""
 
 import math
 from http import HTTPStatus
@@ -40,7 +40,7 @@
 
 
 def problem_document(refusal: Refusal, request_id: str) -> dict[str, Any]:
-    """Describe a refusal; ``not_run`` tells whether a repeat is safe."""
+    """Return the problem document; with ``not_run`` a retry is safe."""
     document: dict[str, Any] = {
         "type": TYPE_PREFIX + refusal.reason,
         "title": refusal.reason.replace("_", " "),
@@ -56,7 +56,7 @@
 
 
 def problem_response(refusal: Refusal, request_id: str) -> Response:
-    """Answer a caller with a refusal."""
+    """Return the HTTP response for a refusal."""
     document = problem_document(refusal, request_id)
     headers = {"X-Request-Id": request_id}
     if refusal.retry_after_s is not None:
--- a/acaciacove/entry/progress.py
+++ b/acaciacove/entry/progress.py
@@ -1,4 +1,4 @@
-"""How far a request has come over its attempts."""
+"""Progress of a request over its attempts."""
 
 from attrs import define, field
 
@@ -34,15 +34,15 @@
 
     @property
     def version(self) -> VersionId | None:
-        """Return the version to ask now, once one was chosen."""
+        """Return the version of the next attempt, once one was chosen."""
         return self.decision.ladder[self.ladder_index] if self.decision else None
 
     @property
     def is_trial(self) -> bool:
-        """Tell whether the first answer is only asked to be rated."""
+        """Return whether the first answer is a trial that is only to be rated."""
         return self.decision is not None and self.decision.always_escalates
 
     @property
     def has_delivered(self) -> bool:
-        """Tell whether the caller already has a part of the answer."""
+        """Return whether the caller has received part of the answer."""
         return self.delivered_bytes > 0
--- a/acaciacove/entry/quality_monitor.py
+++ b/acaciacove/entry/quality_monitor.py
@@ -1,4 +1,4 @@
-"""Fold of ratings and evidence, on the entries that have this duty."""
+"""Counts ratings and evidence, on the entries that are responsible for it."""
 
 from attrs import define, field
 
@@ -15,7 +15,7 @@
 from acaciacove.state.exposure_record import ExposureRecord
 from acaciacove.state.quarantine_record import QuarantineRecord
 
-# The origin that all readers of ratings count under: they count the same.
+# One origin for all readers of ratings, because their counts are the same.
 RATINGS_ORIGIN = "ratings"
 MAX_CELLS = 2048
 MAX_PUBLISH_BYTES_PER_S = 500.0
@@ -26,7 +26,7 @@
 
 @define(eq=False)
 class QualityMonitor:
-    """Counts ratings, publishes the counts, and judges the versions in use."""
+    """Counts ratings, publishes the counts and decides on the versions in use."""
 
     name: str
     quality: QualityEstimates = field(factory=lambda: QualityEstimates(RATINGS_ORIGIN))
@@ -37,7 +37,7 @@
     decided: set[tuple[VersionId, int, float]] = field(factory=set)
 
     def apply_ratings(self, ratings: list[Rating], fleet: FleetState) -> None:
-        """Count ratings that come after those counted so far."""
+        """Count the ratings that have not been counted yet."""
         for rating in ratings:
             if rating.sequence <= self.sequence:
                 continue
@@ -54,11 +54,11 @@
             self.sequence = rating.sequence
 
     def apply_evidence(self, cells: tuple[SharedCell, ...]) -> None:
-        """Count what sidecars saw of errors and latency."""
+        """Merge the errors and latencies that a sidecar has reported."""
         self.guard.merge(cells)
 
     def restore(self, record: EstimatesRecord) -> None:
-        """Go on from what another reader has published."""
+        """Continue from estimates that another reader has published."""
         if record.sequence <= self.sequence:
             return
         self.quality.merge(record.quality)
@@ -67,7 +67,7 @@
         self.published_sequence = record.sequence
 
     def due_estimates(self, now_s: float) -> bytes | None:
-        """Return what to publish now, so that readers get a bounded byte rate."""
+        """Return the record to publish now, at a bounded byte rate for readers."""
         if self.sequence == self.published_sequence or now_s < self.next_publish_s:
             return None
         rated = tuple(
@@ -85,7 +85,7 @@
         return payload
 
     def new_decisions(self, fleet: FleetState) -> list[RolloutDecision]:
-        """Judge every version in use; each judgement is returned once."""
+        """Decide on every version in use; each decision is returned once."""
         found: list[RolloutDecision] = []
         for version in fleet.versions.values():
             if not fleet.is_usable(version.id):
--- a/acaciacove/entry/quality_monitoring.py
+++ b/acaciacove/entry/quality_monitoring.py
@@ -1,4 +1,4 @@
-"""The task that learns from ratings, and shares and judges what was learned."""
+"""The task that reads ratings, publishes estimates and decides on versions."""
 
 import asyncio
 from contextlib import suppress
@@ -27,7 +27,7 @@
 
 
 async def monitor_quality(entry: EntryState, ratings: RatingService | None) -> None:
-    """Read ratings while this entry has the duty, and judge what they say."""
+    """Read ratings and decide on versions while this entry is responsible for it."""
     while True:
         await asyncio.sleep(POLL_INTERVAL_S)
         instances = entry.shared.membership.usable()
@@ -42,7 +42,7 @@
 
 
 def apply_estimates(entry: EntryState, entries: list[LogEntry]) -> None:
-    """Merge published estimates into the ones that this entry chooses by."""
+    """Merge published estimates into the ones that this entry routes by."""
     for log_entry in entries:
         for record in _decode_records(log_entry):
             entry.router.estimates.merge(record.quality)
@@ -50,7 +50,7 @@
 
 
 def _decode_records(log_entry: LogEntry) -> list[EstimatesRecord]:
-    """Read what can be read; a record of a later release is passed over."""
+    """Decode the records of a log entry; records of a later release are skipped."""
     found: list[EstimatesRecord] = []
     with suppress(MalformedMessageError):
         for item in decode_batch(log_entry.payload).items:
@@ -59,13 +59,13 @@
 
 
 def apply_evidence(entry: EntryState, evidence: Evidence) -> Evidence:
-    """Count what a sidecar saw, and tell it the window to count in."""
+    """Merge a sidecar's evidence and return the window that it counts in."""
     entry.quality_monitor.apply_evidence(from_message_cells(evidence.cells))
     return Evidence(window=entry.quality_monitor.guard.window)
 
 
 async def _fetch_ratings(entry: EntryState, ratings: RatingService) -> None:
-    """Fetch the ratings that came since the last look."""
+    """Fetch the ratings that were added since the last poll."""
     while True:
         fetched = await ratings.fetch(entry.quality_monitor.sequence, READ_LIMIT)
         entry.quality_monitor.apply_ratings(fetched, entry.holder.state)
@@ -80,7 +80,7 @@
 
 
 def _append_decisions(entry: EntryState) -> None:
-    """Append what follows from the evidence; every process reads it there."""
+    """Append new decisions to the release stream, where every process reads them."""
     for decision in entry.quality_monitor.new_decisions(entry.holder.state):
         log_event("judge", record=decision, revision=entry.holder.revision)
         payload = encode_record(decision)
--- a/acaciacove/entry/read_body.py
+++ b/acaciacove/entry/read_body.py
@@ -1,4 +1,4 @@
-"""Reads the body of a caller's request within its limits."""
+"""Reads a request body within its limits of size and time."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 async def read_body(
     request: Request, max_bytes: int, deadline_s: float
 ) -> bytes | Refusal:
-    """Read the whole body, or refuse one that is too large or too slow."""
+    """Read the complete body; refuse it if it is too large or too slow."""
     chunks: list[bytes] = []
     size_bytes = 0
     try:
@@ -19,12 +19,16 @@
             async for chunk in request.stream():
                 size_bytes += len(chunk)
                 if size_bytes > max_bytes:
-                    detail = f"the body is larger than {max_bytes} bytes"
+                    detail = f"the request body is larger than {max_bytes} bytes"
                     return Refusal(Reason.TOO_LARGE, True, detail)
                 chunks.append(chunk)
     except TimeoutError:
-        detail = f"the body did not arrive within {deadline_s} s"
+        detail = f"the request body was not complete within {deadline_s} s"
         return Refusal(Reason.DEADLINE_EXCEEDED, True, detail)
     except ClientDisconnect:
-        return Refusal(Reason.CANCELLED, True, "the caller left before its body came")
+        return Refusal(
+            Reason.CANCELLED,
+            True,
+            "the caller disconnected before its request body was complete",
+        )
     return b"".join(chunks)
--- a/acaciacove/entry/read_request.py
+++ b/acaciacove/entry/read_request.py
@@ -1,4 +1,4 @@
-"""Turns an HTTP request into a CallerRequest, or into the refusal it earns."""
+"""Parses an HTTP request into a CallerRequest or a Refusal."""
 
 import asyncio
 import math
@@ -26,19 +26,29 @@
 CHARS_PER_TOKEN = 4
 CHAT_PATH = "/v1/chat/completions"
 CATCHING_UP = Refusal(
-    Reason.STALE_REVISION, True, "the entry was paused and is catching up", 1.0
+    Reason.STALE_REVISION,
+    True,
+    "this entry was paused and is reading the records it has missed",
+    1.0,
+)
+NOT_READY = Refusal(
+    Reason.NOT_READY, True, "this entry has not read a release note yet", 1.0
 )
-NOT_READY = Refusal(Reason.NOT_READY, True, "no release note is known yet", 1.0)
 BILLING_BACKLOG_FULL = Refusal(
-    Reason.OVERLOADED, True, "too many bills wait for the platform's log", 5.0
+    Reason.OVERLOADED,
+    True,
+    "too many billing records wait to be appended to the platform's log",
+    5.0,
+)
+DRAINING = Refusal(
+    Reason.DRAINING, True, "this entry is draining before it shuts down", 0.0
 )
-DRAINING = Refusal(Reason.DRAINING, True, "this instance is leaving", 0.0)
 
 
 async def read_request(
     request: Request, entry: EntryState, request_id: str
 ) -> CallerRequest | Refusal:
-    """Check a request from the outside in: state, headers, caller, body."""
+    """Check the state of the entry, then headers, caller and body of a request."""
     arrived_s = asyncio.get_running_loop().time()
     refusal = _check_preconditions(request, entry)
     if refusal is not None:
@@ -61,7 +71,7 @@
 
 
 def _check_preconditions(request: Request, entry: EntryState) -> Refusal | None:
-    """Refuse what needs no look at the body."""
+    """Return the refusal of a request that can be refused without its body."""
     if entry.lifecycle.is_leaving and not entry.lifecycle.takes_work:
         return DRAINING
     if not entry.lifecycle.takes_work:
@@ -77,13 +87,13 @@
     for name in (header_names.IDEMPOTENCY_KEY, header_names.SESSION_ID):
         value = request.headers.get(name, "")
         if len(value) > MAX_NAME_CHARS:
-            detail = f"{name}: longer than {MAX_NAME_CHARS} characters"
+            detail = f"{name}: must not be longer than {MAX_NAME_CHARS} characters"
             return Refusal(Reason.MALFORMED_REQUEST, True, detail)
     return None
 
 
 def _deadline_s(request: Request, default_s: float) -> float | Refusal:
-    """Read how long the caller will wait."""
+    """Return the caller's time-out, or the default if it sent none."""
     text = request.headers.get(header_names.TIMEOUT_S)
     if text is None:
         return default_s
@@ -93,7 +103,10 @@
         deadline_s = math.nan
     if 0 < deadline_s <= MAX_DEADLINE_S:
         return deadline_s
-    detail = f"{header_names.TIMEOUT_S}: must be seconds up to {MAX_DEADLINE_S:.0f}"
+    detail = (
+        f"{header_names.TIMEOUT_S}: must be a number of seconds above 0 and up to "
+        f"{MAX_DEADLINE_S:.0f}"
+    )
     return Refusal(Reason.MALFORMED_REQUEST, True, detail)
 
 
@@ -105,7 +118,7 @@
     body: bytes,
     deadline_at_s: float,
 ) -> CallerRequest | Refusal:
-    """Read a request for a model."""
+    """Parse a chat request."""
     chat = parse_chat(body)
     if isinstance(chat, Refusal):
         return chat
@@ -136,7 +149,7 @@
 def _pinned_version(
     request: Request, entry: EntryState, organisation: Organisation, api: Api
 ) -> VersionId | None:
-    """Return the version that the caller's session keeps."""
+    """Return the version that the caller's session is bound to, if any."""
     return entry.pins.pinned_version(
         entry.holder.state,
         organisation,
@@ -147,7 +160,7 @@
 
 
 def _find_api(entry: EntryState, model: str) -> tuple[Api, VersionId | None] | Refusal:
-    """Find the API that a chat request names, by itself or by a version."""
+    """Find the API that a chat request names directly or by one of its versions."""
     fleet = entry.holder.state
     api = fleet.apis.get(model)
     if api is not None and api.kind is ApiKind.MODEL:
@@ -155,7 +168,9 @@
     requested_version = parse_version_id(model)
     version = fleet.versions.get(requested_version) if requested_version else None
     if version is None or version.api not in fleet.apis:
-        return Refusal(Reason.UNKNOWN_API, True, f"model: no API is called {model!r}")
+        return Refusal(
+            Reason.UNKNOWN_API, True, f"model: no API or version is named {model!r}"
+        )
     return fleet.apis[version.api], version.id
 
 
@@ -167,11 +182,11 @@
     body: bytes,
     deadline_at_s: float,
 ) -> CallerRequest | Refusal:
-    """Read a call of a plain service."""
+    """Parse a call of a service."""
     name = request.path_params["api"]
     api = entry.holder.state.apis.get(name)
     if api is None or api.kind is not ApiKind.SERVICE:
-        return Refusal(Reason.UNKNOWN_API, True, f"no service is called {name!r}")
+        return Refusal(Reason.UNKNOWN_API, True, f"no service is named {name!r}")
     call = CallerRequest(
         request_id=request_id,
         organisation=organisation,
@@ -194,13 +209,13 @@
 
 
 def _service_path(request: Request) -> str:
-    """Return path and query as the service knows them."""
+    """Return path and query as sent to the service."""
     path = "/" + request.path_params["path"]
     return f"{path}?{request.url.query}" if request.url.query else path
 
 
 def _forwarded_headers(request: Request) -> tuple[Header, ...]:
-    """List the headers that a service gets to see."""
+    """Return the headers that are forwarded to the service."""
     return tuple(
         Header(name, value)
         for name, value in request.headers.items()
--- a/acaciacove/entry/retry_rule.py
+++ b/acaciacove/entry/retry_rule.py
@@ -1,4 +1,4 @@
-"""Whether another attempt may follow one that failed."""
+"""Decides whether another attempt may follow a failed one."""
 
 from acaciacove.entry.caller_request import CallerRequest
 from acaciacove.entry.progress import Progress
@@ -18,7 +18,7 @@
         Reason.OUTCOME_UNKNOWN,
         Reason.IN_PROGRESS,
         Reason.CANCELLED,
-        # The log is what failed, and it is the same one for every endpoint.
+        # The platform's log has failed, and all endpoints share it.
         Reason.CLAIM_UNAVAILABLE,
     }
 )
@@ -27,24 +27,25 @@
 def final_refusal(
     refused: Refused, request: CallerRequest, progress: Progress
 ) -> Refusal | None:
-    """Return the refusal that ends the request, or None if it may go on elsewhere."""
+    """Return the refusal that ends the request, or None if it may be retried."""
     if refused.reason in FINAL_REASONS:
         return as_refusal(refused, progress)
     if request.non_idempotent and not refused.not_run:
         # A call that may have run must not run again: the caller would pay or book
-        # twice. It gets the truth instead, and can ask again with the same key.
+        # twice. The caller learns that the outcome is unknown and can retry with the
+        # same key.
         return outcome_unknown(refused)
     return None
 
 
 def as_refusal(refused: Refused, progress: Progress) -> Refusal:
-    """Turn a sidecar's refusal into the caller's; "not run" holds for all attempts."""
+    """Return the caller's refusal; its "not run" covers all attempts."""
     not_run = refused.not_run and not progress.may_have_run
     reason = Reason(refused.reason)
     return Refusal(reason, not_run, refused.detail, refused.retry_after_s)
 
 
 def outcome_unknown(refused: Refused) -> Refusal:
-    """Tell a caller that its call may have taken effect and is not repeated."""
+    """Return the refusal of a call that may have run and is not repeated."""
     detail = f"the call may have taken effect and is not repeated ({refused.detail})"
     return Refusal(Reason.OUTCOME_UNKNOWN, False, detail)
--- a/acaciacove/entry/routable_instances.py
+++ b/acaciacove/entry/routable_instances.py
@@ -1,4 +1,4 @@
-"""Which endpoints an entry may ask while some have not said that they are ready."""
+"""Chooses the instances that may get requests."""
 
 from collections.abc import Sequence
 
@@ -9,12 +9,12 @@
 def routable_instances(
     live: Sequence[Instance], starting: Sequence[Instance]
 ) -> list[Instance]:
-    """Add starting endpoints of versions that no live endpoint serves.
+    """Return live instances and starting endpoints whose versions no live one serves.
 
-    An endpoint's word that it is starting may be a moment old, and it is ready by
-    now. After a start of the whole fleet that is so of every endpoint of an API at
-    once: its callers would be refused with "no endpoint" for up to a second, until
-    the next probe. Asked, an endpoint that is not ready says truly "not run".
+    An endpoint's last report may still say "starting" although it has become ready
+    since. After a start of the whole fleet this applies to all endpoints of an API at
+    once. Its callers would be refused with "no endpoint" for up to a second, until
+    the next probe. An endpoint that is really not ready replies with "not run".
     """
     served = {version for endpoint in live for version in endpoint.versions}
     return list(live) + [
--- a/acaciacove/entry/router.py
+++ b/acaciacove/entry/router.py
@@ -1,4 +1,4 @@
-"""The entry's view of the fleet, and the choices that it makes on it."""
+"""Chooses versions and endpoints from the entry's view of the fleet."""
 
 import asyncio
 from random import Random
@@ -35,10 +35,11 @@
 
 @define(eq=False)
 class Router:
-    """State of the entry's decisions; the decisions themselves are functions.
+    """State behind the entry's decisions; the decisions themselves are functions.
 
-    ``subsets`` holds this entry's bounded set of endpoints for each version,
-    ``serving`` all of them, for calls that have one usual owner.
+    ``subsets`` holds this entry's bounded set of endpoints for each version.
+    ``serving`` holds all endpoints of each version, for calls that have a preferred
+    owner.
     """
 
     name: str
@@ -53,7 +54,10 @@
     missing_until_s: dict[tuple[str, VersionId], float] = field(factory=dict)
 
     def update(self, instances: list[Instance], fleet: FleetState) -> None:
-        """Follow the fleet: endpoints keep their views, subsets are made anew."""
+        """Update the endpoints for a changed fleet and rebuild the subsets.
+
+        Endpoints that remain retain their views.
+        """
         entries = [i.name for i in instances if i.role is Role.ENTRY]
         listed = [i for i in instances if i.role is Role.ENDPOINT]
         planned = planned_versions(fleet, listed)
@@ -77,9 +81,9 @@
     def choose_version(
         self, fleet: FleetState, request: CallerRequest
     ) -> VersionDecision | Refusal:
-        """Choose the version to ask first, and the ladder to escalate on.
+        """Choose the first version and the ladder to escalate on.
 
-        A version that the caller named itself is never replaced by another one.
+        A version that the caller has named is never replaced by another one.
         """
         if request.requested_version is not None:
             refusal = self._refuse_requested(fleet, request, request.requested_version)
@@ -87,9 +91,11 @@
                 return refusal
         pinned = request.requested_version or request.pinned
         if pinned is not None and pinned not in self.subsets:
-            # Its endpoints are out or lost for the moment. Another version would
-            # move the session, which only a withdrawal may do.
-            return Refusal(Reason.NO_ENDPOINT, True, str(pinned), RETRY_AFTER_S)
+            # Its endpoints are out or lost at present. Choosing another version
+            # would move the session, which only a withdrawal may do.
+            return Refusal(
+                Reason.NO_ENDPOINT, True, f"no endpoint serves {pinned}", RETRY_AFTER_S
+            )
         return choose_version(
             fleet,
             request.organisation,
@@ -106,11 +112,11 @@
         )
 
     def _available_versions(self, fleet: FleetState) -> set[VersionId]:
-        """List the versions with an endpoint that operators have not taken out.
+        """Return the versions with an endpoint that operators have not taken out.
 
-        A cheap version whose zones are all out would otherwise be chosen still, and
-        its callers refused, although a dearer one stands ready. If all are out, all
-        are listed, so that the refusal names the reason.
+        Otherwise a cheap version whose zones are all out would still be chosen, and
+        its callers refused although a more expensive version is available. If all
+        are out, all are returned, so that the refusal names the reason.
         """
         served = self._served_versions()
         now_s = _now_s()
@@ -126,10 +132,10 @@
     def _refuse_requested(
         self, fleet: FleetState, request: CallerRequest, requested: VersionId
     ) -> Refusal | None:
-        """Refuse a named version that is not allowed, not usable or not served.
+        """Refuse a requested version that is not allowed, not usable or not served.
 
-        The choice would otherwise pass it over and take another one: a caller who
-        named the dear version would get the cheap one's answer under status 200.
+        Otherwise another version would be chosen. A caller that requested the
+        expensive version would get the answer of the cheap one with status 200.
         """
         if not request.organisation.allows(requested):
             detail = f"{request.organisation.name} may not reach {requested}"
@@ -138,7 +144,9 @@
             detail = f"{requested} is no longer served"
             return Refusal(Reason.VERSION_WITHDRAWN, True, detail)
         if requested not in self.subsets:
-            return Refusal(Reason.NO_ENDPOINT, True, str(requested), 1.0)
+            return Refusal(
+                Reason.NO_ENDPOINT, True, f"no endpoint serves {requested}", 1.0
+            )
         return None
 
     def choose_endpoint(
@@ -148,13 +156,15 @@
         version: VersionId,
         progress: Progress,
     ) -> EndpointDecision | Refusal:
-        """Choose one of this entry's endpoints of a version."""
+        """Choose one of this entry's endpoints for a version."""
         now_s = _now_s()
         subset = self._endpoints_with(version, now_s)
         if request.non_idempotent:
             subset = self._preferred_owner(fleet, request, version, progress)
         if not subset:
-            return Refusal(Reason.NO_ENDPOINT, True, str(version), RETRY_AFTER_S)
+            return Refusal(
+                Reason.NO_ENDPOINT, True, f"no endpoint serves {version}", RETRY_AFTER_S
+            )
         zones = {instance.availability_zone for instance in subset}
         return choose_endpoint(
             subset,
@@ -170,23 +180,24 @@
         )
 
     def _served_versions(self) -> set[VersionId]:
-        """Return the versions that some endpoint is believed to hold."""
+        """Return the versions that at least one endpoint is expected to hold."""
         now_s = _now_s()
         return {
             version for version in self.subsets if self._endpoints_with(version, now_s)
         }
 
     def record_missing_version(self, endpoint: Instance, version: VersionId) -> None:
-        """Note that an endpoint does not hold a version yet."""
+        """Record that an endpoint does not hold a version yet."""
         self.missing_until_s[(endpoint.name, version)] = (
             _now_s() + MISSING_VERSION_TTL_S
         )
 
     def _endpoints_with(self, version: VersionId, now_s: float) -> tuple[Instance, ...]:
-        """Return this entry's endpoints of a version, less those still loading it.
+        """Return this entry's endpoints of a version, except those still loading it.
 
-        Endpoints are known by plan, which is ahead of the engines. Without the note
-        every request would try the same endpoint in vain and use up retries.
+        The endpoints come from the placement plan, which is ahead of the engines.
+        Without ``missing_until_s`` every request would try the same endpoint in vain
+        and use up retries.
         """
         subset = self.subsets.get(version, ())
         if not self.missing_until_s:
@@ -205,10 +216,10 @@
         version: VersionId,
         progress: Progress,
     ) -> tuple[Instance, ...]:
-        """Return the usual owner of the request's key, of those that may be asked.
+        """Return the preferred owner of the request's key, if one is available.
 
-        Every entry asks the same one, so that a retry tends to meet its first
-        attempt. Only the log decides who runs the call.
+        Every entry chooses the same endpoint, so a retry usually reaches the endpoint
+        of the first attempt. Only the log decides which endpoint runs the call.
         """
         candidates = {
             e.name: e
@@ -224,7 +235,7 @@
         return (candidates[owner],) if owner else ()
 
     def sent(self, endpoint: Instance, request: CallerRequest) -> None:
-        """Count an attempt that was sent."""
+        """Record that an attempt was sent to an endpoint."""
         self._view_of(endpoint).sent(
             _now_s(), request.prefix_hash, request.organisation.name
         )
@@ -232,7 +243,7 @@
     def ended(
         self, endpoint: Instance, request: CallerRequest, load: Load | None, ok: bool
     ) -> None:
-        """Count an attempt that has ended, with the load its answer carried."""
+        """Record the end of an attempt and the load that its answer reported."""
         view = self._view_of(endpoint)
         now_s = _now_s()
         view.ended(ok, now_s, request.organisation.name)
@@ -240,7 +251,7 @@
             view.reported(load, now_s)
 
     def reported(self, endpoint: str, load: Load) -> None:
-        """Take in a load report that came without an answer."""
+        """Apply a load report that arrived without an answer."""
         view = self.views.get(endpoint)
         if view is not None:
             view.reported(load, _now_s())
@@ -253,9 +264,9 @@
 
 
 def _session_endpoint(request: CallerRequest, subset: tuple[Instance, ...]) -> str:
-    """Return the endpoint whose cache is likely to hold a session, or nobody.
+    """Return the endpoint whose cache is likely to hold the session, or "".
 
-    It is found by hash, so that it is the same after an entry was replaced.
+    It is chosen by hash, so that it stays the same when an entry is replaced.
     """
     if not request.session:
         return ""
@@ -264,7 +275,7 @@
 
 
 def _is_available(instance: Instance, fleet: FleetState) -> bool:
-    """Tell whether operators let an instance get work."""
+    """Return whether operators have taken out neither the instance nor its zone."""
     return (
         instance.availability_zone not in fleet.availability_zones_out
         and instance.name not in fleet.instances_out
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -1,4 +1,4 @@
-"""One entry: its parts, its tasks, and how it leaves."""
+"""Builds an entry, runs its tasks and drains it at shutdown."""
 
 from collections.abc import AsyncGenerator, AsyncIterator
 from contextlib import asynccontextmanager
@@ -61,9 +61,10 @@
 
 @define(eq=False)
 class RunningEntry:
-    """An entry that serves; the ports are the bound ones.
+    """A running entry; the ports are the bound ones.
 
-    ``cut`` tells, once it has stopped, whether work was left when its time was up.
+    ``cut`` is set at shutdown: whether the drain limit expired with requests or
+    billing records left.
     """
 
     state: EntryState
@@ -144,7 +145,7 @@
 def _build_entry_state(
     settings: EntrySettings, registry: Registry, peer_port: int
 ) -> EntryState:
-    """Put the parts of an entry together."""
+    """Create the components of an entry."""
     rng = Random(settings.seed) if settings.seed else Random()
     client = open_client()
     lifecycle = ProcessLifecycle()
@@ -191,7 +192,7 @@
 
 
 def _rating_service(settings: EntrySettings, client: Any) -> HttpRatingService | None:
-    """Return the rating service, if there is one."""
+    """Return the rating service, if one is configured."""
     if not settings.rating_url:
         return None
     return HttpRatingService(settings.rating_url, client)
@@ -210,7 +211,7 @@
 
 
 def _status_document(entry: EntryState) -> dict[str, Any]:
-    """Describe the entry for ``/status``."""
+    """Return the entry's document for ``/status``."""
     return {
         "name": entry.settings.name,
         "role": Role.ENTRY.value,
--- a/acaciacove/entry/sidecar_link.py
+++ b/acaciacove/entry/sidecar_link.py
@@ -37,7 +37,7 @@
         hello: Callable[[], Hello],
         on_control_message: OnControlMessage,
     ) -> None:
-        """Remember where the sidecar listens; nothing is opened yet."""
+        """Store the sidecar's address; the first attempt opens the connection."""
         self.stray_count = 0
         self.peer: Hello | None = None
         self._address = (host, port)
@@ -49,29 +49,31 @@
         self._reader_task: asyncio.Task[None] | None = None
 
     async def start_attempt(self, run: Run) -> Attempt | Refused:
-        """Send an attempt; a Refused says that it never left this process."""
+        """Send an attempt; return a Refused if it was never sent."""
         try:
             connection = await self._get_connection()
         except (OSError, TimeoutError) as error:
-            return _refused_not_run(run, f"cannot connect: {type(error).__name__}")
+            return _refused_not_run(
+                run, f"cannot connect to the sidecar: {type(error).__name__}"
+            )
         attempt = Attempt(run.request_id, run.attempt)
         self._attempts[attempt.key] = attempt
         try:
             await connection.send(run)
         except ConnectionError:
-            # The bytes may have left before the loss was noticed, so the reader's
-            # verdict on lost connections stands: not known to be not run.
+            # The bytes may have been sent before the loss was detected. As with any
+            # lost connection, the attempt may have run.
             self._fail_lost(attempt)
         return attempt
 
     def end_attempt(self, attempt: Attempt) -> None:
-        """Forget an attempt; if it is still open its sidecar is told to stop."""
+        """Remove an attempt; if it is still open, send its sidecar a Cancel."""
         if self._attempts.pop(attempt.key, None) is None:
             return
         self.send_if_open(Cancel(attempt.request_id, attempt.number))
 
     def send_if_open(self, message: Message) -> None:
-        """Send a message that needs no answer, if the connection is open."""
+        """Send a message without a reply; drop it if the connection is not open."""
         if self._connection is None:
             return
         try:
@@ -80,7 +82,7 @@
             return
 
     def close(self) -> None:
-        """Close the connection; attempts that are open are lost."""
+        """Close the connection and end its open attempts as lost."""
         if self._reader_task is not None:
             self._reader_task.cancel()
         if self._connection is not None:
@@ -88,7 +90,7 @@
         self._fail_all_lost()
 
     async def _get_connection(self) -> Connection:
-        """Return the open connection, or open one for all who wait."""
+        """Return the open connection, or open one that all waiting attempts share."""
         if self._connection is not None:
             return self._connection
         async with self._open_lock:
@@ -105,7 +107,7 @@
         self._reader_task = asyncio.create_task(self._read(connection))
 
     async def _read(self, connection: Connection) -> None:
-        """Hand messages to their attempts until the peer closes."""
+        """Deliver messages to their attempts until the connection closes."""
         try:
             while (message := await connection.receive()) is not None:
                 self._deliver(message)
@@ -121,8 +123,8 @@
         if not isinstance(message, Head | Chunk | End | Refused):
             self._on_control_message(self, message)
             return
-        # An answer of an attempt that was given up may still arrive. It is matched
-        # by request id and attempt, so it can never reach another caller.
+        # The answer to an attempt that has already ended may still arrive. Answers
+        # are matched by request id and attempt, so it cannot reach another caller.
         attempt = self._attempts.get((message.request_id, message.attempt))
         if attempt is None:
             self.stray_count += 1
@@ -137,20 +139,20 @@
         attempt.events.put_nowait(message)
 
     def _cancel_slow_caller(self, attempt: Attempt) -> None:
-        """Stop an attempt whose caller reads too slowly.
+        """Cancel an attempt whose caller reads too slowly.
 
-        Otherwise one caller that stops reading would fill the entry's memory, seen
-        as an entry that is killed with all of its streams.
+        Otherwise one caller that stops reading would fill the entry's memory until
+        the entry is killed, together with all of its streams.
         """
         self.end_attempt(attempt)
-        detail = "the caller does not read its answer"
+        detail = "the caller reads its answer too slowly: the entry's buffer is full"
         attempt.events.put_nowait(
             _refused_may_have_run(attempt, Reason.CANCELLED, detail)
         )
 
     def _fail_lost(self, attempt: Attempt) -> None:
         self._attempts.pop(attempt.key, None)
-        detail = "the connection to the endpoint's instance was lost"
+        detail = "the connection to the endpoint's sidecar was lost"
         attempt.events.put_nowait(
             _refused_may_have_run(attempt, Reason.CONNECTION_LOST, detail)
         )
@@ -161,10 +163,10 @@
 
 
 def _refused_not_run(run: Run, detail: str) -> Refused:
-    """Refuse an attempt of which no byte has left."""
+    """Return the Refused of an attempt of which no byte was sent."""
     return Refused(run.request_id, run.attempt, Reason.CONNECTION_LOST, True, detail)
 
 
 def _refused_may_have_run(attempt: Attempt, reason: Reason, detail: str) -> Refused:
-    """End an attempt that may have run."""
+    """Return the Refused of an attempt that may have run."""
     return Refused(attempt.request_id, attempt.number, reason, False, detail)
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -1,4 +1,4 @@
-"""One attempt at one endpoint, from the message sent to the last piece."""
+"""One attempt at one endpoint, from its Run message to the last chunk."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -22,8 +22,8 @@
 from acaciacove.reason import Reason
 from acaciacove.state.billing_price import price
 
-# The sidecar keeps the same deadline and knows more about what became of a call, so
-# its word is awaited a little longer than the deadline itself.
+# The sidecar applies the same deadline and knows more about the outcome of a call, so
+# the entry waits a little past the deadline for the sidecar's reply.
 DEADLINE_GRACE_S = 0.25
 
 
@@ -48,8 +48,8 @@
     entry.router.sent(endpoint, request)
     progress.attempted_endpoints.append(endpoint.name)
     load: Load | None = None
-    # An attempt that is given up unfinished says nothing of its endpoint: the caller
-    # has left, or a second attempt was sooner.
+    # An attempt that is cancelled before its end is no evidence against its endpoint:
+    # the caller has disconnected, or a hedged attempt was faster.
     ok = True
     expected_sequence = 0
     deadline_at_s = request.deadline_at_s + DEADLINE_GRACE_S
@@ -88,29 +88,32 @@
 async def _next_event(
     attempt: Attempt, deadline_at_s: float, expected_sequence: int
 ) -> Head | Chunk | End | Refused:
-    """Wait for the next event; a gap or the deadline is a Refused.
+    """Wait for the next event; return a Refused at a gap or at the deadline.
 
-    Only the waiting is timed. A timeout around the whole loop would also strike
-    while a slow caller is being written to, and cut its stream without a word.
+    The timeout covers only this wait. A timeout around the complete loop would also
+    expire while the entry writes to a slow caller, and would truncate the caller's
+    stream without an error.
     """
     try:
         async with asyncio.timeout_at(deadline_at_s):
             event = await attempt.next_event()
     except TimeoutError:
-        detail = "the deadline passed while the endpoint was working"
+        detail = "the deadline passed before the endpoint had completed its answer"
         return _refused_may_have_run(attempt, Reason.DEADLINE_EXCEEDED, detail)
     if _has_gap(event, expected_sequence):
         return _refused_may_have_run(
-            attempt, Reason.ANSWER_TRUNCATED, "pieces are missing"
+            attempt,
+            Reason.ANSWER_TRUNCATED,
+            "chunks of the answer are missing in the sidecar's stream",
         )
     return event
 
 
 def _has_gap(event: Head | Chunk | End | Refused, expected_sequence: int) -> bool:
-    """Tell whether pieces are missing before this event.
+    """Return whether chunks are missing before this event.
 
-    A sidecar that restarts or crosses its streams would otherwise deliver half of
-    an answer as a whole one, which the caller cannot notice.
+    Otherwise a sidecar that restarts or mixes up its streams could deliver part of an
+    answer as a complete one, and the caller could not detect it.
     """
     if isinstance(event, Chunk):
         return event.sequence != expected_sequence
@@ -118,7 +121,7 @@
 
 
 def _refused_may_have_run(attempt: Attempt, reason: Reason, detail: str) -> Refused:
-    """End an attempt that may have run."""
+    """Return the Refused of an attempt that may have run."""
     return Refused(attempt.request_id, attempt.number, reason, False, detail)
 
 
@@ -145,7 +148,7 @@
     endpoint: Instance,
     remaining_s: float,
 ) -> Run:
-    """Write the message that asks a sidecar for this attempt."""
+    """Build the message that requests this attempt from a sidecar."""
     return Run(
         request_id=request.request_id,
         attempt=progress.attempts,
--- a/tests/test_entry_reading.py
+++ b/tests/test_entry_reading.py
@@ -1,4 +1,4 @@
-"""What callers send is read whole or refused with one clear reason."""
+"""Requests are parsed completely or refused with one typed reason."""
 
 import orjson
 import pytest
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: caller, entry, sidecar, endpoint, and back."""
+"""End-to-end requests: caller, entry, sidecar, endpoint and back."""
 
 import asyncio
 
--- a/tests/test_path_bad_input.py
+++ b/tests/test_path_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the door of a real entry: one clear typed error each."""
+"""Invalid requests to a running entry each get one typed error."""
 
 import asyncio
 
@@ -59,8 +59,8 @@
 
 
 def test_a_body_slower_than_its_deadline_is_refused():
-    # A caller announces a body and sends it byte by byte. It must not hold a place
-    # in the entry for longer than the deadline that it set itself.
+    # A caller announces a body and does not send all of it. The entry must not hold
+    # the request for longer than the caller's own time-out.
     async def test():
         async with embedded_fleet(models=1, services=0) as fleet:
             port = fleet.entries[0].http_port
--- a/tests/test_path_rollout.py
+++ b/tests/test_path_rollout.py
@@ -1,4 +1,4 @@
-"""A version under roll-out on real daemons: judged by ratings and by errors."""
+"""Roll-out of a version on running daemons: ratings, loading and withdrawal."""
 
 import asyncio
 
@@ -21,7 +21,7 @@
 
 
 async def roll_out(fleet, first_share):
-    """Let the endpoints serve a new version and declare it."""
+    """Make the engines serve a new version and declare it."""
     for engine in fleet.engines.values():
         engine.versions.add(str(NEW))
     version = Version(NEW, "guide", 1.0, 0.7, 8, 8, replaces=SMALL)
@@ -40,8 +40,8 @@
 
 
 def test_a_version_with_poor_ratings_is_quarantined_everywhere():
-    # Operators roll out a version whose answers are a third worse. Nobody reports an
-    # error; callers just get worse answers until its ratings stop it.
+    # Operators roll out a version whose answers rate a third worse. No request fails:
+    # only the ratings show the loss, and they must quarantine the version.
     async def test():
         async with embedded_fleet(services=0, rated=True, extra=(NEW,)) as fleet:
             fleet.rating.qualities = {str(SMALL): 0.8, str(NEW): 0.5}
@@ -79,7 +79,7 @@
 
 def test_rollout_loads_the_new_version_and_withdrawal_unloads_the_old():
     # Operators declare a version that no engine holds yet. Sidecars load it on a few
-    # endpoints, later on all; the withdrawn one is unloaded. Callers see no failure.
+    # endpoints, then on all, and unload the withdrawn one. No request may fail.
     async def test():
         async with embedded_fleet(models=4, services=0) as fleet:
             version = Version(NEW, "guide", 0.5, 0.7, 8, 8, replaces=SMALL)
@@ -106,8 +106,8 @@
 
 
 def test_an_engine_gets_no_stale_load_order():
-    # An engine ignores fencing numbers. A sidecar that waits for its weights while
-    # the version is withdrawn must not load it after all.
+    # The engine ignores fencing numbers. A sidecar that waits for a version's weights
+    # while the version is withdrawn must not load it afterwards.
     async def test():
         async with embedded_fleet(models=1, services=0, weights=True) as fleet:
             fleet.weights.next_at_s = asyncio.get_running_loop().time() + 2.0
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -1,4 +1,4 @@
-"""Daemons that learn from each other: log outages, lagging lists, lost instances."""
+"""Daemons exchange state in log outages, with stale lists and lost instances."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -17,7 +17,7 @@
 )
 CHAT = "/v1/chat/completions"
 BOOK = "/services/rides/shuttles"
-# Rounds of its own check that an entry is given to become ready too early.
+# Rounds of the readiness check in which an entry could become ready too early.
 READY_CHECK_ROUNDS = 4
 
 
@@ -27,8 +27,8 @@
 
 
 def test_a_release_note_read_by_one_process_reaches_all_during_a_log_outage():
-    # The log fails right after one sidecar has read a withdrawal. Everybody else
-    # must learn of it from peers, or callers get the withdrawn version for hours.
+    # The log fails right after one sidecar has read a withdrawal. All other processes
+    # must get it from peers, or callers get the withdrawn version for hours.
     async def test():
         async with embedded_fleet() as fleet:
             fleet.log.faults.outage = True
@@ -42,8 +42,8 @@
 
 
 def test_a_sidecar_updates_a_stale_entry_on_its_first_request():
-    # A sidecar knows of a withdrawal, the entry does not yet. The entry must not get
-    # an answer from the withdrawn version, and learns of it on the same connection.
+    # A sidecar has read a withdrawal, the entry has not. The entry must not get an
+    # answer from the withdrawn version, and gets the record on the same connection.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
@@ -60,8 +60,8 @@
 
 
 def test_a_stale_sidecar_catches_up_before_it_runs_a_request():
-    # A sidecar was paused while a version was withdrawn and another one declared.
-    # An entry that knows sends it a request; it must decide on the entry's revision.
+    # A sidecar was paused while a version was withdrawn. An entry with the newer
+    # revision sends it a request. The sidecar must decide on the entry's revision.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
@@ -87,9 +87,9 @@
 
 
 def test_an_entry_without_an_instance_list_is_not_ready():
-    # The log answers a starting entry, and the instance list does not. The entry
-    # knows every release and not one endpoint. Its callers read "no endpoint" and
-    # lose a booking while the whole fleet stands ready.
+    # A starting entry can read the log but not the instance list, so it has all
+    # release notes and no endpoint. If it became ready, its callers would be refused
+    # with "no endpoint" and lose a booking although the whole fleet is ready.
     async def test():
         async with embedded_fleet() as fleet, AsyncExitStack() as stack:
             fleet.listing.faults.outage = True
@@ -108,9 +108,9 @@
 
 
 def test_starting_endpoints_get_requests_when_no_live_one_serves():
-    # A whole fleet starts. Every endpoint of an API tells an entry that it is
-    # starting, becomes ready a moment later, and has no reason to speak again for a
-    # second. The entry refuses bookings with "no endpoint" while all stand ready.
+    # A whole fleet starts. Every endpoint of an API reports to an entry that it is
+    # starting, becomes ready a moment later, and sends its next report only after a
+    # second. The entry must not refuse bookings with "no endpoint" in between.
     async def test():
         async with embedded_fleet() as fleet:
             membership = fleet.entries[0].shared.membership
@@ -126,8 +126,8 @@
 
 
 def test_a_lost_endpoint_gets_no_requests_despite_a_stale_list():
-    # An endpoint's instance vanishes and the platform's list goes on showing it.
-    # Callers are answered by others; the lost one is not tried again and again.
+    # An endpoint's instance is lost and the platform's list still shows it. Other
+    # endpoints must answer callers, without repeated attempts at the lost one.
     async def test():
         async with embedded_fleet() as fleet:
             await fleet.sidecar_stacks["guide-0"].aclose()
@@ -143,8 +143,8 @@
 
 
 def test_a_false_instance_list_does_not_remove_live_endpoints():
-    # The platform's list calls every endpoint leaving, wrongly. They say themselves
-    # that they serve, so callers go on being served.
+    # The platform's list wrongly marks every endpoint as leaving. The endpoints
+    # report that they are live, so callers must still be served.
     async def test():
         async with embedded_fleet() as fleet:
             membership = fleet.entries[0].shared.membership
