--- a/acaciacove/entry/buffered_attempt.py
+++ b/acaciacove/entry/buffered_attempt.py
@@ -73,8 +73,8 @@
 
 def _may_hedge(request: CallerRequest, entry: EntryState, delay_s: float) -> bool:
     """Return whether deadline and hedge budget allow a second attempt."""
-    left_s = request.deadline_at_s - asyncio.get_running_loop().time()
-    return should_hedge(delay_s, delay_s, True, left_s, entry.hedges)
+    remaining_s = request.deadline_at_s - asyncio.get_running_loop().time()
+    return should_hedge(delay_s, delay_s, True, remaining_s, entry.hedges)
 
 
 async def _buffer_answer(
--- a/acaciacove/entry/dispatch.py
+++ b/acaciacove/entry/dispatch.py
@@ -175,8 +175,8 @@
     decision = progress.decision
     if decision is None or request.non_idempotent or progress.ladder_index > 0:
         return False
-    left_s = request.deadline_at_s - asyncio.get_running_loop().time()
-    has_time = left_s > answer.end.service_s
+    remaining_s = request.deadline_at_s - asyncio.get_running_loop().time()
+    has_time = remaining_s > answer.end.service_s
     return should_escalate(decision, signal, entry.rng, has_time)
 
 
