--- a/acaciacove/entry/entry_state.py
+++ b/acaciacove/entry/entry_state.py
@@ -1,4 +1,4 @@
-"""Everything that the tasks of one entry share."""
+"""State that the tasks of one entry share."""
 
 from collections.abc import Callable, Iterator
 from contextlib import contextmanager
@@ -10,9 +10,9 @@
 from acaciacove.daemon.shared_state import SharedState
 from acaciacove.decisions.budget import Budget
 from acaciacove.decisions.hedging import HedgeDelays
+from acaciacove.entry.answer_rater import AnswerRater
 from acaciacove.entry.entry_metrics import EntryMetrics
-from acaciacove.entry.learner import Learner
-from acaciacove.entry.rate_answer import AnswerRater
+from acaciacove.entry.quality_monitor import QualityMonitor
 from acaciacove.entry.router import Router
 from acaciacove.entry.sidecar_link import SidecarLink
 from acaciacove.fleet.instance import Instance
@@ -26,7 +26,7 @@
 
 @define(eq=False)
 class EntryState:
-    """The parts of one entry; each is owned by one task and read by the others."""
+    """The components of one entry; each is owned by one task and read by others."""
 
     settings: EntrySettings
     lifecycle: ProcessLifecycle
@@ -36,7 +36,7 @@
     rng: Random
     retries: Budget
     hedges: Budget
-    learner: Learner
+    quality_monitor: QualityMonitor
     rater: AnswerRater
     billing: BillingOutbox
     pins: SessionPins
@@ -47,14 +47,14 @@
 
     @property
     def fleet_store(self) -> FleetStore:
-        """Return the state in force."""
+        """Return the store of the current fleet state."""
         return self.shared.fleet_store
 
-    def learn_revision(self, link: SidecarLink, revision: int) -> None:
-        """Ask a sidecar for the records that it has and this entry lacks."""
+    def pull_if_behind(self, link: SidecarLink, revision: int) -> None:
+        """Request the records that a sidecar has and this entry is missing."""
         pull = self.fleet_store.pull_if_behind(revision)
         if pull is not None:
-            link.tell(pull)
+            link.send_if_open(pull)
 
     def close_links(self) -> None:
         """Close the connections to all sidecars."""
@@ -70,12 +70,12 @@
         return link
 
     def new_request_id(self) -> str:
-        """Return an id that no other request has, of this entry or another."""
+        """Return a request id that is unique across all entries."""
         return f"{self.rng.getrandbits(REQUEST_ID_BITS):032x}"
 
     @contextmanager
     def counted_in_flight(self) -> Iterator[None]:
-        """Count a request while it is being served, for a shutdown to wait for."""
+        """Count a request while it is being served, so that a drain waits for it."""
         self.in_flight += 1
         self.metrics.set_in_flight(self.in_flight)
         try:
--- a/acaciacove/entry/open_links.py
+++ b/acaciacove/entry/link_factory.py
@@ -1,4 +1,4 @@
-"""Connections to sidecars, and what comes on them beside answers."""
+"""Creates links to sidecars and processes their control messages."""
 
 from collections.abc import Callable
 
@@ -10,16 +10,16 @@
 from acaciacove.messages.message import Message
 
 
-def open_links(
+def build_link_factory(
     shared: SharedState, on_load: Callable[[str, Load], None]
 ) -> Callable[[Instance], SidecarLink]:
-    """Return what makes a link to an endpoint's sidecar.
+    """Return a function that creates the link to an endpoint's sidecar.
 
-    ``on_load`` gets an endpoint's name and the load that its sidecar has reported.
+    ``on_load`` receives an endpoint's name and the load that its sidecar reports.
     """
 
-    def on_other(link: SidecarLink, message: Message) -> None:
-        """Answer a sidecar that asks for records, or take in what it knows."""
+    def on_control_message(link: SidecarLink, message: Message) -> None:
+        """Apply a sidecar's update, or reply to its request for records."""
         if isinstance(message, Hello):
             shared.record_message(message)
             return
@@ -29,9 +29,11 @@
             return
         sender = link.peer.instance if link.peer else ""
         for reply in shared.network.answer(sender, message):
-            link.tell(reply)
+            link.send_if_open(reply)
 
     def open_link(endpoint: Instance) -> SidecarLink:
-        return SidecarLink(endpoint.host, endpoint.port, shared.hello, on_other)
+        return SidecarLink(
+            endpoint.host, endpoint.port, shared.hello, on_control_message
+        )
 
     return open_link
--- a/acaciacove/entry/parse_chat.py
+++ b/acaciacove/entry/parse_chat.py
@@ -1,4 +1,4 @@
-"""Reads the body of a chat request; every fault is a typed refusal."""
+"""Parses the body of a chat request; every invalid body gets a typed refusal."""
 
 from typing import Any
 
@@ -8,36 +8,36 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# A guess of what is generated when the caller sets no limit; sidecars correct it.
-USUAL_TOKENS = 64
+# Estimate for requests without max_tokens; sidecars correct it.
+DEFAULT_MAX_TOKENS = 64
 MAX_TOKENS_LIMIT = 1_000_000
 MAX_MESSAGES = 10_000
 
 
 def parse_chat(body: bytes) -> ChatBody | Refusal:
-    """Read and check a chat completion request."""
+    """Parse and validate a chat completion request."""
     try:
         document = orjson.loads(body)
     except orjson.JSONDecodeError as error:
         return _malformed(f"the body is not JSON: {error}")
     if not isinstance(document, dict):
         return _malformed("the body must be a JSON object")
-    fault = _fault(document)
-    if fault:
-        return _malformed(fault)
+    validation_error = _validation_error(document)
+    if validation_error:
+        return _malformed(validation_error)
     texts = [_text(message) for message in document["messages"]]
     return ChatBody(
         model=document["model"],
         stream=document.get("stream", False),
         prompt_chars=sum(len(text) for text in texts),
-        max_tokens=document.get("max_tokens") or USUAL_TOKENS,
+        max_tokens=document.get("max_tokens") or DEFAULT_MAX_TOKENS,
         first_message=texts[0],
         document=document,
     )
 
 
-def _fault(document: dict[str, Any]) -> str:
-    """Name the first field that is wrong, or return an empty text."""
+def _validation_error(document: dict[str, Any]) -> str:
+    """Return the error of the first invalid field, or an empty string."""
     model = document.get("model")
     if not isinstance(model, str) or not model:
         return "model: must be the name of an API or model@version"
@@ -49,14 +49,14 @@
     messages = document.get("messages")
     if not isinstance(messages, list) or not 0 < len(messages) <= MAX_MESSAGES:
         return f"messages: must be a list of 1 to {MAX_MESSAGES} messages"
-    for place, message in enumerate(messages):
-        fault = _message_fault(message)
-        if fault:
-            return f"messages[{place}]{fault}"
+    for index, message in enumerate(messages):
+        validation_error = _message_error(message)
+        if validation_error:
+            return f"messages[{index}]{validation_error}"
     return ""
 
 
-def _message_fault(message: Any) -> str:
+def _message_error(message: Any) -> str:
     if not isinstance(message, dict):
         return ": must be an object"
     if not isinstance(message.get("role"), str):
@@ -67,14 +67,14 @@
 
 
 def _is_count(value: Any) -> bool:
-    """Tell a whole number in range; true and false are not numbers here."""
+    """Return whether ``value`` is an integer in range; booleans are excluded."""
     if isinstance(value, bool) or not isinstance(value, int):
         return False
     return 0 < value <= MAX_TOKENS_LIMIT
 
 
 def _text(message: dict[str, Any]) -> str:
-    """Return the text of a message, its parts joined."""
+    """Return the text of a message, with its parts joined."""
     content = message.get("content")
     if isinstance(content, str):
         return content
--- a/acaciacove/entry/sidecar_link.py
+++ b/acaciacove/entry/sidecar_link.py
@@ -18,15 +18,16 @@
 CONNECT_TIMEOUT_S = 1.0
 MAX_BUFFERED_BYTES = 4 * 2**20
 
-OtherMessageHandler = Callable[["SidecarLink", Message], None]
+OnControlMessage = Callable[["SidecarLink", Message], None]
 
 
 class SidecarLink:
-    """Owns one connection; attempts read from queues of their own.
+    """Owns one connection; each attempt reads its events from its own queue.
 
-    ``peer`` is what the sidecar said of itself, once it did. ``on_other`` gets
-    every message that belongs to no attempt, such as records of the release stream;
-    ``stray_count`` counts answers nobody waits for any more.
+    ``peer`` is the sidecar's last Hello, or None before the first one.
+    ``on_control_message`` receives every message that belongs to no attempt, such
+    as records of the release stream. ``stray_count`` counts answers to attempts
+    that have already ended.
     """
 
     def __init__(
@@ -34,43 +35,43 @@
         host: str,
         port: int,
         hello: Callable[[], Hello],
-        on_other: OtherMessageHandler,
+        on_control_message: OnControlMessage,
     ) -> None:
-        """Remember where the sidecar listens; nothing is opened yet."""
+        """Store the sidecar's address; the first attempt opens the connection."""
         self.stray_count = 0
         self.peer: Hello | None = None
         self._address = (host, port)
         self._hello = hello
-        self._on_other = on_other
+        self._on_control_message = on_control_message
         self._attempts: dict[tuple[str, int], Attempt] = {}
         self._connection: Connection | None = None
-        self._opening = asyncio.Lock()
-        self._reader: asyncio.Task[None] | None = None
+        self._open_lock = asyncio.Lock()
+        self._reader_task: asyncio.Task[None] | None = None
 
-    async def start(self, run: Run) -> Attempt | Refused:
-        """Send an attempt; a Refused says that it never left this process."""
+    async def start_attempt(self, run: Run) -> Attempt | Refused:
+        """Send an attempt; return a Refused if it was never sent."""
         try:
-            connection = await self._connected()
+            connection = await self._get_connection()
         except (OSError, TimeoutError) as error:
-            return _never_sent(run, f"cannot connect: {type(error).__name__}")
+            return _refused_not_run(run, f"cannot connect: {type(error).__name__}")
         attempt = Attempt(run.request_id, run.attempt)
         self._attempts[attempt.key] = attempt
         try:
             await connection.send(run)
         except ConnectionError:
-            # The bytes may have left before the loss was noticed, so the reader's
-            # verdict on lost connections stands: not known to be not run.
-            self._lose(attempt)
+            # The bytes may have been sent before the loss was detected. As with any
+            # lost connection, the attempt may have run.
+            self._fail_lost(attempt)
         return attempt
 
-    def finish(self, attempt: Attempt) -> None:
-        """Forget an attempt; if it is still open its sidecar is told to stop."""
+    def end_attempt(self, attempt: Attempt) -> None:
+        """Remove an attempt; if it is still open, send its sidecar a Cancel."""
         if self._attempts.pop(attempt.key, None) is None:
             return
-        self.tell(Cancel(attempt.request_id, attempt.number))
+        self.send_if_open(Cancel(attempt.request_id, attempt.number))
 
-    def tell(self, message: Message) -> None:
-        """Send a message that needs no answer, if the connection is open."""
+    def send_if_open(self, message: Message) -> None:
+        """Send a message without a reply; drop it if the connection is not open."""
         if self._connection is None:
             return
         try:
@@ -79,18 +80,18 @@
             return
 
     def close(self) -> None:
-        """Close the connection; attempts that are open are lost."""
-        if self._reader is not None:
-            self._reader.cancel()
+        """Close the connection and end its open attempts as lost."""
+        if self._reader_task is not None:
+            self._reader_task.cancel()
         if self._connection is not None:
             self._connection.close()
-        self._lose_all()
+        self._fail_all_lost()
 
-    async def _connected(self) -> Connection:
-        """Return the open connection, or open one for all who wait."""
+    async def _get_connection(self) -> Connection:
+        """Return the open connection, or open one that all waiting attempts share."""
         if self._connection is not None:
             return self._connection
-        async with self._opening:
+        async with self._open_lock:
             if self._connection is None:
                 await self._open()
             assert self._connection is not None
@@ -101,10 +102,10 @@
             connection = await connect(*self._address)
         connection.send_nowait((self._hello(),))
         self._connection = connection
-        self._reader = asyncio.create_task(self._read(connection))
+        self._reader_task = asyncio.create_task(self._read(connection))
 
     async def _read(self, connection: Connection) -> None:
-        """Hand messages to their attempts until the peer closes."""
+        """Deliver messages to their attempts until the connection closes."""
         try:
             while (message := await connection.receive()) is not None:
                 self._deliver(message)
@@ -112,16 +113,16 @@
             connection.close()
             if self._connection is connection:
                 self._connection = None
-            self._lose_all()
+            self._fail_all_lost()
 
     def _deliver(self, message: Message) -> None:
         if isinstance(message, Hello):
             self.peer = message
         if not isinstance(message, Head | Chunk | End | Refused):
-            self._on_other(self, message)
+            self._on_control_message(self, message)
             return
-        # An answer of an attempt that was given up may still arrive. It is matched
-        # by request id and attempt, so it can never reach another caller.
+        # The answer to an attempt that has already ended may still arrive. Answers
+        # are matched by request id and attempt, so it cannot reach another caller.
         attempt = self._attempts.get((message.request_id, message.attempt))
         if attempt is None:
             self.stray_count += 1
@@ -129,37 +130,41 @@
         if isinstance(message, Chunk):
             attempt.buffered_bytes += len(message.data)
             if attempt.buffered_bytes > MAX_BUFFERED_BYTES:
-                self._give_up_slow_caller(attempt)
+                self._cancel_slow_caller(attempt)
                 return
         if isinstance(message, End | Refused):
             del self._attempts[attempt.key]
         attempt.events.put_nowait(message)
 
-    def _give_up_slow_caller(self, attempt: Attempt) -> None:
-        """Stop an attempt whose caller reads too slowly.
+    def _cancel_slow_caller(self, attempt: Attempt) -> None:
+        """Cancel an attempt whose caller reads too slowly.
 
-        Otherwise one caller that stops reading would fill the entry's memory, seen
-        as an entry that is killed with all of its streams.
+        Otherwise one caller that stops reading would fill the entry's memory until
+        the entry is killed, together with all of its streams.
         """
-        self.finish(attempt)
+        self.end_attempt(attempt)
         detail = "the caller does not read its answer"
-        attempt.events.put_nowait(_lost(attempt, Reason.CANCELLED, detail))
+        attempt.events.put_nowait(
+            _refused_may_have_run(attempt, Reason.CANCELLED, detail)
+        )
 
-    def _lose(self, attempt: Attempt) -> None:
+    def _fail_lost(self, attempt: Attempt) -> None:
         self._attempts.pop(attempt.key, None)
         detail = "the connection to the endpoint's instance was lost"
-        attempt.events.put_nowait(_lost(attempt, Reason.CONNECTION_LOST, detail))
+        attempt.events.put_nowait(
+            _refused_may_have_run(attempt, Reason.CONNECTION_LOST, detail)
+        )
 
-    def _lose_all(self) -> None:
+    def _fail_all_lost(self) -> None:
         for attempt in tuple(self._attempts.values()):
-            self._lose(attempt)
+            self._fail_lost(attempt)
 
 
-def _never_sent(run: Run, detail: str) -> Refused:
-    """Refuse an attempt of which no byte has left."""
+def _refused_not_run(run: Run, detail: str) -> Refused:
+    """Return the Refused of an attempt of which no byte was sent."""
     return Refused(run.request_id, run.attempt, Reason.CONNECTION_LOST, True, detail)
 
 
-def _lost(attempt: Attempt, reason: Reason, detail: str) -> Refused:
-    """End an attempt that may have run."""
+def _refused_may_have_run(attempt: Attempt, reason: Reason, detail: str) -> Refused:
+    """Return the Refused of an attempt that may have run."""
     return Refused(attempt.request_id, attempt.number, reason, False, detail)
--- a/acaciacove/entry/try_endpoint.py
+++ b/acaciacove/entry/try_endpoint.py
@@ -1,12 +1,12 @@
-"""One attempt at one endpoint, from the message sent to the last piece."""
+"""One attempt at one endpoint, from its Run message to the last chunk."""
 
 import asyncio
 from collections.abc import AsyncGenerator
 
+from acaciacove.entry.answer_chunk import AnswerChunk
 from acaciacove.entry.answer_end import AnswerEnd
 from acaciacove.entry.answer_event import AnswerEvent
 from acaciacove.entry.answer_head import AnswerHead
-from acaciacove.entry.answer_piece import AnswerPiece
 from acaciacove.entry.attempt import Attempt
 from acaciacove.entry.caller_request import CallerRequest
 from acaciacove.entry.entry_state import EntryState
@@ -22,8 +22,8 @@
 from acaciacove.reason import Reason
 from acaciacove.state.billing_price import price
 
-# The sidecar keeps the same deadline and knows more about what became of a call, so
-# its word is awaited a little longer than the deadline itself.
+# The sidecar applies the same deadline and knows more about the outcome of a call, so
+# the entry waits a little past the deadline for the sidecar's reply.
 DEADLINE_GRACE_S = 0.25
 
 
@@ -38,24 +38,24 @@
     progress.attempts += 1
     entry.metrics.attempts.inc({"endpoint": endpoint.name})
     remaining_s = request.deadline_at_s - asyncio.get_running_loop().time()
-    run = _run_message(request, progress, entry, version, endpoint, remaining_s)
+    run = _build_run(request, progress, entry, version, endpoint, remaining_s)
     link = entry.link_to(endpoint)
-    attempt = await link.start(run)
+    attempt = await link.start_attempt(run)
     if isinstance(attempt, Refused):
         entry.shared.connection_lost(endpoint.name)
         yield attempt
         return
     entry.router.sent(endpoint, request)
-    progress.asked.append(endpoint.name)
+    progress.attempted_endpoints.append(endpoint.name)
     load: Load | None = None
-    # An attempt that is given up unfinished says nothing of its endpoint: the caller
-    # has left, or a second attempt was sooner.
+    # An attempt that is cancelled before its end is no evidence against its endpoint:
+    # the caller has disconnected, or a hedged attempt was faster.
     ok = True
     expected_sequence = 0
-    until_s = request.deadline_at_s + DEADLINE_GRACE_S
+    deadline_at_s = request.deadline_at_s + DEADLINE_GRACE_S
     try:
         while True:
-            event = await _next_event(attempt, until_s, expected_sequence)
+            event = await _next_event(attempt, deadline_at_s, expected_sequence)
             match event:
                 case Head():
                     yield AnswerHead(
@@ -66,57 +66,62 @@
                     if request.stream:
                         progress.delivered_tokens += event.tokens
                         progress.delivered_bytes += len(event.data)
-                    yield AnswerPiece(event.data)
+                    yield AnswerChunk(event.data)
                 case End():
                     load = event.load
                     entry.shared.record_message(link.peer)
-                    entry.learn_revision(link, event.revision)
+                    entry.pull_if_behind(link, event.revision)
                     yield _answer_end(progress, version, endpoint, event)
                     return
                 case Refused():
                     load = event.load
                     ok = event.not_run
                     entry.shared.record_refusal(link.peer, endpoint.name, event)
-                    entry.learn_revision(link, event.revision)
+                    entry.pull_if_behind(link, event.revision)
                     yield event
                     return
     finally:
         entry.router.ended(endpoint, request, load, ok)
-        link.finish(attempt)
+        link.end_attempt(attempt)
 
 
 async def _next_event(
-    attempt: Attempt, until_s: float, expected_sequence: int
+    attempt: Attempt, deadline_at_s: float, expected_sequence: int
 ) -> Head | Chunk | End | Refused:
-    """Wait for the next event; a gap or the deadline is a Refused.
+    """Wait for the next event; return a Refused at a gap or at the deadline.
 
-    Only the waiting is timed. A timeout around the whole loop would also strike
-    while a slow caller is being written to, and cut its stream without a word.
+    The timeout covers only this wait. A timeout around the complete loop would also
+    expire while the entry writes to a slow caller, and would truncate the caller's
+    stream without an error.
     """
     try:
-        async with asyncio.timeout_at(until_s):
+        async with asyncio.timeout_at(deadline_at_s):
             event = await attempt.next_event()
     except TimeoutError:
         detail = "the deadline passed while the endpoint was working"
-        return _failed(attempt, Reason.DEADLINE_EXCEEDED, detail)
+        return _refused_may_have_run(attempt, Reason.DEADLINE_EXCEEDED, detail)
     if _has_gap(event, expected_sequence):
-        return _failed(attempt, Reason.ANSWER_TRUNCATED, "pieces are missing")
+        return _refused_may_have_run(
+            attempt,
+            Reason.ANSWER_TRUNCATED,
+            "pieces are missing",
+        )
     return event
 
 
 def _has_gap(event: Head | Chunk | End | Refused, expected_sequence: int) -> bool:
-    """Tell whether pieces are missing before this event.
+    """Return whether chunks are missing before this event.
 
-    A sidecar that restarts or crosses its streams would otherwise deliver half of
-    an answer as a whole one, which the caller cannot notice.
+    Otherwise a sidecar that restarts or mixes up its streams could deliver part of an
+    answer as a complete one, and the caller could not detect it.
     """
     if isinstance(event, Chunk):
         return event.sequence != expected_sequence
     return isinstance(event, End) and event.chunks != expected_sequence
 
 
-def _failed(attempt: Attempt, reason: Reason, detail: str) -> Refused:
-    """End an attempt that may have run."""
+def _refused_may_have_run(attempt: Attempt, reason: Reason, detail: str) -> Refused:
+    """Return the Refused of an attempt that may have run."""
     return Refused(attempt.request_id, attempt.number, reason, False, detail)
 
 
@@ -135,7 +140,7 @@
     )
 
 
-def _run_message(
+def _build_run(
     request: CallerRequest,
     progress: Progress,
     entry: EntryState,
@@ -143,7 +148,7 @@
     endpoint: Instance,
     remaining_s: float,
 ) -> Run:
-    """Write the message that asks a sidecar for this attempt."""
+    """Build the message that requests this attempt from a sidecar."""
     return Run(
         request_id=request.request_id,
         attempt=progress.attempts,
--- a/tests/test_path_bad_input.py
+++ b/tests/test_path_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the door of a real entry: one clear typed error each."""
+"""Invalid requests to a running entry each get one typed error."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 QUESTION = {"model": "guide", "messages": [{"role": "user", "content": "Any creeks?"}]}
 
 
-async def told(response):
+async def read_problem(response):
     problem = orjson.loads(await response.content())
     assert response.headers["content-type"] == "application/problem+json"
     assert problem["not_run"] is True
@@ -43,13 +43,15 @@
         ("/services/rides/shuttles", b"{}", {}, 400, "key_required"),
     ],
 )
-def test_what_cannot_be_served_is_refused_by_name(path, body, headers, status, reason):
+def test_invalid_requests_are_refused_with_their_reason(
+    path, body, headers, status, reason
+):
     async def test():
         async with embedded_fleet() as fleet:
             response = await fleet.post(path, body, **headers)
-            got = await told(response)
-            assert got[:2] == (status, reason)
-            assert got[2]
+            problem = await read_problem(response)
+            assert problem[:2] == (status, reason)
+            assert problem[2]
             assert all(e.counters.started == 0 for e in fleet.engines.values())
             assert all(s.calls == 0 for s in fleet.services.values())
 
@@ -57,8 +59,8 @@
 
 
 def test_a_body_slower_than_its_deadline_is_refused():
-    # A caller announces a body and sends it byte by byte. It must not hold a place
-    # in the entry for longer than the deadline that it set itself.
+    # A caller announces a body and does not send all of it. The entry must not hold
+    # the request for longer than the caller's own time-out.
     async def test():
         async with embedded_fleet(models=1, services=0) as fleet:
             port = fleet.entries[0].http_port
