--- a/acaciacove/gateway/peers/peer_network.py
+++ b/acaciacove/gateway/peers/peer_network.py
@@ -39,7 +39,8 @@
 # unavailable, and otherwise just short enough to tell live peers from failed ones.
 BUSY_REPORT_INTERVAL_S = 0.3
 IDLE_REPORT_INTERVAL_S = 2.0
-# Reports are sent at the busy interval for this long after a roll-out outcome was read.
+# Reports are sent at the busy interval for this long after a roll-out outcome was read,
+# so that peers learn of it quickly.
 BUSY_AFTER_OUTCOME_S = 2.0
 # Number of peers that one round of reports goes to; others follow in later rounds.
 FANOUT = 4
--- a/acaciacove/platform/log_client.py
+++ b/acaciacove/platform/log_client.py
@@ -1,4 +1,4 @@
-"""HTTP client of the platform's log, over keep-alive connections."""
+"""HTTP client of the platform's log, over one keep-alive connection per stream."""
 
 import asyncio
 from base64 import b64decode
--- a/acaciacove/platform/records.py
+++ b/acaciacove/platform/records.py
@@ -175,7 +175,7 @@
 
 
 def read_endpoint(record: LogRecord) -> EndpointReport:
-    """Decode an endpoint's heartbeat; raises MalformedMessageError."""
+    """Decode a heartbeat; records of other writers raise MalformedMessageError."""
     return _decode(_endpoint, record)
 
 
--- a/tests/test_gateway_front.py
+++ b/tests/test_gateway_front.py
@@ -104,7 +104,7 @@
 
 
 def test_slow_caller_is_refused_with_408():
-    """Guards against slow callers that occupy all connections for long."""
+    """Guards against callers that send a byte now and then and so hold connections."""
 
     async def scenario(fleet):
         answer = await raw("POST /look/1 HT", wait_s=4.0)
