--- a/acaciacove/gateway/running_gateway.py
+++ b/acaciacove/gateway/running_gateway.py
@@ -34,8 +34,8 @@
 from acaciacove.settings.gateway_settings import GatewaySettings
 
 # While other gateways read through this one, its own reads of the log have shorter
-# waits, so that the others notice in time if it loses the log. After this time without
-# a request no other gateway reads through it any more.
+# waits, so that the others notice in time if it loses the log. Without a request for
+# this long, no gateway is assumed to read through it.
 RELAY_REQUEST_MEMORY_S = 5.0
 TRIM_EVERY_S = 1.0
 METRICS_PATH = "/metrics"
