--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -3,7 +3,7 @@
 import asyncio
 
 import pytest
-from hypothesis import given, settings
+from hypothesis import example, given, settings
 from hypothesis import strategies as st
 
 from acaciacove.errors import PlatformUnavailableError
@@ -40,6 +40,8 @@
 NAMES = st.sets(st.text("abcdef", min_size=1, max_size=6), min_size=1, max_size=60)
 OFFSETS = st.integers(0, 2**40)
 SECONDS = st.floats(0, 1e6, allow_nan=False)
+# Sums of binary fractions exceed an exact bound by some 1e-16 s.
+ROUNDING_S = 1e-12
 
 
 def reader_of(fleet):
@@ -404,6 +406,7 @@
 
 
 @given(st.floats(2.0, 20.0), st.floats(0.2, 20.0), st.integers(0, 600))
+@example(2.0, 1.9544092518228855, 0)  # the sum below is rounded up
 @settings(max_examples=50, derandomize=True)
 def test_followers_have_time_to_read_after_their_reader_lost_the_log(
     propagation_s, drain_s, endpoints
@@ -421,7 +424,7 @@
     assert propagation_s - intervals.max_relayed_age_s >= intervals.request_wait_s
     # So does a reader that stops responding during a request.
     request_s = intervals.request_wait_s + intervals.reply_margin_s
-    assert intervals.max_endpoints_age_s + request_s <= 0.9 * drain_s
+    assert intervals.max_endpoints_age_s + request_s <= 0.9 * drain_s + ROUNDING_S
     assert intervals.rejected_pause_s <= drain_s / 2.0
     # A call on a silent connection and the next call end before keys expire.
     assert 2 * intervals.log_wait_s + CALL_TIMEOUT_S <= 0.9 * 5.0
