--- a/acaciacove/bench/promise_sidecar.py
+++ b/acaciacove/bench/promise_sidecar.py
@@ -19,7 +19,7 @@
 from acaciacove.messages.run import Run
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
-from acaciacove.sidecar.admission import Admission
+from acaciacove.sidecar.admission_controller import AdmissionController
 from acaciacove.sidecar.attempt_outcome import AttemptOutcome
 from acaciacove.sidecar.gate import GateView, refuse_run
 from acaciacove.sidecar.ticket import Ticket
@@ -44,7 +44,9 @@
         super().__init__(me, world)
         self.endpoint = endpoint
         self.served = frozenset(me.versions)
-        self.admission = Admission(AdmissionQueue(AdmissionSettings(token_s=0.001)))
+        self.admission = AdmissionController(
+            AdmissionQueue(AdmissionSettings(token_s=0.001))
+        )
         self.gate = FenceGate(lambda: self.holder.state.release_revision)
         self.claims = ClaimOwner(
             me.name,
@@ -96,13 +98,13 @@
             return refusal
         if self.world.broken == "ramp":
             return await self._once(run)
-        ticket = await self.step(self.admission.enter(run))
+        ticket = await self.step(self.admission.admit(run))
         if isinstance(ticket, Refusal):
             return ticket
         return await self._run(run, ticket)
 
     async def _run(self, run: Run, ticket: Ticket) -> ServiceAnswer | Refusal:
-        outcome = AttemptOutcome.UNTOLD
+        outcome = AttemptOutcome.INCONCLUSIVE
         try:
             result = self._refuse(run) or await self._once(run)
             if isinstance(result, ServiceAnswer):
@@ -110,7 +112,7 @@
             elif not result.not_run:
                 outcome = AttemptOutcome.FAILED
         finally:
-            self.admission.leave(ticket, outcome)
+            self.admission.release(ticket, outcome)
         return result
 
     async def _once(self, run: Run) -> ServiceAnswer | Refusal:
--- a/acaciacove/sidecar/admission.py
+++ b/acaciacove/sidecar/admission_controller.py
@@ -16,15 +16,15 @@
 from acaciacove.sidecar.attempt_outcome import AttemptOutcome
 from acaciacove.sidecar.ticket import Ticket
 
-RECHECK_S = 0.05
-SMOOTHING = 0.1
+RECHECK_INTERVAL_S = 0.05
+EWMA_WEIGHT = 0.1
 DEFAULT_WEIGHT = 1.0
-NO_LIMIT = 1e6
-WATCH_S = 0.1
+UNLIMITED_CONCURRENCY = 1e6
+LIMIT_UPDATE_INTERVAL_S = 0.1
 
 
 @define(eq=False)
-class Admission:
+class AdmissionController:
     """Gives out places by the fair queue, never more than the ramps allow.
 
     The decisions are AdmissionQueue's and Ramp's; this class only knows who waits.
@@ -32,7 +32,9 @@
 
     queue: AdmissionQueue
     ramps: dict[VersionId, Ramp] = field(factory=dict)
-    adaptive: ConcurrencyLimit = field(factory=lambda: ConcurrencyLimit(NO_LIMIT))
+    adaptive_limit: ConcurrencyLimit = field(
+        factory=lambda: ConcurrencyLimit(UNLIMITED_CONCURRENCY)
+    )
     service_s: float = 0.0
     queue_delay_s: float = 0.0
     _waiting: dict[str, asyncio.Future[Refusal | None]] = field(factory=dict)
@@ -44,13 +46,13 @@
         """Follow the versions in force: each served one has a ramp of its own."""
         now_s = _now_s()
         for version in served & fleet.versions.keys():
-            known = self.ramps.get(version)
-            if known is None or known.version != fleet.versions[version]:
+            ramp = self.ramps.get(version)
+            if ramp is None or ramp.version != fleet.versions[version]:
                 self.ramps[version] = Ramp(fleet.versions[version], now_s)
         for version in self.ramps.keys() - served:
             del self.ramps[version]
 
-    async def enter(self, run: Run, weight: float = DEFAULT_WEIGHT) -> Ticket | Refusal:
+    async def admit(self, run: Run, weight: float = DEFAULT_WEIGHT) -> Ticket | Refusal:
         """Wait for a place; a refusal means that the endpoint never saw the run."""
         arrived_at_s = _now_s()
         item = _waiting_item(run, weight, arrived_at_s)
@@ -62,52 +64,54 @@
         )
         self._waiting[item.request_id] = admitted
         self._items[item.request_id] = item
-        self._give_places()
+        self._admit_waiting()
         try:
             refusal = await admitted
         except asyncio.CancelledError:
-            self._withdraw(item)
+            self._remove_cancelled(item)
             raise
         if refusal is not None:
             del self._items[item.request_id]
             return refusal
         admitted_at_s = _now_s()
-        self._learn_delay(admitted_at_s - arrived_at_s)
+        self._record_queue_delay(admitted_at_s - arrived_at_s)
         ticket = Ticket(run, arrived_at_s, admitted_at_s)
         self._running.add(ticket)
         return ticket
 
-    def leave(self, ticket: Ticket, outcome: AttemptOutcome) -> None:
+    def release(self, ticket: Ticket, outcome: AttemptOutcome) -> None:
         """Give a place back, and learn how the endpoint bore the attempt."""
         now_s = _now_s()
         completed = outcome is AttemptOutcome.COMPLETED
         self._running.discard(ticket)
-        item = self._items.pop(_item_id(ticket.run))
+        item = self._items.pop(_attempt_id(ticket.run))
         self.queue.finish(item, now_s, completed, ticket.tokens or None)
-        if outcome is not AttemptOutcome.UNTOLD:
-            self._learn_from(ticket, completed, now_s)
-        self._give_places()
+        if outcome is not AttemptOutcome.INCONCLUSIVE:
+            self._record_attempt(ticket, completed, now_s)
+        self._admit_waiting()
 
-    def watch(self) -> None:
+    def update_limits(self) -> None:
         """Look at the tokens that are due, and let limits that have grown take hold.
 
         An engine that thrashes may take minutes to complete anything. When even its
         freshest token is old, that tells within a fraction of a second.
         """
         now_s = _now_s()
-        begun = [t.last_piece_at_s for t in self._running if t.last_piece_at_s > 0]
+        last_chunk_times_s = [
+            t.last_chunk_at_s for t in self._running if t.last_chunk_at_s > 0
+        ]
         for ramp in self.ramps.values():
-            if begun:
-                ramp.observed_gap(now_s - max(begun), now_s)
+            if last_chunk_times_s:
+                ramp.observed_gap(now_s - max(last_chunk_times_s), now_s)
         if self._is_cold():
-            self.adaptive.reset(self._bears())
-        self._give_places()
+            self.adaptive_limit.reset(self._warm_capacity())
+        self._admit_waiting()
 
-    def _learn_from(self, ticket: Ticket, completed: bool, now_s: float) -> None:
+    def _record_attempt(self, ticket: Ticket, completed: bool, now_s: float) -> None:
         """Let ramp and adaptive limit learn from one attempt."""
         service_s = now_s - ticket.admitted_at_s
         if completed:
-            self.service_s += SMOOTHING * (service_s - self.service_s)
+            self.service_s += EWMA_WEIGHT * (service_s - self.service_s)
         version = parse_version_id(ticket.run.version)
         ramp = self.ramps.get(version) if version else None
         if ramp is None:
@@ -116,14 +120,14 @@
         token_s = ticket.token_s(now_s)
         ramp.finished(token_s, completed, now_s, ticket.admitted_at_s)
         if was_warm and ramp.warm:
-            self.adaptive.finished(
-                token_s, ticket.admitted_at_s, completed, now_s, self._bears()
+            self.adaptive_limit.finished(
+                token_s, ticket.admitted_at_s, completed, now_s, self._warm_capacity()
             )
 
     def _is_cold(self) -> bool:
         return any(not ramp.warm for ramp in self.ramps.values())
 
-    def _bears(self) -> int:
+    def _warm_capacity(self) -> int:
         """Return what the endpoint bears when warm."""
         return min((r.version.warm_bears for r in self.ramps.values()), default=0)
 
@@ -151,55 +155,55 @@
         what a warm endpoint gets that bears less than was declared.
         """
         now_s = _now_s()
-        by_ramps = min((ramp.limit(now_s) for ramp in self.ramps.values()), default=0)
-        return min(by_ramps, max(1, int(self.adaptive.limit)))
+        ramp_limit = min((ramp.limit(now_s) for ramp in self.ramps.values()), default=0)
+        return min(ramp_limit, max(1, int(self.adaptive_limit.limit)))
 
-    def _give_places(self) -> None:
+    def _admit_waiting(self) -> None:
         """Let in whoever is next, and refuse whoever cannot be served in time."""
         now_s = _now_s()
         self.queue.limit = self._limit()
         while (item := self.queue.next(now_s)) is not None:
-            self._settle(item.request_id, None)
+            self._resolve(item.request_id, None)
         for refused in self.queue.take_refused():
-            self._settle(refused.item.request_id, refused.refusal)
-        self._look_again()
+            self._resolve(refused.item.request_id, refused.refusal)
+        self._schedule_recheck()
 
-    def _settle(self, item_id: str, refusal: Refusal | None) -> None:
+    def _resolve(self, item_id: str, refusal: Refusal | None) -> None:
         admitted = self._waiting.pop(item_id, None)
         if admitted is not None and not admitted.done():
             admitted.set_result(refusal)
 
-    def _look_again(self) -> None:
+    def _schedule_recheck(self) -> None:
         """Come back while somebody waits: limits and deadlines move with time."""
         if self._recheck is not None:
             self._recheck.cancel()
             self._recheck = None
         if self.queue.queued:
             loop = asyncio.get_running_loop()
-            self._recheck = loop.call_later(RECHECK_S, self._give_places)
+            self._recheck = loop.call_later(RECHECK_INTERVAL_S, self._admit_waiting)
 
-    def _withdraw(self, item: WaitingItem) -> None:
+    def _remove_cancelled(self, item: WaitingItem) -> None:
         """Take back an attempt that was cancelled while it waited."""
         self._waiting.pop(item.request_id, None)
         del self._items[item.request_id]
         if not self.queue.cancel(item.request_id):
             self.queue.finish(item, _now_s(), False)
-            self._give_places()
+            self._admit_waiting()
 
-    def _learn_delay(self, delay_s: float) -> None:
-        self.queue_delay_s += SMOOTHING * (delay_s - self.queue_delay_s)
+    def _record_queue_delay(self, delay_s: float) -> None:
+        self.queue_delay_s += EWMA_WEIGHT * (delay_s - self.queue_delay_s)
 
 
-async def watch_admission(admission: Admission) -> None:
+async def run_limit_updates(admission: AdmissionController) -> None:
     """Look at the running attempts again and again."""
     while True:
-        await asyncio.sleep(WATCH_S)
-        admission.watch()
+        await asyncio.sleep(LIMIT_UPDATE_INTERVAL_S)
+        admission.update_limits()
 
 
 def _waiting_item(run: Run, weight: float, now_s: float) -> WaitingItem:
     return WaitingItem(
-        request_id=_item_id(run),
+        request_id=_attempt_id(run),
         organisation=run.organisation,
         weight=weight,
         cost_tokens=max(1, run.estimated_tokens),
@@ -208,7 +212,7 @@
     )
 
 
-def _item_id(run: Run) -> str:
+def _attempt_id(run: Run) -> str:
     """Name an attempt; hedges of one request may meet at one endpoint."""
     return f"{run.request_id}/{run.attempt}"
 
--- a/acaciacove/sidecar/attempt_outcome.py
+++ b/acaciacove/sidecar/attempt_outcome.py
@@ -4,8 +4,8 @@
 
 
 class AttemptOutcome(Enum):
-    """``UNTOLD`` attempts never ran, or their caller left: they tell nothing."""
+    """``INCONCLUSIVE`` attempts never ran, or their caller left: they tell nothing."""
 
     COMPLETED = auto()
     FAILED = auto()
-    UNTOLD = auto()
+    INCONCLUSIVE = auto()
--- a/acaciacove/sidecar/catch_up.py
+++ b/acaciacove/sidecar/catch_up.py
@@ -7,8 +7,8 @@
 from acaciacove.messages.run import Run
 from acaciacove.state.fleet_holder import FleetHolder
 
-LIMIT_S = 0.5
-POLL_S = 0.005
+MAX_CATCH_UP_S = 0.5
+POLL_INTERVAL_S = 0.005
 
 
 async def catch_up(
@@ -24,6 +24,6 @@
         return
     await send(pull)
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + min(LIMIT_S, run.deadline_s)
-    while holder.revision < run.revision and loop.time() < until_s:
-        await asyncio.sleep(POLL_S)
+    deadline_at_s = loop.time() + min(MAX_CATCH_UP_S, run.deadline_s)
+    while holder.revision < run.revision and loop.time() < deadline_at_s:
+        await asyncio.sleep(POLL_INTERVAL_S)
--- a/acaciacove/sidecar/claimed_call.py
+++ b/acaciacove/sidecar/claimed_call.py
@@ -10,14 +10,14 @@
 from acaciacove.messages.run import Run
 from acaciacove.refusal import Refusal
 from acaciacove.sidecar.gate import refuse_run
-from acaciacove.sidecar.hold_bill import hold_bill
+from acaciacove.sidecar.hold_billing_copy import hold_billing_copy
 from acaciacove.sidecar.sidecar_state import SidecarState
 from acaciacove.sidecar.ticket import Ticket
 from acaciacove.state.claim_key import claim_key, key_issued_s, request_fingerprint
 from acaciacove.state.rendezvous import CLAIM_PARTITIONS, usual_owner
 
 
-async def call_once(
+async def call_at_most_once(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, call: ServiceCall
 ) -> ServiceAnswer | Refusal:
     """Make a call unless its key has been claimed; then answer what became of it.
@@ -33,11 +33,11 @@
         refusal = refuse_run(run, sidecar.gate_view())
         if refusal is not None:
             return refusal
-        answer = await call_timed(sidecar, ticket, call)
+        answer = await timed_service_call(sidecar, ticket, call)
         if isinstance(answer, ServiceAnswer):
             # The entry may be gone by now, and with it the attempt that asked. The
             # booking has taken effect all the same, and nobody else would bill it.
-            hold_bill(run, entry, sidecar, ticket, answered=True)
+            hold_billing_copy(run, entry, sidecar, ticket, answered=True)
         return answer
 
     return await sidecar.claims.run_once(
@@ -50,36 +50,37 @@
     )
 
 
-async def call_timed(
+async def timed_service_call(
     sidecar: SidecarState, ticket: Ticket, call: ServiceCall
 ) -> ServiceAnswer | Refusal:
     """Make a call and note how long the service itself took."""
     loop = asyncio.get_running_loop()
-    ticket.asked = True
+    ticket.endpoint_called = True
     started_s = loop.time()
     try:
         return await sidecar.service.call(call)
     finally:
-        ticket.asked_s = loop.time() - started_s
+        ticket.service_call_s = loop.time() - started_s
 
 
-def usual_claims(shared: SharedState) -> Iterable[int]:
+def preferred_claim_partitions(shared: SharedState) -> Iterable[int]:
     """List the claim partitions of which this sidecar is the usual owner."""
-    if not _serves_claims(shared):
+    if not _serves_non_idempotent_calls(shared):
         return
-    mine = set(shared.me.versions)
-    names = {
+    local_versions = set(shared.me.versions)
+    candidates = {
         instance.name
         for instance in shared.membership.usable()
-        if instance.role is Role.ENDPOINT and mine.intersection(instance.versions)
+        if instance.role is Role.ENDPOINT
+        and local_versions.intersection(instance.versions)
     }
-    names.add(shared.me.name)
+    candidates.add(shared.me.name)
     for partition in range(CLAIM_PARTITIONS):
-        if usual_owner(partition, names) == shared.me.name:
+        if usual_owner(partition, candidates) == shared.me.name:
             yield partition
 
 
-def _serves_claims(shared: SharedState) -> bool:
+def _serves_non_idempotent_calls(shared: SharedState) -> bool:
     """Tell whether this endpoint serves an API with calls that may not be repeated."""
     fleet = shared.holder.state
     apis = {fleet.versions[v].api for v in shared.me.versions if v in fleet.versions}
--- a/acaciacove/sidecar/entry_session.py
+++ b/acaciacove/sidecar/entry_session.py
@@ -14,18 +14,19 @@
 from acaciacove.wire.outbox import Outbox
 
 Send = Callable[[Message], Awaitable[None]]
-OtherMessageHandler = Callable[[str, Message, Send], Awaitable[None]]
+OnControlMessage = Callable[[str, Message, Send], Awaitable[None]]
 
-REPORT_S = 1.0
-REPORT_BYTES = 110.0
-REPORTED_BYTES_PER_S = 200.0
+MIN_LOAD_REPORT_INTERVAL_S = 1.0
+LOAD_REPORT_BYTES = 110.0
+MAX_LOAD_REPORT_BYTES_PER_S = 200.0
 
 
 class EntrySession:
     """Reads one connection; each attempt is a task that answers through the outbox.
 
-    ``peer`` is the instance at the other end once it has named itself. ``on_other``
-    gets its name and the messages that are no attempts, and a way to answer.
+    ``peer`` is the name of the peer instance, empty until its Hello arrives.
+    ``on_control_message`` receives that name, each message that belongs to no
+    attempt, and a function that sends replies.
     """
 
     def __init__(
@@ -33,7 +34,7 @@
         connection: Connection,
         sidecar: SidecarState,
         hello: Callable[[], Hello],
-        on_other: OtherMessageHandler,
+        on_control_message: OnControlMessage,
     ) -> None:
         """Take over a connection that a peer has opened."""
         self.peer = ""
@@ -42,14 +43,14 @@
         self._connection = connection
         self._sidecar = sidecar
         self._hello = hello
-        self._on_other = on_other
+        self._on_control_message = on_control_message
         self._attempts: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     async def run(self) -> None:
         """Serve the peer until it closes, then stop what it had asked for."""
         writer = asyncio.create_task(self.outbox.run())
         reporter = asyncio.create_task(self._report_load())
-        self._sidecar.connected[self.peer] += 1
+        self._sidecar.connections_by_peer[self.peer] += 1
         try:
             while (message := await self._connection.receive()) is not None:
                 await self._handle(message)
@@ -59,8 +60,8 @@
             for task in tuple(self._attempts.values()):
                 task.cancel()
             self._connection.close()
-            self._sidecar.connected[self.peer] -= 1
-            self._note_loss()
+            self._sidecar.connections_by_peer[self.peer] -= 1
+            self._report_lost_entry()
 
     async def _report_load(self) -> None:
         """Tell an entry the load now and then, as an answer would.
@@ -71,31 +72,33 @@
         spends the same on all of them, and answers carry the load anyway.
         """
         while True:
-            entries = sum(1 for count in self._sidecar.connected.values() if count > 0)
-            pause_s = entries * REPORT_BYTES / REPORTED_BYTES_PER_S
-            await asyncio.sleep(max(REPORT_S, pause_s))
+            entries = sum(
+                1 for count in self._sidecar.connections_by_peer.values() if count > 0
+            )
+            interval_s = entries * LOAD_REPORT_BYTES / MAX_LOAD_REPORT_BYTES_PER_S
+            await asyncio.sleep(max(MIN_LOAD_REPORT_INTERVAL_S, interval_s))
             if self._is_entry:
                 await self.outbox.put(self._sidecar.admission.load())
 
-    def _note_loss(self) -> None:
+    def _report_lost_entry(self) -> None:
         """Take the end of an entry's last connection for the loss of the entry.
 
         An entry that is killed says nothing, and the platform's list shows it for a
         minute more. Its bills would wait all that time. One that lives after all
         is heard again within a second.
         """
-        if self._is_entry and self._sidecar.connected[self.peer] == 0:
+        if self._is_entry and self._sidecar.connections_by_peer[self.peer] == 0:
             self._sidecar.shared.connection_lost(self.peer)
 
-    def _name_peer(self, name: str) -> None:
-        self._sidecar.connected[self.peer] -= 1
+    def _set_peer(self, name: str) -> None:
+        self._sidecar.connections_by_peer[self.peer] -= 1
         self.peer = name
-        self._sidecar.connected[name] += 1
+        self._sidecar.connections_by_peer[name] += 1
 
     async def _handle(self, message: Message) -> None:
         match message:
             case Run():
-                self._start(message)
+                self._start_attempt(message)
             case Cancel():
                 task = self._attempts.get((message.request_id, message.attempt))
                 if task is not None:
@@ -103,12 +106,12 @@
             case Billed():
                 self._sidecar.billing.confirm(message.request_ids)
             case Hello():
-                self._name_peer(message.instance)
+                self._set_peer(message.instance)
                 await self.outbox.put(self._hello())
             case _:
-                await self._on_other(self.peer, message, self.outbox.put)
+                await self._on_control_message(self.peer, message, self.outbox.put)
 
-    def _start(self, run: Run) -> None:
+    def _start_attempt(self, run: Run) -> None:
         """Start an attempt; one that is repeated word for word starts once."""
         self._is_entry = True
         key = (run.request_id, run.attempt)
@@ -119,9 +122,9 @@
             run_attempt(run, self.peer, self._sidecar, self.outbox.put)
         )
         self._attempts[key] = task
-        task.add_done_callback(lambda done: self._finished(key, done))
+        task.add_done_callback(lambda done: self._on_attempt_done(key, done))
 
-    def _finished(self, key: tuple[str, int], task: asyncio.Task[None]) -> None:
+    def _on_attempt_done(self, key: tuple[str, int], task: asyncio.Task[None]) -> None:
         self._sidecar.in_flight -= 1
         del self._attempts[key]
         if not task.cancelled() and task.exception() is not None:
--- a/acaciacove/sidecar/evidence_report.py
+++ b/acaciacove/sidecar/evidence_reporter.py
@@ -19,26 +19,26 @@
 from acaciacove.sidecar.ticket import Ticket
 from acaciacove.state.rendezvous import partition_of, rank_owners
 
-LOOK_S = 1.0
-LEAST_PAUSE_S = 2.0
+POLL_INTERVAL_S = 1.0
+MIN_REPORT_INTERVAL_S = 2.0
 CELLS_PER_REPORT = 10
 REPORT_BYTES = 1_000.0
 REPORTERS_PER_VERSION = 4
 # What a judging entry is willing to hear of all sidecars together.
-HEARD_BYTES_PER_S = 1_500.0
+MAX_RECEIVED_BYTES_PER_S = 1_500.0
 # The time to the first token at which an answer counts as half good; at twice this
 # it counts as bad.
-USUAL_FIRST_PIECE_S = 1.0
-GOOD = 1.0
-BAD = 0.0
+HALF_SCORE_FIRST_CHUNK_S = 1.0
+BEST_SCORE = 1.0
+WORST_SCORE = 0.0
 
 
 @define(eq=False)
-class EvidenceReport:
+class EvidenceReporter:
     """Counts successes and latencies under the sidecar's own name."""
 
     guard: RolloutGuard
-    _has_news: bool = field(default=False)
+    _has_unreported: bool = field(default=False)
     _is_urgent: bool = field(default=False)
 
     def count(self, ticket: Ticket, fleet: FleetState, completed: bool) -> None:
@@ -46,15 +46,15 @@
         version = parse_version_id(ticket.run.version)
         if version is None or version not in fleet.versions:
             return
-        success = GOOD if completed else BAD
+        success = BEST_SCORE if completed else WORST_SCORE
         self.guard.observe(fleet, version, EvidenceKind.SUCCESS, success)
-        self._has_news = True
+        self._has_unreported = True
         self._is_urgent |= not completed
-        if completed and ticket.first_piece_s > 0:
-            score = _latency_score(ticket.first_piece_s)
+        if completed and ticket.first_chunk_s > 0:
+            score = _latency_score(ticket.first_chunk_s)
             self.guard.observe(fleet, version, EvidenceKind.LATENCY, score)
 
-    def take_answer(self, answer: Evidence) -> None:
+    def apply_answer(self, answer: Evidence) -> None:
         """Follow the window of the judging entries."""
         self.guard.turn_to(answer.window)
 
@@ -68,24 +68,26 @@
         in a large fleet. Failures are told at once: a quarantine ends them.
         """
         loop = asyncio.get_running_loop()
-        next_s = 0.0
+        next_report_s = 0.0
         while True:
-            await asyncio.sleep(LOOK_S)
-            is_due = self._is_urgent or loop.time() >= next_s
-            if not (self._has_news and is_due and _is_reporter(shared, served())):
+            await asyncio.sleep(POLL_INTERVAL_S)
+            is_due = self._is_urgent or loop.time() >= next_report_s
+            if not (self._has_unreported and is_due and _is_reporter(shared, served())):
                 continue
-            next_s = loop.time() + _pause_s(len(shared.holder.state.versions))
-            self._has_news = self._is_urgent = False
+            next_report_s = loop.time() + _report_interval_s(
+                len(shared.holder.state.versions)
+            )
+            self._has_unreported = self._is_urgent = False
             cells = self.guard.export_delta(CELLS_PER_REPORT)
             message = Evidence(to_message_cells(cells), self.guard.window)
             for name in duty_names(shared.membership.usable()):
                 shared.network.send_datagram(name, message)
 
 
-def _pause_s(versions: int) -> float:
+def _report_interval_s(versions: int) -> float:
     """Return the pause that keeps all reporters together to what is heard."""
-    bytes_a_round = versions * REPORTERS_PER_VERSION * REPORT_BYTES
-    return max(LEAST_PAUSE_S, bytes_a_round / HEARD_BYTES_PER_S)
+    bytes_per_round = versions * REPORTERS_PER_VERSION * REPORT_BYTES
+    return max(MIN_REPORT_INTERVAL_S, bytes_per_round / MAX_RECEIVED_BYTES_PER_S)
 
 
 def _is_reporter(shared: SharedState, served: frozenset[VersionId]) -> bool:
@@ -97,28 +99,28 @@
     fleet = shared.holder.state
     endpoints = [i for i in shared.membership.usable() if i.role is Role.ENDPOINT]
     for version in served & fleet.versions.keys():
-        listed = _listed(version, fleet, endpoints)
-        names = {e.name for e in endpoints if listed in e.versions}
-        names.add(shared.me.name)
-        ranked = rank_owners(partition_of(str(version), HASH_PARTITIONS), names)
+        listed_version = _listed_predecessor(version, fleet, endpoints)
+        candidates = {e.name for e in endpoints if listed_version in e.versions}
+        candidates.add(shared.me.name)
+        ranked = rank_owners(partition_of(str(version), HASH_PARTITIONS), candidates)
         if shared.me.name in ranked[:REPORTERS_PER_VERSION]:
             return True
     return False
 
 
-def _listed(
+def _listed_predecessor(
     version: VersionId, fleet: FleetState, endpoints: list[Instance]
 ) -> VersionId:
     """Return the predecessor under which the platform lists a version's endpoints."""
     for _ in fleet.versions:
-        known = fleet.versions.get(version)
+        version_spec = fleet.versions.get(version)
         if any(version in e.versions for e in endpoints):
             return version
-        if known is None or known.replaces is None:
+        if version_spec is None or version_spec.replaces is None:
             return version
-        version = known.replaces
+        version = version_spec.replaces
     return version
 
 
-def _latency_score(first_piece_s: float) -> float:
-    return max(BAD, GOOD - first_piece_s / (2 * USUAL_FIRST_PIECE_S))
+def _latency_score(first_chunk_s: float) -> float:
+    return max(WORST_SCORE, BEST_SCORE - first_chunk_s / (2 * HALF_SCORE_FIRST_CHUNK_S))
--- a/acaciacove/sidecar/gate.py
+++ b/acaciacove/sidecar/gate.py
@@ -14,7 +14,7 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-SOON_S = 1.0
+RETRY_AFTER_S = 1.0
 
 
 @frozen
@@ -46,7 +46,9 @@
 
 def _check_process(run: Run, view: GateView) -> Refusal | None:
     if view.fleet.revision == NO_REVISION:
-        return Refusal(Reason.NOT_READY, True, "no release note is known", SOON_S)
+        return Refusal(
+            Reason.NOT_READY, True, "no release note is known", RETRY_AFTER_S
+        )
     if not view.takes_work:
         return Refusal(Reason.LEAVING, True, f"{view.instance} is leaving")
     return None
@@ -60,10 +62,10 @@
     """
     if not view.current:
         detail = f"{view.instance} was paused and is catching up"
-        return Refusal(Reason.STALE_REVISION, True, detail, SOON_S)
+        return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     if run.revision > view.fleet.revision:
         detail = f"{view.instance} is still reading revision {run.revision}"
-        return Refusal(Reason.STALE_REVISION, True, detail, SOON_S)
+        return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     return None
 
 
@@ -77,14 +79,14 @@
 
 def _check_version(run: Run, view: GateView) -> Refusal | None:
     version = parse_version_id(run.version)
-    known = view.fleet.versions.get(version) if version else None
-    if known is None or known.api != run.api:
+    version_spec = view.fleet.versions.get(version) if version else None
+    if version_spec is None or version_spec.api != run.api:
         return Refusal(Reason.UNKNOWN_API, True, f"{run.version} of {run.api}")
-    if known.withdrawn:
+    if version_spec.withdrawn:
         return Refusal(Reason.VERSION_WITHDRAWN, True, run.version)
-    if known.id in view.fleet.quarantines:
+    if version_spec.id in view.fleet.quarantines:
         return Refusal(Reason.VERSION_QUARANTINED, True, run.version)
-    if known.id not in view.served:
+    if version_spec.id not in view.served:
         detail = f"{view.instance} does not serve {run.version}"
         return Refusal(Reason.NO_ENDPOINT, True, detail)
     return None
--- a/acaciacove/sidecar/hold_bill.py
+++ b/acaciacove/sidecar/hold_billing_copy.py
@@ -11,7 +11,7 @@
 from acaciacove.state.billing_record import BillingRecord
 
 
-def hold_bill(
+def hold_billing_copy(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, answered: bool
 ) -> None:
     """Keep what an attempt cost until the entry has it in the log.
@@ -23,10 +23,10 @@
     if run.non_idempotent and not answered:
         return
     version = parse_version_id(run.version)
-    known = sidecar.holder.state.versions.get(version) if version else None
-    if known is None:
+    version_spec = sidecar.holder.state.versions.get(version) if version else None
+    if version_spec is None:
         return
-    cost = price(known, ticket.prompt_tokens, ticket.tokens) if answered else 0.0
+    cost = price(version_spec, ticket.prompt_tokens, ticket.tokens) if answered else 0.0
     record = BillingRecord(
         request_id=billing_id(
             run.request_id, run.organisation, run.api, run.idempotency_key
--- a/acaciacove/sidecar/watch_engine.py
+++ b/acaciacove/sidecar/poll_engine_load.py
@@ -6,13 +6,13 @@
 from acaciacove.messages.load import Load
 from acaciacove.sidecar.sidecar_state import SidecarState
 
-LOOK_S = 1.0
+POLL_INTERVAL_S = 1.0
 
 
-async def watch_engine(sidecar: SidecarState) -> None:
+async def poll_engine_load(sidecar: SidecarState) -> None:
     """Ask for the load report again and again; a silent engine keeps its limit."""
     while True:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(POLL_INTERVAL_S)
         if not sidecar.is_engine:
             continue
         try:
--- a/acaciacove/sidecar/ask_peer.py
+++ b/acaciacove/sidecar/query_claim_owner.py
@@ -7,10 +7,10 @@
 from acaciacove.messages.claim_query import ClaimQuery
 from acaciacove.wire.connection import connect
 
-TIMEOUT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 
 
-async def ask_claim_owner(
+async def query_claim_owner(
     shared: SharedState, name: str, query: ClaimQuery
 ) -> ClaimAnswer | None:
     """Ask the owner of a claim what became of it; None if it cannot be reached."""
@@ -18,7 +18,7 @@
     if owner is None:
         return None
     try:
-        async with asyncio.timeout(TIMEOUT_S):
+        async with asyncio.timeout(QUERY_TIMEOUT_S):
             connection = await connect(owner.host, owner.port)
             try:
                 await connection.send_all((shared.hello(), query))
--- a/acaciacove/sidecar/run_attempt.py
+++ b/acaciacove/sidecar/run_attempt.py
@@ -22,9 +22,9 @@
 from acaciacove.refusal import Refusal
 from acaciacove.sidecar.attempt_outcome import AttemptOutcome
 from acaciacove.sidecar.catch_up import catch_up
-from acaciacove.sidecar.claimed_call import call_once, call_timed
+from acaciacove.sidecar.claimed_call import call_at_most_once, timed_service_call
 from acaciacove.sidecar.gate import refuse_run
-from acaciacove.sidecar.hold_bill import hold_bill
+from acaciacove.sidecar.hold_billing_copy import hold_billing_copy
 from acaciacove.sidecar.sidecar_state import SidecarState
 from acaciacove.sidecar.ticket import Ticket
 
@@ -33,7 +33,7 @@
 INTERACTIVE_PRIORITY = 0
 BATCH_PRIORITY = 10
 MAX_CHUNK_BYTES = 2**20
-OK = 200
+HTTP_OK = 200
 
 
 async def run_attempt(run: Run, entry: str, sidecar: SidecarState, send: Send) -> None:
@@ -44,42 +44,44 @@
     if refusal is not None:
         await _refuse(run, sidecar, refusal, send)
         return
-    ticket = await sidecar.admission.enter(run, _weight(run, sidecar))
+    ticket = await sidecar.admission.admit(run, _weight(run, sidecar))
     if isinstance(ticket, Refusal):
         await _refuse(run, sidecar, ticket, send)
         return
-    outcome: Refusal | None = None
+    failure: Refusal | None = None
     completed = False
     version = parse_version_id(run.version)
     assert version is not None
-    sidecar.running[version] += 1
+    sidecar.running_by_version[version] += 1
     try:
         # What was in force may have changed while the attempt waited in the queue.
         # A withdrawn version would otherwise get work that is chosen afterwards.
-        outcome = refuse_run(run, sidecar.gate_view())
-        if outcome is None:
-            outcome = await _answer(run, entry, sidecar, ticket, send)
-        completed = outcome is None
-        if outcome is None or not outcome.not_run:
-            hold_bill(run, entry, sidecar, ticket, completed)
+        failure = refuse_run(run, sidecar.gate_view())
+        if failure is None:
+            failure = await _call_endpoint(run, entry, sidecar, ticket, send)
+        completed = failure is None
+        if failure is None or not failure.not_run:
+            hold_billing_copy(run, entry, sidecar, ticket, completed)
             sidecar.evidence.count(ticket, sidecar.holder.state, completed)
         if completed:
             sidecar.metrics.count_answer(run.version, ticket.tokens)
     finally:
-        sidecar.running[version] -= 1
-        sidecar.admission.leave(ticket, _told(ticket, outcome, completed))
-    if outcome is not None:
-        await _refuse(run, sidecar, outcome, send)
+        sidecar.running_by_version[version] -= 1
+        sidecar.admission.release(ticket, _attempt_outcome(ticket, failure, completed))
+    if failure is not None:
+        await _refuse(run, sidecar, failure, send)
 
 
-def _told(ticket: Ticket, outcome: Refusal | None, completed: bool) -> AttemptOutcome:
+def _attempt_outcome(
+    ticket: Ticket, failure: Refusal | None, completed: bool
+) -> AttemptOutcome:
     """Return what an attempt tells of its endpoint."""
-    if not ticket.asked:
-        return AttemptOutcome.UNTOLD
+    if not ticket.endpoint_called:
+        return AttemptOutcome.INCONCLUSIVE
     if completed:
         return AttemptOutcome.COMPLETED
-    if outcome is None or outcome.not_run:
-        return AttemptOutcome.UNTOLD
+    if failure is None or failure.not_run:
+        return AttemptOutcome.INCONCLUSIVE
     return AttemptOutcome.FAILED
 
 
@@ -88,25 +90,25 @@
     return sidecar.holder.state.organisations[run.organisation].weight
 
 
-async def _answer(
+async def _call_endpoint(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
     """Ask the endpoint; None once the whole answer was sent."""
     api = sidecar.holder.state.apis[run.api]
     if api.kind is ApiKind.MODEL:
-        return await _ask_engine(run, sidecar, ticket, send)
-    return await _ask_service(run, entry, sidecar, ticket, send)
+        return await _call_engine(run, sidecar, ticket, send)
+    return await _call_service(run, entry, sidecar, ticket, send)
 
 
-async def _ask_engine(
+async def _call_engine(
     run: Run, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
     """Relay an engine's answer as it is generated."""
     loop = asyncio.get_running_loop()
     chunks = 0
-    head = EngineHead(OK)
-    ticket.asked = True
-    call = _engine_call(run, ticket.remaining_s(loop.time()))
+    head = EngineHead(HTTP_OK)
+    ticket.endpoint_called = True
+    call = _build_engine_call(run, ticket.remaining_s(loop.time()))
     async with aclosing(sidecar.engine.generate(call)) as events:
         async for event in events:
             match event:
@@ -114,11 +116,11 @@
                     # Sent along with the first piece: a write and a wake-up less.
                     head = event
                 case EnginePiece():
-                    ticket.last_piece_at_s = loop.time()
+                    ticket.last_chunk_at_s = loop.time()
                     if chunks == 0:
-                        await send(_head(run, head))
-                        passed_s = ticket.last_piece_at_s - ticket.admitted_at_s
-                        ticket.first_piece_s = passed_s
+                        await send(_build_head(run, head))
+                        elapsed_s = ticket.last_chunk_at_s - ticket.admitted_at_s
+                        ticket.first_chunk_s = elapsed_s
                     ticket.tokens += event.tokens
                     chunk = Chunk(
                         run.request_id, run.attempt, chunks, event.data, event.tokens
@@ -127,21 +129,21 @@
                     chunks += 1
                 case EngineFinish():
                     if chunks == 0:
-                        await send(_head(run, head))
+                        await send(_build_head(run, head))
                     ticket.tokens = max(ticket.tokens, event.completion_tokens)
                     ticket.prompt_tokens = event.prompt_tokens
-                    await send(_end(run, sidecar, ticket, chunks, event))
+                    await send(_build_end(run, sidecar, ticket, chunks, event))
                     return None
                 case Refusal():
                     return event
     raise AssertionError("an engine's events end with a finish or a refusal")
 
 
-def _head(run: Run, head: EngineHead) -> Head:
+def _build_head(run: Run, head: EngineHead) -> Head:
     return Head(run.request_id, run.attempt, head.status, head.headers)
 
 
-def _engine_call(run: Run, timeout_s: float) -> EngineCall:
+def _build_engine_call(run: Run, timeout_s: float) -> EngineCall:
     return EngineCall(
         request_id=run.request_id,
         version=run.version,
@@ -153,7 +155,7 @@
     )
 
 
-async def _ask_service(
+async def _call_service(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
     """Make one call of the plain service and send its whole answer."""
@@ -169,28 +171,28 @@
         timeout_s=ticket.remaining_s(asyncio.get_running_loop().time()),
     )
     if call.may_repeat:
-        answer = await call_timed(sidecar, ticket, call)
+        answer = await timed_service_call(sidecar, ticket, call)
     else:
-        answer = await call_once(run, entry, sidecar, ticket, call)
+        answer = await call_at_most_once(run, entry, sidecar, ticket, call)
     if isinstance(answer, Refusal):
         return answer
-    await send_answer(run, sidecar, ticket, answer, send)
+    await send_service_answer(run, sidecar, ticket, answer, send)
     return None
 
 
-async def send_answer(
+async def send_service_answer(
     run: Run, sidecar: SidecarState, ticket: Ticket, answer: ServiceAnswer, send: Send
 ) -> None:
     """Send a service's answer in pieces that fit a frame."""
     await send(Head(run.request_id, run.attempt, answer.status, answer.headers))
-    starts = range(0, len(answer.body), MAX_CHUNK_BYTES)
-    for sequence, start in enumerate(starts):
-        data = answer.body[start : start + MAX_CHUNK_BYTES]
+    chunk_offsets = range(0, len(answer.body), MAX_CHUNK_BYTES)
+    for sequence, offset in enumerate(chunk_offsets):
+        data = answer.body[offset : offset + MAX_CHUNK_BYTES]
         await send(Chunk(run.request_id, run.attempt, sequence, data))
-    await send(_end(run, sidecar, ticket, len(starts), EngineFinish()))
+    await send(_build_end(run, sidecar, ticket, len(chunk_offsets), EngineFinish()))
 
 
-def _end(
+def _build_end(
     run: Run, sidecar: SidecarState, ticket: Ticket, chunks: int, finish: EngineFinish
 ) -> End:
     """Write the end of an answer with what it took."""
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -41,15 +41,18 @@
 from acaciacove.messages.claim_query import ClaimQuery
 from acaciacove.messages.message import Message
 from acaciacove.settings.sidecar_settings import SidecarSettings
-from acaciacove.sidecar.admission import Admission, watch_admission
-from acaciacove.sidecar.ask_peer import ask_claim_owner
-from acaciacove.sidecar.claimed_call import usual_claims
+from acaciacove.sidecar.admission_controller import (
+    AdmissionController,
+    run_limit_updates,
+)
+from acaciacove.sidecar.claimed_call import preferred_claim_partitions
 from acaciacove.sidecar.entry_session import EntrySession, Send
-from acaciacove.sidecar.evidence_report import EvidenceReport
+from acaciacove.sidecar.evidence_reporter import EvidenceReporter
+from acaciacove.sidecar.poll_engine_load import poll_engine_load
+from acaciacove.sidecar.query_claim_owner import query_claim_owner
 from acaciacove.sidecar.sidecar_metrics import SidecarMetrics
 from acaciacove.sidecar.sidecar_state import SidecarState
-from acaciacove.sidecar.version_orders import VersionOrders
-from acaciacove.sidecar.watch_engine import watch_engine
+from acaciacove.sidecar.version_reconciler import VersionReconciler
 from acaciacove.state.billing_outbox import BillingOutbox
 from acaciacove.state.billing_settings import BillingSettings
 from acaciacove.state.claim_owner import ClaimOwner
@@ -59,8 +62,8 @@
 
 # Before the first answers nothing is known of the engine's speed. A low guess makes
 # early requests wait; a high one would refuse what could have been served in time.
-GUESS_TOKEN_S = 0.005
-LIST_KNOWN_S = 120.0
+INITIAL_TOKEN_S = 0.005
+LIST_COMPLETE_AFTER_S = 120.0
 
 
 @define(eq=False)
@@ -82,16 +85,16 @@
     """Serve entries while the block runs, and drain when it ends."""
     registry = Registry()
     sockets = bind_peer_sockets(settings.host, settings.peer_port)
-    sidecar = _build(settings, registry, sockets.port)
+    sidecar = _build_sidecar_state(settings, registry, sockets.port)
     shared = sidecar.shared
     process = ProcessMetrics(registry)
 
     def status() -> dict[str, Any]:
         process.refresh(shared.holder.revision, shared.network.control_bytes)
         sidecar.metrics.refresh(sidecar.admission.load())
-        return _status(sidecar)
+        return _status_document(sidecar)
 
-    async def on_other(sender: str, message: Message, send: Send) -> None:
+    async def on_control_message(sender: str, message: Message, send: Send) -> None:
         if isinstance(message, ClaimQuery):
             await send(sidecar.claims.on_query(message))
             return
@@ -99,14 +102,14 @@
             await send(reply)
 
     async def handle(connection: Connection) -> None:
-        await EntrySession(connection, sidecar, shared.hello, on_other).run()
+        await EntrySession(connection, sidecar, shared.hello, on_control_message).run()
 
     async def become_ready() -> None:
         await shared.ready()
         sidecar.lifecycle.become_ready()
 
-    shared.network.on_evidence = sidecar.evidence.take_answer
-    orders = _version_orders(settings, sidecar)
+    shared.network.on_evidence = sidecar.evidence.apply_answer
+    reconciler = _build_version_reconciler(settings, sidecar)
     probes = probe_routes(sidecar.lifecycle, registry, status)
     async with (
         message_server(sockets.messages, handle),
@@ -114,11 +117,11 @@
         background(
             become_ready(),
             sidecar.evidence.run(shared, lambda: sidecar.served),
-            sidecar.claims.run(lambda: usual_claims(shared)),
-            tick_billing(sidecar.billing, sidecar.entry_is_gone),
-            orders.run(),
-            watch_engine(sidecar),
-            watch_admission(sidecar.admission),
+            sidecar.claims.run(lambda: preferred_claim_partitions(shared)),
+            tick_billing(sidecar.billing, sidecar.is_entry_gone),
+            reconciler.run(),
+            poll_engine_load(sidecar),
+            run_limit_updates(sidecar.admission),
         ),
         http_server(
             Starlette(routes=probes), settings.host, settings.http_port
@@ -136,27 +139,29 @@
                 lambda: sidecar.in_flight,
             )
             flushed = await flush(shared, sidecar.billing, settings.drain_limit_s)
-            until_s = _now_s() + settings.drain_limit_s
-            finished = await sidecar.claims.finish(until_s)
+            deadline_s = _now_s() + settings.drain_limit_s
+            finished = await sidecar.claims.finish(deadline_s)
             running.cut = not (drained and flushed and finished)
     sidecar.lifecycle.stop()
 
 
-def _build(
+def _build_sidecar_state(
     settings: SidecarSettings, registry: Registry, peer_port: int
 ) -> SidecarState:
     """Put the parts of a sidecar together."""
     rng = Random(settings.seed) if settings.seed else Random()
     client = open_client()
     lifecycle = ProcessLifecycle()
-    queue = AdmissionQueue(AdmissionSettings(settings.max_queue, token_s=GUESS_TOKEN_S))
-    admission = Admission(queue)
+    queue = AdmissionQueue(
+        AdmissionSettings(settings.max_queue, token_s=INITIAL_TOKEN_S)
+    )
+    admission = AdmissionController(queue)
 
     def on_change() -> None:
         admission.update(shared.holder.state, state.served)
 
     shared = build_shared_state(
-        me=_me(settings, peer_port),
+        me=_local_instance(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
@@ -171,29 +176,31 @@
         engine=HttpEngine(settings.endpoint_url, client),
         service=HttpService(settings.endpoint_url, client, open_client(reuse=False)),
         metrics=SidecarMetrics(registry),
-        evidence=EvidenceReport(RolloutGuard(settings.name)),
-        claims=_claim_owner(settings, shared, rng),
+        evidence=EvidenceReporter(RolloutGuard(settings.name)),
+        claims=_build_claim_owner(settings, shared, rng),
         billing=BillingOutbox(settings.name, shared.writer, BillingSettings()),
         served=frozenset(settings.versions),
     )
     return state
 
 
-def _version_orders(settings: SidecarSettings, sidecar: SidecarState) -> VersionOrders:
+def _build_version_reconciler(
+    settings: SidecarSettings, sidecar: SidecarState
+) -> VersionReconciler:
     """Put together what gives orders to the engine."""
     store = None
     if settings.weight_store_url:
         store = HttpWeightStore(settings.weight_store_url, open_client())
     holder = sidecar.holder
     gate = FenceGate(lambda: holder.state.release_revision)
-    return VersionOrders(sidecar, gate, store, Random(settings.seed or None))
+    return VersionReconciler(sidecar, gate, store, Random(settings.seed or None))
 
 
-def _claim_owner(
+def _build_claim_owner(
     settings: SidecarSettings, shared: SharedState, rng: Random
 ) -> ClaimOwner:
     async def ask_owner(name: str, query: ClaimQuery) -> ClaimAnswer | None:
-        return await ask_claim_owner(shared, name, query)
+        return await query_claim_owner(shared, name, query)
 
     return ClaimOwner(
         name=settings.name,
@@ -206,11 +213,11 @@
         random=rng,
         wall_s=time,
         ask_owner=ask_owner,
-        is_gone=_is_gone(shared),
+        is_gone=_build_is_gone(shared),
     )
 
 
-def _is_gone(shared: SharedState) -> Callable[[str, int], bool]:
+def _build_is_gone(shared: SharedState) -> Callable[[str, int], bool]:
     """Return what tells whether the process that made a claim has ended.
 
     The platform's list lags by up to a minute, so a process that has just started
@@ -221,7 +228,7 @@
 
     def is_gone(name: str, incarnation: int) -> bool:
         if shared.membership.find(name) is None:
-            return _now_s() - started_s > LIST_KNOWN_S
+            return _now_s() - started_s > LIST_COMPLETE_AFTER_S
         return shared.membership.is_gone(name, incarnation)
 
     return is_gone
@@ -231,7 +238,7 @@
     return asyncio.get_running_loop().time()
 
 
-def _me(settings: SidecarSettings, peer_port: int) -> Instance:
+def _local_instance(settings: SidecarSettings, peer_port: int) -> Instance:
     return Instance(
         name=settings.name,
         role=Role.ENDPOINT,
@@ -244,7 +251,7 @@
     )
 
 
-def _status(sidecar: SidecarState) -> dict[str, Any]:
+def _status_document(sidecar: SidecarState) -> dict[str, Any]:
     """Describe the sidecar for ``/status``."""
     load = sidecar.admission.load()
     return {
--- a/acaciacove/sidecar/sidecar_state.py
+++ b/acaciacove/sidecar/sidecar_state.py
@@ -12,8 +12,8 @@
 from acaciacove.fleet.instance_status import InstanceStatus
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.settings.sidecar_settings import SidecarSettings
-from acaciacove.sidecar.admission import Admission
-from acaciacove.sidecar.evidence_report import EvidenceReport
+from acaciacove.sidecar.admission_controller import AdmissionController
+from acaciacove.sidecar.evidence_reporter import EvidenceReporter
 from acaciacove.sidecar.gate import GateView
 from acaciacove.sidecar.sidecar_metrics import SidecarMetrics
 from acaciacove.state.billing_outbox import BillingOutbox
@@ -28,17 +28,17 @@
     settings: SidecarSettings
     lifecycle: ProcessLifecycle
     shared: SharedState
-    admission: Admission
+    admission: AdmissionController
     engine: Engine
     service: PlainService
     metrics: SidecarMetrics
-    evidence: EvidenceReport
+    evidence: EvidenceReporter
     claims: ClaimOwner
     billing: BillingOutbox
     served: frozenset[VersionId]
     in_flight: int = field(default=0)
-    connected: Counter[str] = field(factory=Counter)
-    running: Counter[VersionId] = field(factory=Counter)
+    connections_by_peer: Counter[str] = field(factory=Counter)
+    running_by_version: Counter[VersionId] = field(factory=Counter)
 
     @property
     def is_engine(self) -> bool:
@@ -55,9 +55,9 @@
         """Return the state in force."""
         return self.shared.holder
 
-    def entry_is_gone(self, name: str) -> bool:
+    def is_entry_gone(self, name: str) -> bool:
         """Tell whether nobody but this sidecar is left to bill for an entry."""
-        if self.connected[name] > 0:
+        if self.connections_by_peer[name] > 0:
             return False
         return self.shared.membership.status_of(name) is InstanceStatus.GONE
 
--- a/acaciacove/sidecar/ticket.py
+++ b/acaciacove/sidecar/ticket.py
@@ -7,11 +7,12 @@
 
 @define(eq=False)
 class Ticket:
-    """An admitted attempt and what it has used so far; times are the loop's.
+    """An admitted attempt and its usage so far; times are those of the event loop.
 
-    ``asked`` tells whether the endpoint got the call: the answer to a retry may have
-    come from an earlier one. ``asked_s`` is what a plain service took, without the
-    wait for the log.
+    ``endpoint_called`` is true once this attempt has called the endpoint. It stays
+    false for a retry that is answered with the result of an earlier call.
+    ``service_call_s`` is the time that a plain service took, without the wait for
+    the log.
     """
 
     run: Run
@@ -19,19 +20,19 @@
     admitted_at_s: float
     tokens: int = 0
     prompt_tokens: int = 0
-    first_piece_s: float = 0.0
-    last_piece_at_s: float = 0.0
-    asked: bool = False
-    asked_s: float | None = None
+    first_chunk_s: float = 0.0
+    last_chunk_at_s: float = 0.0
+    endpoint_called: bool = False
+    service_call_s: float | None = None
 
     def token_s(self, now_s: float) -> float:
         """Return the mean time per token after the first, or the whole time."""
-        if self.asked_s is not None:
-            return self.asked_s
-        passed_s = now_s - self.admitted_at_s
+        if self.service_call_s is not None:
+            return self.service_call_s
+        elapsed_s = now_s - self.admitted_at_s
         if self.tokens < 2:
-            return passed_s
-        return (passed_s - self.first_piece_s) / (self.tokens - 1)
+            return elapsed_s
+        return (elapsed_s - self.first_chunk_s) / (self.tokens - 1)
 
     def remaining_s(self, now_s: float) -> float:
         """Return the time that is left to answer."""
--- a/tests/test_path_claims.py
+++ b/tests/test_path_claims.py
@@ -22,7 +22,7 @@
     return sum(service.effects for service in fleet.services.values())
 
 
-def ledger(fleet):
+def read_ledger(fleet):
     """Read the billing stream as its readers do."""
     stream = fleet.log.stream(BILLING_STREAM)
     read = BillingLedger()
@@ -35,7 +35,7 @@
     return response.status_code, orjson.loads(await response.content())
 
 
-def test_a_booking_and_its_retry_through_another_entry_run_once():
+def test_booking_and_its_retry_through_another_entry_run_once():
     # The answer to a booking is lost on its way, and the caller asks again through
     # another entry. A second run would send a second driver.
     async def test():
@@ -49,7 +49,7 @@
     run(test)
 
 
-def test_the_same_booking_sent_many_times_at_once_runs_once():
+def test_concurrent_duplicate_bookings_run_once():
     async def test():
         async with embedded_fleet(models=0, services=3, entries=2) as fleet:
             answers = await asyncio.gather(
@@ -63,7 +63,7 @@
 
 
 @pytest.mark.parametrize("fault", ["drop_after_effect", "drop_before_effect"])
-def test_a_booking_whose_answer_is_lost_is_never_repeated(fault):
+def test_booking_with_a_lost_answer_is_never_repeated(fault):
     # The service drops the connection, before or after the booking took effect;
     # nobody can tell which. The caller is told so, now and at each retry.
     async def test():
@@ -78,7 +78,7 @@
     run(test)
 
 
-def test_in_a_log_outage_bookings_are_truly_not_run_and_chats_go_on():
+def test_log_outage_refuses_bookings_as_not_run_but_serves_chats():
     # Without the log nobody can know that a key was not used elsewhere.
     async def test():
         async with embedded_fleet(models=1) as fleet:
@@ -92,17 +92,17 @@
             fleet.log.faults.outage = False
             assert effects(fleet) == 0
 
-            async def booked():
+            async def is_booked():
                 return (await book(fleet, "k1"))[0] == 200
 
-            while not await booked():
+            while not await is_booked():
                 await asyncio.sleep(0.1)
             assert effects(fleet) == 1
 
     run(test)
 
 
-def test_a_key_that_is_used_for_another_booking_is_refused():
+def test_reused_key_with_another_body_is_refused():
     async def test():
         async with embedded_fleet(models=0) as fleet:
             await book(fleet, "k1")
@@ -125,21 +125,21 @@
             for _ in range(3):
                 await book(fleet, "k1")
             await fleet.post(CHAT, b"{")
-            await until(lambda: ledger(fleet).requests["ozark-guides"] == 7)
+            await until(lambda: read_ledger(fleet).requests["ozark-guides"] == 7)
             sidecars = [s.state.billing for s in fleet.sidecars.values()]
             await until(lambda: all(b.held == 0 for b in sidecars))
-            assert ledger(fleet).requests["ozark-guides"] == 7
+            assert read_ledger(fleet).requests["ozark-guides"] == 7
 
     run(test)
 
 
-def test_a_session_keeps_its_version_through_the_loss_of_its_entry():
+def test_session_keeps_its_version_when_its_entry_is_replaced():
     # A chat began on the dear version. Its entry is replaced; the next one knows
     # nothing of the chat but what the caller brings along.
     async def test():
         async with embedded_fleet(entries=2, services=0) as fleet:
-            named = orjson.dumps({**orjson.loads(QUESTION), "model": str(LARGE)})
-            first = await fleet.post(CHAT, named, X_Session_Id="chat-1")
+            body = orjson.dumps({**orjson.loads(QUESTION), "model": str(LARGE)})
+            first = await fleet.post(CHAT, body, X_Session_Id="chat-1")
             token = first.headers["x-session-token"]
             await fleet.entry_stacks[0].aclose()
             for _ in range(3):
--- a/tests/test_path_faults.py
+++ b/tests/test_path_faults.py
@@ -20,10 +20,10 @@
 def stream_text(raw):
     """Join what a stream's events say, and tell whether it ended as whole."""
     events = [e for e in raw.split(b"\n\n") if e.startswith(b"data: ")]
-    whole = bool(events) and events[-1] == b"data: [DONE]"
+    complete = bool(events) and events[-1] == b"data: [DONE]"
     documents = [orjson.loads(e[6:]) for e in events if e != b"data: [DONE]"]
     deltas = [c["delta"] for d in documents for c in d.get("choices", ())]
-    return "".join(delta.get("content") or "" for delta in deltas), whole
+    return "".join(delta.get("content") or "" for delta in deltas), complete
 
 
 def expected_text(version, body):
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize(
     "fault", ["crossed", "truncated", "dropped", "garbage", "fail"]
 )
-def test_a_bad_answer_is_never_delivered_but_made_again_elsewhere(fault):
+def test_invalid_answer_is_retried_on_another_endpoint(fault):
     # An endpoint answers with somebody else's id, half an answer, or none. The
     # caller must get its own whole answer from another endpoint, not the bad one.
     async def test():
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize("fault", ["truncated", "dropped"])
-def test_a_stream_that_breaks_is_resumed_without_a_seam(fault):
+def test_broken_stream_resumes_without_lost_or_repeated_tokens(fault):
     # An endpoint dies in the middle of a stream. The caller sees one whole answer,
     # with no token missing and none twice.
     async def test():
@@ -64,15 +64,15 @@
             body = {**QUESTION, "stream": True}
             for _ in range(6):
                 response = await fleet.post(CHAT, orjson.dumps(body))
-                text, whole = stream_text(await response.content())
-                assert whole
+                text, complete = stream_text(await response.content())
+                assert complete
                 assert text == expected_text(SMALL, body)
             assert getattr(fleet.engines["guide-0"].faults, fault) == 0
 
     run(test)
 
 
-def test_a_stream_that_cannot_go_on_ends_with_a_named_error():
+def test_stream_without_a_working_endpoint_ends_with_an_error_event():
     # Every endpoint breaks. The caller must not take half an answer for a whole.
     async def test():
         async with embedded_fleet() as fleet:
@@ -90,7 +90,7 @@
 
 
 @pytest.mark.parametrize("stream", [True, False])
-def test_a_caller_that_leaves_stops_the_engine(stream):
+def test_caller_disconnect_cancels_the_engine_call(stream):
     # A caller gives up half-way. Otherwise its engine goes on generating for nobody
     # while others wait.
     async def test():
@@ -116,7 +116,7 @@
     run(test)
 
 
-def test_a_leaving_endpoint_finishes_its_streams_and_gets_no_more():
+def test_draining_endpoint_finishes_its_streams_and_gets_no_new_ones():
     # A sidecar is told to stop while it streams. Its callers get whole answers, and
     # new requests go elsewhere.
     async def test():
@@ -125,49 +125,49 @@
                 engine.profile = EngineProfile(token_s=0.02)
             body = {**QUESTION, "stream": True}
 
-            async def ask():
+            async def post_chat():
                 response = await fleet.post(CHAT, orjson.dumps(body))
                 return stream_text(await response.content())
 
-            streams = [asyncio.create_task(ask()) for _ in range(6)]
-            leaving = fleet.engines["guide-0"]
-            await until(lambda: leaving.counters.started > 0)
+            streams = [asyncio.create_task(post_chat()) for _ in range(6)]
+            draining_engine = fleet.engines["guide-0"]
+            await until(lambda: draining_engine.counters.started > 0)
             stop = asyncio.create_task(fleet.sidecar_stacks["guide-0"].aclose())
             sidecar = fleet.sidecars["guide-0"].state
             await until(lambda: not sidecar.lifecycle.takes_work)
-            started = leaving.counters.started
-            streams += [asyncio.create_task(ask()) for _ in range(6)]
+            started = draining_engine.counters.started
+            streams += [asyncio.create_task(post_chat()) for _ in range(6)]
             answers = await asyncio.gather(*streams)
             await stop
             assert answers == [(expected_text(SMALL, body), True)] * 12
-            assert leaving.counters.started == started
+            assert draining_engine.counters.started == started
 
     run(test)
 
 
-def test_an_entry_that_stops_cuts_no_request():
+def test_entry_shutdown_completes_running_requests():
     # The entry gets SIGTERM while it answers. Its callers must not notice.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.engines["guide-0"].profile = EngineProfile(token_s=0.02)
             body = {**QUESTION, "stream": True}
 
-            async def ask():
+            async def post_chat():
                 response = await fleet.post(CHAT, orjson.dumps(body))
                 return stream_text(await response.content())
 
-            asking = [asyncio.create_task(ask()) for _ in range(4)]
+            requests = [asyncio.create_task(post_chat()) for _ in range(4)]
             await until(lambda: fleet.entries[0].state.in_flight >= 4)
             await fleet.entry_stacks[0].aclose()
             assert fleet.entries[0].state.in_flight == 0
-            whole = (expected_text(SMALL, body), True)
-            assert await asyncio.gather(*asking) == [whole] * 4
+            complete = (expected_text(SMALL, body), True)
+            assert await asyncio.gather(*requests) == [complete] * 4
             assert not fleet.entries[0].cut
 
     run(test)
 
 
-def test_a_withdrawn_version_gets_no_new_work():
+def test_withdrawn_version_gets_no_new_requests():
     # A release note withdraws the cheap version under traffic.
     async def test():
         async with embedded_fleet() as fleet:
@@ -192,7 +192,7 @@
         InstanceDecision("d1", "guide-0", True),
     ],
 )
-def test_what_operators_take_out_gets_no_new_work(decision):
+def test_endpoint_taken_out_by_an_operator_gets_no_new_requests(decision):
     async def test():
         async with embedded_fleet() as fleet:
             offset = fleet.publish(decision)
@@ -208,7 +208,7 @@
     run(test)
 
 
-def test_a_cold_endpoint_gets_no_more_than_it_bears():
+def test_cold_endpoint_stays_within_its_cold_capacity():
     # A freshly started engine falls over when it gets more than it bears. Thirty
     # callers come at once; all must be served, and nothing may fall over.
     async def test():
@@ -217,24 +217,28 @@
             engine.profile = EngineProfile(token_s=0.002, cold_bears=2, warm_up_s=60.0)
             engine.turn_cold(asyncio.get_running_loop().time())
             small, large, bookings = release_note().versions
-            slow = {"cold_bears": 2, "warm_up_s": 60.0}
-            versions = (evolve(small, **slow), evolve(large, **slow), bookings)
+            cold_start = {"cold_bears": 2, "warm_up_s": 60.0}
+            versions = (
+                evolve(small, **cold_start),
+                evolve(large, **cold_start),
+                bookings,
+            )
             offset = fleet.publish(ReleaseNote("note-2", 0, versions=versions))
             sidecar = fleet.sidecars["guide-0"].state
             await until(lambda: sidecar.holder.state.revision == offset)
 
-            async def ask():
+            async def post_chat():
                 response = await fleet.post(CHAT, orjson.dumps(QUESTION))
                 return response.status_code
 
-            assert await asyncio.gather(*(ask() for _ in range(30))) == [200] * 30
+            assert await asyncio.gather(*(post_chat() for _ in range(30))) == [200] * 30
             assert engine.counters.fell_over == 0
             assert engine.counters.most_in_flight_cold <= 2
 
     run(test)
 
 
-def test_an_unusually_slow_answer_is_asked_for_a_second_time():
+def test_unusually_slow_request_is_hedged():
     # One endpoint stalls and says nothing more. The caller should not wait for its
     # whole deadline while another endpoint could answer at once.
     async def test():
@@ -245,8 +249,8 @@
                 response = await fleet.post(CHAT, orjson.dumps(body))
                 await response.content()
             # The endpoint that holds the question's prefix is the one asked next.
-            usual = response.headers["x-endpoint"]
-            fleet.engines[usual].faults.stalled = -1
+            preferred = response.headers["x-endpoint"]
+            fleet.engines[preferred].faults.stalled = -1
             hedged = 0
             for _ in range(8):
                 entry.hedges.tokens = 1.0
@@ -265,7 +269,7 @@
     run(test)
 
 
-def test_a_slow_caller_past_its_deadline_gets_a_named_error():
+def test_slow_caller_past_its_deadline_gets_an_error_event():
     # A caller reads its stream so slowly that its deadline passes while the entry is
     # writing to it. The stream must end with an error, not just stop.
     async def test():
--- a/tests/test_sidecar_claimed_call.py
+++ b/tests/test_sidecar_claimed_call.py
@@ -15,7 +15,7 @@
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.messages.run import Run
 from acaciacove.reason import Reason
-from acaciacove.sidecar.claimed_call import call_once
+from acaciacove.sidecar.claimed_call import call_at_most_once
 from acaciacove.sidecar.gate import GateView
 from acaciacove.sidecar.ticket import Ticket
 from tests.claim_world import World
@@ -32,7 +32,7 @@
           non_idempotent=True)  # fmt: skip
 
 
-class Sidecar:
+class FakeSidecar:
     """What a claimed call needs of a sidecar, with a service that counts."""
 
     def __init__(self, world):
@@ -55,34 +55,34 @@
 def book(sidecar):
     ticket = Ticket(RUN, 0.0, 0.0)
     call = ServiceCall("r1", "POST", "/", timeout_s=5.0)
-    return asyncio.create_task(call_once(RUN, "entry-1", sidecar, ticket, call))
+    return asyncio.create_task(call_at_most_once(RUN, "entry-1", sidecar, ticket, call))
 
 
-def test_a_withdrawal_that_came_while_the_call_was_claimed_stops_it():
+def test_withdrawal_or_pause_during_the_claim_prevents_the_call():
     # The version is withdrawn, or the process is paused, between the first check
     # and the answer of the log. The call would be new work for a stopped version.
     async def main():
-        stopped = evolve(FLEET.versions[SHUTTLE], withdrawn=True)
+        withdrawn = evolve(FLEET.versions[SHUTTLE], withdrawn=True)
         for change in (
-            {"fleet": evolve(FLEET, versions={SHUTTLE: stopped})},
+            {"fleet": evolve(FLEET, versions={SHUTTLE: withdrawn})},
             {"current": False},
         ):
-            sidecar = Sidecar(World())
+            sidecar = FakeSidecar(World())
             booking = book(sidecar)
             await asyncio.sleep(0.001)
             vars(sidecar).update(change)
-            refused = await booking
-            assert refused.not_run and sidecar.calls == 0
-            assert refused.reason in (Reason.VERSION_WITHDRAWN, Reason.STALE_REVISION)
+            refusal = await booking
+            assert refusal.not_run and sidecar.calls == 0
+            assert refusal.reason in (Reason.VERSION_WITHDRAWN, Reason.STALE_REVISION)
 
     run_virtual(main)
 
 
-def test_a_booking_is_billed_though_its_entry_died_meanwhile():
+def test_booking_is_billed_when_its_entry_is_lost_during_the_call():
     # The entry's connection breaks during the call, and the attempt ends with it.
     # The seat is taken; without the copy nobody would ever be billed for it.
     async def main():
-        sidecar = Sidecar(World())
+        sidecar = FakeSidecar(World())
         booking = book(sidecar)
         await asyncio.sleep(0.05)
         booking.cancel()
