--- a/acaciacove/sidecar/__init__.py
+++ b/acaciacove/sidecar/__init__.py
@@ -1,1 +1,1 @@
-"""The sidecar daemon: the only way to its endpoint."""
+"""The sidecar daemon, through which all requests reach its endpoint."""
--- a/acaciacove/sidecar/admission_controller.py
+++ b/acaciacove/sidecar/admission_controller.py
@@ -1,4 +1,4 @@
-"""Attempts wait here for a place at the endpoint."""
+"""Admits attempts to the endpoint from a bounded, fair queue."""
 
 import asyncio
 
@@ -25,9 +25,10 @@
 
 @define(eq=False)
 class AdmissionController:
-    """Gives out places by the fair queue, never more than the ramps allow.
+    """Admits attempts in the order of the fair queue, within the ramp limits.
 
-    The decisions are AdmissionQueue's and Ramp's; this class only knows who waits.
+    AdmissionQueue and Ramp make the decisions. This class only tracks the waiting
+    and running attempts.
     """
 
     queue: AdmissionQueue
@@ -43,7 +44,7 @@
     _recheck: asyncio.TimerHandle | None = None
 
     def update(self, fleet: FleetState, served: frozenset[VersionId]) -> None:
-        """Follow the versions in force: each served one has a ramp of its own."""
+        """Keep one ramp for each served version; a changed version gets a new one."""
         now_s = _now_s()
         for version in served & fleet.versions.keys():
             ramp = self.ramps.get(version)
@@ -53,7 +54,7 @@
             del self.ramps[version]
 
     async def admit(self, run: Run, weight: float = DEFAULT_WEIGHT) -> Ticket | Refusal:
-        """Wait for a place; a refusal means that the endpoint never saw the run."""
+        """Wait for admission; a refused attempt has not reached the endpoint."""
         arrived_at_s = _now_s()
         item = _waiting_item(run, weight, arrived_at_s)
         refusal = self.queue.offer(item, arrived_at_s)
@@ -80,7 +81,7 @@
         return ticket
 
     def release(self, ticket: Ticket, outcome: AttemptOutcome) -> None:
-        """Give a place back, and learn how the endpoint bore the attempt."""
+        """Release the slot of an attempt and record how the attempt ended."""
         now_s = _now_s()
         completed = outcome is AttemptOutcome.COMPLETED
         self._running.discard(ticket)
@@ -91,10 +92,10 @@
         self._admit_waiting()
 
     def update_limits(self) -> None:
-        """Look at the tokens that are due, and let limits that have grown take hold.
+        """Check the wait for the next token, and apply limits that have grown.
 
-        An engine that thrashes may take minutes to complete anything. When even its
-        freshest token is old, that tells within a fraction of a second.
+        A thrashing engine may take minutes to complete an attempt. The age of its
+        most recent token shows the fault within a fraction of a second.
         """
         now_s = _now_s()
         last_chunk_times_s = [
@@ -108,7 +109,7 @@
         self._admit_waiting()
 
     def _record_attempt(self, ticket: Ticket, completed: bool, now_s: float) -> None:
-        """Let ramp and adaptive limit learn from one attempt."""
+        """Update the ramp and the adaptive limit from one attempt."""
         service_s = now_s - ticket.admitted_at_s
         if completed:
             self.service_s += EWMA_WEIGHT * (service_s - self.service_s)
@@ -128,16 +129,16 @@
         return any(not ramp.warm for ramp in self.ramps.values())
 
     def _warm_capacity(self) -> int:
-        """Return what the endpoint bears when warm."""
+        """Return how many attempts the warm endpoint can serve concurrently."""
         return min((r.version.warm_bears for r in self.ramps.values()), default=0)
 
     def reported(self, load: Load, restarts: int) -> None:
-        """Take in the endpoint's own word on its load and restarts."""
+        """Apply the endpoint's report of its load and restart count."""
         for ramp in self.ramps.values():
             ramp.reported(load, restarts, _now_s())
 
     def load(self) -> Load:
-        """Return what the endpoint bears just now."""
+        """Return the current load and concurrency limit of the endpoint."""
         return Load(
             in_flight=len(self.queue.running),
             queued=self.queue.queued,
@@ -148,18 +149,18 @@
         )
 
     def _limit(self) -> int:
-        """Return how many attempts may run: what the coldest version bears.
+        """Return how many attempts may run: the lowest limit of all versions.
 
-        Versions share one engine. Adding their limits up would let a cold one fall
-        over under the load that was meant for a warm one. The adaptive limit bounds
-        what a warm endpoint gets that bears less than was declared.
+        Versions share one engine. The sum of their limits would overload a cold
+        version with load meant for a warm one. The adaptive limit protects a warm
+        endpoint whose capacity is lower than declared.
         """
         now_s = _now_s()
         ramp_limit = min((ramp.limit(now_s) for ramp in self.ramps.values()), default=0)
         return min(ramp_limit, max(1, int(self.adaptive_limit.limit)))
 
     def _admit_waiting(self) -> None:
-        """Let in whoever is next, and refuse whoever cannot be served in time."""
+        """Admit queued attempts up to the limit; refuse those that would be late."""
         now_s = _now_s()
         self.queue.limit = self._limit()
         while (item := self.queue.next(now_s)) is not None:
@@ -174,7 +175,7 @@
             admitted.set_result(refusal)
 
     def _schedule_recheck(self) -> None:
-        """Come back while somebody waits: limits and deadlines move with time."""
+        """Schedule a recheck while attempts wait, as limits and deadlines change."""
         if self._recheck is not None:
             self._recheck.cancel()
             self._recheck = None
@@ -183,7 +184,7 @@
             self._recheck = loop.call_later(RECHECK_INTERVAL_S, self._admit_waiting)
 
     def _remove_cancelled(self, item: WaitingItem) -> None:
-        """Take back an attempt that was cancelled while it waited."""
+        """Remove an attempt that was cancelled while it waited for admission."""
         self._waiting.pop(item.request_id, None)
         del self._items[item.request_id]
         if not self.queue.cancel(item.request_id):
@@ -195,7 +196,7 @@
 
 
 async def run_limit_updates(admission: AdmissionController) -> None:
-    """Look at the running attempts again and again."""
+    """Update the limits periodically from the running attempts."""
     while True:
         await asyncio.sleep(LIMIT_UPDATE_INTERVAL_S)
         admission.update_limits()
@@ -213,7 +214,7 @@
 
 
 def _attempt_id(run: Run) -> str:
-    """Name an attempt; hedges of one request may meet at one endpoint."""
+    """Return an id per attempt: hedges of a request may share one endpoint."""
     return f"{run.request_id}/{run.attempt}"
 
 
--- a/acaciacove/sidecar/attempt_outcome.py
+++ b/acaciacove/sidecar/attempt_outcome.py
@@ -1,10 +1,10 @@
-"""How an attempt ended, as far as it tells of the endpoint."""
+"""What the end of an attempt says about the health of the endpoint."""
 
 from enum import Enum, auto
 
 
 class AttemptOutcome(Enum):
-    """``INCONCLUSIVE`` attempts never ran, or their caller left: they tell nothing."""
+    """``INCONCLUSIVE`` attempts never ran, or their caller disconnected."""
 
     COMPLETED = auto()
     FAILED = auto()
--- a/acaciacove/sidecar/catch_up.py
+++ b/acaciacove/sidecar/catch_up.py
@@ -1,4 +1,4 @@
-"""Learning what the entry knows already, before an attempt is decided."""
+"""Brings a stale sidecar up to the revision of the entry before it decides."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,10 +14,10 @@
 async def catch_up(
     run: Run, holder: FleetHolder, send: Callable[[Message], Awaitable[None]]
 ) -> None:
-    """Ask the entry for the records that this side lacks, and wait for them a little.
+    """Request the missing records from the entry and wait briefly for them.
 
-    A sidecar that was paused or cut off would otherwise decide on old state. If the
-    records do not come in time, the gate refuses the attempt as not run.
+    A sidecar that was paused or partitioned would otherwise decide on stale state.
+    If the records do not arrive in time, the gate refuses the attempt as not run.
     """
     pull = holder.needs_from_peer(run.revision)
     if pull is None:
--- a/acaciacove/sidecar/claimed_call.py
+++ b/acaciacove/sidecar/claimed_call.py
@@ -1,4 +1,4 @@
-"""Calls of a plain service that may run at most once."""
+"""Calls of a plain service that are made at most once, guarded by a claim."""
 
 import asyncio
 from collections.abc import Iterable
@@ -20,23 +20,23 @@
 async def call_at_most_once(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, call: ServiceCall
 ) -> ServiceAnswer | Refusal:
-    """Make a call unless its key has been claimed; then answer what became of it.
+    """Make a call, or return the outcome of an earlier call with the same key.
 
-    The call goes on when the entry that asked for it has gone, so that its outcome
-    is recorded and a retry elsewhere gets the answer.
+    The call continues after the requesting entry has disconnected. Its outcome is
+    then recorded, and a retry through another entry gets the answer.
     """
     loop = asyncio.get_running_loop()
 
     async def checked_call() -> ServiceAnswer | Refusal:
-        # Claiming takes a trip to the log or, in a process that was paused on the
-        # way, much longer. A withdrawal or a leaving may have come meanwhile.
+        # Claiming takes one log round trip, or much longer if this process was
+        # paused. The version may have been withdrawn or a drain begun meanwhile.
         refusal = refuse_run(run, sidecar.gate_view())
         if refusal is not None:
             return refusal
         answer = await timed_service_call(sidecar, ticket, call)
         if isinstance(answer, ServiceAnswer):
-            # The entry may be gone by now, and with it the attempt that asked. The
-            # booking has taken effect all the same, and nobody else would bill it.
+            # The entry may have disconnected, which cancels its attempt. The call
+            # has taken effect, and no other process would bill it.
             hold_billing_copy(run, entry, sidecar, ticket, answered=True)
         return answer
 
@@ -53,7 +53,7 @@
 async def timed_service_call(
     sidecar: SidecarState, ticket: Ticket, call: ServiceCall
 ) -> ServiceAnswer | Refusal:
-    """Make a call and note how long the service itself took."""
+    """Make a call and record how long the service took."""
     loop = asyncio.get_running_loop()
     ticket.endpoint_called = True
     started_s = loop.time()
@@ -64,7 +64,7 @@
 
 
 def preferred_claim_partitions(shared: SharedState) -> Iterable[int]:
-    """List the claim partitions of which this sidecar is the usual owner."""
+    """Yield the claim partitions of which this sidecar is the preferred owner."""
     if not _serves_non_idempotent_calls(shared):
         return
     local_versions = set(shared.me.versions)
@@ -81,7 +81,7 @@
 
 
 def _serves_non_idempotent_calls(shared: SharedState) -> bool:
-    """Tell whether this endpoint serves an API with calls that may not be repeated."""
+    """Return whether this endpoint serves an API with non-idempotent calls."""
     fleet = shared.holder.state
     apis = {fleet.versions[v].api for v in shared.me.versions if v in fleet.versions}
     return any(fleet.apis[api].non_idempotent for api in apis if api in fleet.apis)
--- a/acaciacove/sidecar/daemon.py
+++ b/acaciacove/sidecar/daemon.py
@@ -1,4 +1,4 @@
-"""The sidecar as a process of its own."""
+"""Runs the sidecar as a process."""
 
 from acaciacove.daemon.decision_log import start_log
 from acaciacove.daemon.stop_signal import stop_on_signals
@@ -8,7 +8,7 @@
 
 
 async def run_sidecar(settings: SidecarSettings) -> ExitStatus:
-    """Serve until SIGTERM, then drain; work that is cut is an error."""
+    """Serve until SIGTERM, then drain; return ERROR if work was left unfinished."""
     start_log()
     stop = stop_on_signals()
     async with running_sidecar(settings) as running:
--- a/acaciacove/sidecar/entry_session.py
+++ b/acaciacove/sidecar/entry_session.py
@@ -1,4 +1,4 @@
-"""The conversation with one connected process, usually an entry."""
+"""Serves the connection of one peer process, usually an entry."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -22,7 +22,7 @@
 
 
 class EntrySession:
-    """Reads one connection; each attempt is a task that answers through the outbox.
+    """Reads one connection; each attempt is a task that replies through the outbox.
 
     ``peer`` is the name of the peer instance, empty until its Hello arrives.
     ``on_control_message`` receives that name, each message that belongs to no
@@ -36,7 +36,7 @@
         hello: Callable[[], Hello],
         on_control_message: OnControlMessage,
     ) -> None:
-        """Take over a connection that a peer has opened."""
+        """Start with an accepted connection, before its Hello has been read."""
         self.peer = ""
         self._is_entry = False
         self.outbox = Outbox(connection)
@@ -47,7 +47,7 @@
         self._attempts: dict[tuple[str, int], asyncio.Task[None]] = {}
 
     async def run(self) -> None:
-        """Serve the peer until it closes, then stop what it had asked for."""
+        """Serve the peer until it closes, then cancel its attempts."""
         writer = asyncio.create_task(self.outbox.run())
         reporter = asyncio.create_task(self._report_load())
         self._sidecar.connections_by_peer[self.peer] += 1
@@ -64,12 +64,12 @@
             self._report_lost_entry()
 
     async def _report_load(self) -> None:
-        """Tell an entry the load now and then, as an answer would.
+        """Send the load to an entry periodically, in addition to every answer.
 
-        An entry that has sent nothing lately would otherwise choose by old word. It
-        also is the sign of life that saves the entry from probing. With few entries
-        the word comes each second; with many it comes less often, so that a sidecar
-        spends the same on all of them, and answers carry the load anyway.
+        An entry that has sent no request lately would otherwise route by a stale
+        load. The report is also a heartbeat that makes a probe unnecessary. With few
+        entries it is sent every second. With many it is sent less often, so that the
+        reports to all entries together stay within one byte rate.
         """
         while True:
             entries = sum(
@@ -81,11 +81,11 @@
                 await self.outbox.put(self._sidecar.admission.load())
 
     def _report_lost_entry(self) -> None:
-        """Take the end of an entry's last connection for the loss of the entry.
+        """Report an entry as lost when its last connection closes.
 
-        An entry that is killed says nothing, and the platform's list shows it for a
-        minute more. Its bills would wait all that time. One that lives after all
-        is heard again within a second.
+        A killed entry sends no notice, and the platform's list shows it for up to a
+        minute longer. Its bills would wait for that time. An entry that still runs
+        sends its next message within a second.
         """
         if self._is_entry and self._sidecar.connections_by_peer[self.peer] == 0:
             self._sidecar.shared.connection_lost(self.peer)
@@ -112,7 +112,7 @@
                 await self._on_control_message(self.peer, message, self.outbox.put)
 
     def _start_attempt(self, run: Run) -> None:
-        """Start an attempt; one that is repeated word for word starts once."""
+        """Start an attempt; a duplicate of a running attempt is ignored."""
         self._is_entry = True
         key = (run.request_id, run.attempt)
         if key in self._attempts:
@@ -128,6 +128,6 @@
         self._sidecar.in_flight -= 1
         del self._attempts[key]
         if not task.cancelled() and task.exception() is not None:
-            # A fault in the code of an attempt leaves the entry without an answer,
-            # seen as a stream that hangs. Closing lets it go on elsewhere.
+            # An unexpected exception leaves the entry without an answer, so that its
+            # stream hangs. Closing the connection lets it retry on another endpoint.
             self._connection.close()
--- a/acaciacove/sidecar/evidence_reporter.py
+++ b/acaciacove/sidecar/evidence_reporter.py
@@ -1,4 +1,4 @@
-"""What a sidecar tells the judging entries about the versions it serves."""
+"""Reports evidence on the served versions to the entries that decide roll-outs."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,10 +24,9 @@
 CELLS_PER_REPORT = 10
 REPORT_BYTES = 1_000.0
 REPORTERS_PER_VERSION = 4
-# What a judging entry is willing to hear of all sidecars together.
+# Bound on the reports that one deciding entry receives from all sidecars together.
 MAX_RECEIVED_BYTES_PER_S = 1_500.0
-# The time to the first token at which an answer counts as half good; at twice this
-# it counts as bad.
+# Time to the first token that scores half; twice this time scores 0.
 HALF_SCORE_FIRST_CHUNK_S = 1.0
 BEST_SCORE = 1.0
 WORST_SCORE = 0.0
@@ -35,14 +34,14 @@
 
 @define(eq=False)
 class EvidenceReporter:
-    """Counts successes and latencies under the sidecar's own name."""
+    """Counts successes and latencies, attributed to this sidecar."""
 
     guard: RolloutGuard
     _has_unreported: bool = field(default=False)
     _is_urgent: bool = field(default=False)
 
     def count(self, ticket: Ticket, fleet: FleetState, completed: bool) -> None:
-        """Count one attempt that the endpoint has answered, or failed to."""
+        """Count one attempt that the endpoint answered or failed to answer."""
         version = parse_version_id(ticket.run.version)
         if version is None or version not in fleet.versions:
             return
@@ -55,17 +54,18 @@
             self.guard.observe(fleet, version, EvidenceKind.LATENCY, score)
 
     def apply_answer(self, answer: Evidence) -> None:
-        """Follow the window of the judging entries."""
+        """Advance to the evidence window of the deciding entries."""
         self.guard.turn_to(answer.window)
 
     async def run(
         self, shared: SharedState, served: Callable[[], frozenset[VersionId]]
     ) -> None:
-        """Report to the judging entries while there is news and it is one's turn.
+        """Report unreported counts to the deciding entries, if this is a reporter.
 
-        However many endpoints serve a version, a few of them report on it, and the
-        less often the more versions there are, so that a judging entry hears no more
-        in a large fleet. Failures are told at once: a quarantine ends them.
+        Only ``REPORTERS_PER_VERSION`` endpoints report on a version, and the interval
+        grows with the number of versions. A deciding entry thus receives no more in
+        a large fleet. Failures are reported at the next poll, since the quarantine
+        that ends them depends on the report.
         """
         loop = asyncio.get_running_loop()
         next_report_s = 0.0
@@ -85,16 +85,16 @@
 
 
 def _report_interval_s(versions: int) -> float:
-    """Return the pause that keeps all reporters together to what is heard."""
+    """Return the interval that keeps all reporters within the byte rate."""
     bytes_per_round = versions * REPORTERS_PER_VERSION * REPORT_BYTES
     return max(MIN_REPORT_INTERVAL_S, bytes_per_round / MAX_RECEIVED_BYTES_PER_S)
 
 
 def _is_reporter(shared: SharedState, served: frozenset[VersionId]) -> bool:
-    """Tell whether this sidecar is one of the few that report on a version.
+    """Return whether this sidecar is a reporter of any version that it serves.
 
-    The rank is that by which versions under roll-out are loaded, so that the first
-    holders of a new version are also those that report on it.
+    The ranking is the one that assigns versions under roll-out to endpoints. The
+    first holders of a new version are therefore also its reporters.
     """
     fleet = shared.holder.state
     endpoints = [i for i in shared.membership.usable() if i.role is Role.ENDPOINT]
@@ -111,7 +111,7 @@
 def _listed_predecessor(
     version: VersionId, fleet: FleetState, endpoints: list[Instance]
 ) -> VersionId:
-    """Return the predecessor under which the platform lists a version's endpoints."""
+    """Return the version or predecessor under which its endpoints are listed."""
     for _ in fleet.versions:
         version_spec = fleet.versions.get(version)
         if any(version in e.versions for e in endpoints):
--- a/acaciacove/sidecar/gate.py
+++ b/acaciacove/sidecar/gate.py
@@ -1,7 +1,7 @@
-"""The last check of every promise before an endpoint gets work.
+"""Checks each attempt a last time before it is sent to the endpoint.
 
-The entry has checked the same on its own view, which may be behind. Whatever is
-refused here has not reached the endpoint, so every refusal is a true "not run".
+The entry has made the same checks on its view, which may be stale. An attempt that
+is refused here has not reached the endpoint, so "not run" is true of every refusal.
 """
 
 from collections.abc import Callable
@@ -19,9 +19,10 @@
 
 @frozen
 class GateView:
-    """What the gate looks at: the state in force and this endpoint's own.
+    """Input of the checks: the current fleet state and the state of this endpoint.
 
-    ``current`` is false from the end of a pause until the state was confirmed.
+    ``current`` is false from the end of a pause of this process until the fleet state
+    has been confirmed as up to date.
     """
 
     fleet: FleetState
@@ -36,7 +37,7 @@
 
 
 def refuse_run(run: Run, view: GateView) -> Refusal | None:
-    """Return the first reason against running an attempt here, if there is one."""
+    """Return the first refusal of the checks, or None if the attempt may run."""
     for check in _CHECKS:
         refusal = check(run, view)
         if refusal is not None:
@@ -47,24 +48,24 @@
 def _check_process(run: Run, view: GateView) -> Refusal | None:
     if view.fleet.revision == NO_REVISION:
         return Refusal(
-            Reason.NOT_READY, True, "no release note is known", RETRY_AFTER_S
+            Reason.NOT_READY, True, "no release note read yet", RETRY_AFTER_S
         )
     if not view.takes_work:
-        return Refusal(Reason.LEAVING, True, f"{view.instance} is leaving")
+        return Refusal(Reason.LEAVING, True, f"{view.instance} is draining")
     return None
 
 
 def _check_revision(run: Run, view: GateView) -> Refusal | None:
-    """Refuse while behind the entry.
+    """Refuse while this sidecar's revision is older than the entry's.
 
-    The entry may know of a withdrawal that this side does not. Without this check a
-    sidecar that was paused would serve what operators have stopped.
+    The entry may have read a withdrawal that this sidecar has not. Without the
+    check, a sidecar that was paused would serve a version that operators stopped.
     """
     if not view.current:
         detail = f"{view.instance} was paused and is catching up"
         return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     if run.revision > view.fleet.revision:
-        detail = f"{view.instance} is still reading revision {run.revision}"
+        detail = f"{view.instance} has not yet read revision {run.revision}"
         return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     return None
 
@@ -87,7 +88,7 @@
     if version_spec.id in view.fleet.quarantines:
         return Refusal(Reason.VERSION_QUARANTINED, True, run.version)
     if version_spec.id not in view.served:
-        detail = f"{view.instance} does not serve {run.version}"
+        detail = f"{view.instance} does not serve version {run.version}"
         return Refusal(Reason.NO_ENDPOINT, True, detail)
     return None
 
@@ -104,7 +105,9 @@
 
 def _check_deadline(run: Run, view: GateView) -> Refusal | None:
     if run.deadline_s <= 0:
-        return Refusal(Reason.DEADLINE_EXCEEDED, True, "no time is left")
+        return Refusal(
+            Reason.DEADLINE_EXCEEDED, True, "the deadline passed before the call"
+        )
     return None
 
 
@@ -113,7 +116,11 @@
     if api is None:
         return Refusal(Reason.UNKNOWN_API, True, run.api)
     if not api.may_repeat(run.method, run.path) and not run.idempotency_key:
-        return Refusal(Reason.KEY_REQUIRED, True, "send an Idempotency-Key")
+        return Refusal(
+            Reason.KEY_REQUIRED,
+            True,
+            "this call is not idempotent: send an Idempotency-Key",
+        )
     return None
 
 
--- a/acaciacove/sidecar/hold_billing_copy.py
+++ b/acaciacove/sidecar/hold_billing_copy.py
@@ -1,4 +1,4 @@
-"""The sidecar's copy of a bill."""
+"""Holds the sidecar's copy of a billing record."""
 
 import asyncio
 from time import time
@@ -14,11 +14,11 @@
 def hold_billing_copy(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, answered: bool
 ) -> None:
-    """Keep what an attempt cost until the entry has it in the log.
+    """Hold a billing record until the entry has appended its own to the log.
 
-    If the entry is lost first, its bill would be lost with it; then the copy counts.
-    Nothing is kept of a call that may not be repeated and has no answer yet: its
-    record is the one of whoever gets the answer.
+    If the entry is lost first, the sidecar appends this copy in its place. Nothing
+    is held for a non-idempotent call without an answer: the process that gets the
+    answer makes its record.
     """
     if run.non_idempotent and not answered:
         return
--- a/acaciacove/sidecar/poll_engine_load.py
+++ b/acaciacove/sidecar/poll_engine_load.py
@@ -1,4 +1,4 @@
-"""Follows the engine's own word on its load, which lags but tells of restarts."""
+"""Polls the engine's load report, which lags but shows restarts."""
 
 import asyncio
 
@@ -10,7 +10,7 @@
 
 
 async def poll_engine_load(sidecar: SidecarState) -> None:
-    """Ask for the load report again and again; a silent engine keeps its limit."""
+    """Poll the load report; an engine that does not answer keeps its limit."""
     while True:
         await asyncio.sleep(POLL_INTERVAL_S)
         if not sidecar.is_engine:
--- a/acaciacove/sidecar/query_claim_owner.py
+++ b/acaciacove/sidecar/query_claim_owner.py
@@ -1,4 +1,4 @@
-"""One question to another process and its answer, on a connection of their own."""
+"""Queries the owner of a claim over a dedicated connection."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 async def query_claim_owner(
     shared: SharedState, name: str, query: ClaimQuery
 ) -> ClaimAnswer | None:
-    """Ask the owner of a claim what became of it; None if it cannot be reached."""
+    """Query the owner for the outcome of a claim; None if it is unreachable."""
     owner = shared.membership.find(name)
     if owner is None:
         return None
--- a/acaciacove/sidecar/run_attempt.py
+++ b/acaciacove/sidecar/run_attempt.py
@@ -1,4 +1,4 @@
-"""Runs one attempt: catch up, check, wait for a place, ask the endpoint."""
+"""Runs one attempt: catch up, check, wait for admission, call the endpoint."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -37,7 +37,7 @@
 
 
 async def run_attempt(run: Run, entry: str, sidecar: SidecarState, send: Send) -> None:
-    """Answer an attempt of an entry with Head, Chunks and End, or with a Refused."""
+    """Answer an attempt with Head, Chunks and End, or with a Refused."""
     sidecar.billing.confirm(run.billed)
     await catch_up(run, sidecar.holder, send)
     refusal = refuse_run(run, sidecar.gate_view())
@@ -54,8 +54,8 @@
     assert version is not None
     sidecar.running_by_version[version] += 1
     try:
-        # What was in force may have changed while the attempt waited in the queue.
-        # A withdrawn version would otherwise get work that is chosen afterwards.
+        # The fleet state may have changed while the attempt waited in the queue.
+        # Without this check, a version withdrawn meanwhile would get new work.
         failure = refuse_run(run, sidecar.gate_view())
         if failure is None:
             failure = await _call_endpoint(run, entry, sidecar, ticket, send)
@@ -75,7 +75,7 @@
 def _attempt_outcome(
     ticket: Ticket, failure: Refusal | None, completed: bool
 ) -> AttemptOutcome:
-    """Return what an attempt tells of its endpoint."""
+    """Return what the end of an attempt says about its endpoint."""
     if not ticket.endpoint_called:
         return AttemptOutcome.INCONCLUSIVE
     if completed:
@@ -86,14 +86,14 @@
 
 
 def _weight(run: Run, sidecar: SidecarState) -> float:
-    """Return the organisation's share; the gate has checked that it is known."""
+    """Return the organisation's weight; the gate has checked that it exists."""
     return sidecar.holder.state.organisations[run.organisation].weight
 
 
 async def _call_endpoint(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
-    """Ask the endpoint; None once the whole answer was sent."""
+    """Call the endpoint; None once the complete answer has been sent."""
     api = sidecar.holder.state.apis[run.api]
     if api.kind is ApiKind.MODEL:
         return await _call_engine(run, sidecar, ticket, send)
@@ -103,7 +103,7 @@
 async def _call_engine(
     run: Run, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
-    """Relay an engine's answer as it is generated."""
+    """Stream an engine's answer to the entry while it is generated."""
     loop = asyncio.get_running_loop()
     chunks = 0
     head = EngineHead(HTTP_OK)
@@ -113,7 +113,7 @@
         async for event in events:
             match event:
                 case EngineHead():
-                    # Sent along with the first piece: a write and a wake-up less.
+                    # Sent with the first chunk, which saves a write and a wake-up.
                     head = event
                 case EnginePiece():
                     ticket.last_chunk_at_s = loop.time()
@@ -136,7 +136,9 @@
                     return None
                 case Refusal():
                     return event
-    raise AssertionError("an engine's events end with a finish or a refusal")
+    raise AssertionError(
+        f"engine events of {run.request_id} ended without EngineFinish or Refusal"
+    )
 
 
 def _build_head(run: Run, head: EngineHead) -> Head:
@@ -158,7 +160,7 @@
 async def _call_service(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, send: Send
 ) -> Refusal | None:
-    """Make one call of the plain service and send its whole answer."""
+    """Make one call of the plain service and send its complete answer."""
     api = sidecar.holder.state.apis[run.api]
     call = ServiceCall(
         request_id=run.request_id,
@@ -183,7 +185,7 @@
 async def send_service_answer(
     run: Run, sidecar: SidecarState, ticket: Ticket, answer: ServiceAnswer, send: Send
 ) -> None:
-    """Send a service's answer in pieces that fit a frame."""
+    """Send a service's answer in chunks that fit into a frame."""
     await send(Head(run.request_id, run.attempt, answer.status, answer.headers))
     chunk_offsets = range(0, len(answer.body), MAX_CHUNK_BYTES)
     for sequence, offset in enumerate(chunk_offsets):
@@ -195,7 +197,7 @@
 def _build_end(
     run: Run, sidecar: SidecarState, ticket: Ticket, chunks: int, finish: EngineFinish
 ) -> End:
-    """Write the end of an answer with what it took."""
+    """Build the end of an answer with its token counts, time and load."""
     now_s = asyncio.get_running_loop().time()
     return End(
         request_id=run.request_id,
@@ -214,7 +216,7 @@
 async def _refuse(
     run: Run, sidecar: SidecarState, refusal: Refusal, send: Send
 ) -> None:
-    """Tell the entry why there is no answer."""
+    """Send the refusal to the entry; count and log it."""
     sidecar.metrics.count_refusal(refusal)
     log_event(
         "refuse",
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -1,4 +1,4 @@
-"""One sidecar: its parts, its tasks, and how it leaves."""
+"""Builds a sidecar, runs its tasks and drains it on shutdown."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -60,17 +60,19 @@
 from acaciacove.state.fence_gate import FenceGate
 from acaciacove.wire.connection import Connection
 
-# Before the first answers nothing is known of the engine's speed. A low guess makes
-# early requests wait; a high one would refuse what could have been served in time.
+# Assumed until the first answers show the engine's speed. Too low a value makes early
+# requests wait; too high a value refuses requests that could be served in time.
 INITIAL_TOKEN_S = 0.005
+# Uptime after which a process missing from the instance list has ended. The list lags
+# by up to a minute.
 LIST_COMPLETE_AFTER_S = 120.0
 
 
 @define(eq=False)
 class RunningSidecar:
-    """A sidecar that serves; the ports are the bound ones.
+    """A running sidecar with its bound ports.
 
-    ``cut`` tells, once it has stopped, whether work was left when its time was up.
+    ``cut`` is set on shutdown: true if work was left when the drain limit passed.
     """
 
     state: SidecarState
@@ -148,7 +150,7 @@
 def _build_sidecar_state(
     settings: SidecarSettings, registry: Registry, peer_port: int
 ) -> SidecarState:
-    """Put the parts of a sidecar together."""
+    """Build the state of a sidecar from its settings."""
     rng = Random(settings.seed) if settings.seed else Random()
     client = open_client()
     lifecycle = ProcessLifecycle()
@@ -187,7 +189,7 @@
 def _build_version_reconciler(
     settings: SidecarSettings, sidecar: SidecarState
 ) -> VersionReconciler:
-    """Put together what gives orders to the engine."""
+    """Build the reconciler, with the weight store if one is set."""
     store = None
     if settings.weight_store_url:
         store = HttpWeightStore(settings.weight_store_url, open_client())
@@ -218,11 +220,11 @@
 
 
 def _build_is_gone(shared: SharedState) -> Callable[[str, int], bool]:
-    """Return what tells whether the process that made a claim has ended.
+    """Return a predicate for whether the process that made a claim has ended.
 
-    The platform's list lags by up to a minute, so a process that has just started
-    does not know everybody yet. Taking strangers for gone would tell a caller that
-    an outcome is unknown while the call is still running.
+    The platform's list lags by up to a minute, so the view of a process that has just
+    started is incomplete. If unknown processes counted as ended, a caller would get
+    "outcome unknown" while its call is still running.
     """
     started_s = _now_s()
 
@@ -252,7 +254,7 @@
 
 
 def _status_document(sidecar: SidecarState) -> dict[str, Any]:
-    """Describe the sidecar for ``/status``."""
+    """Return the document that ``/status`` serves."""
     load = sidecar.admission.load()
     return {
         "name": sidecar.settings.name,
--- a/acaciacove/sidecar/sidecar_metrics.py
+++ b/acaciacove/sidecar/sidecar_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a sidecar."""
+"""Prometheus metrics of a sidecar."""
 
 from aioprometheus import Counter, Gauge, Registry
 from attrs import define, field
@@ -9,7 +9,7 @@
 
 @define(eq=False)
 class SidecarMetrics:
-    """Counters by version and reason, and the admission limit as it stands."""
+    """Counters by version and reason, and gauges of load and admission limit."""
 
     registry: Registry
     answers: Counter = field(init=False)
@@ -42,12 +42,12 @@
         self.refusals.inc(labels)
 
     def count_answer(self, version: str, tokens: int) -> None:
-        """Count a whole answer."""
+        """Count a complete answer and its tokens."""
         self.answers.inc({"version": version})
         self.tokens.add({"version": version}, tokens)
 
     def refresh(self, load: Load) -> None:
-        """Take readings just before they are served."""
+        """Set the gauges; called before the metrics are served."""
         self.in_flight.set({}, load.in_flight)
         self.queued.set({}, load.queued)
         self.limit.set({}, load.limit)
--- a/acaciacove/sidecar/sidecar_state.py
+++ b/acaciacove/sidecar/sidecar_state.py
@@ -1,4 +1,4 @@
-"""Everything that the tasks of one sidecar share."""
+"""State that the tasks of one sidecar share."""
 
 from collections import Counter
 
@@ -23,7 +23,7 @@
 
 @define(eq=False)
 class SidecarState:
-    """The parts of one sidecar; each is owned by one task and read by the others."""
+    """The components of one sidecar; one task writes each, the others read it."""
 
     settings: SidecarSettings
     lifecycle: ProcessLifecycle
@@ -42,7 +42,7 @@
 
     @property
     def is_engine(self) -> bool:
-        """Tell whether a model engine, and no plain service, stands behind it."""
+        """Return whether the endpoint is a model engine, not a plain service."""
         fleet = self.holder.state
         for version in self.served & fleet.versions.keys():
             api = fleet.apis.get(fleet.versions[version].api)
@@ -52,17 +52,17 @@
 
     @property
     def holder(self) -> FleetHolder:
-        """Return the state in force."""
+        """Return the store of the current fleet state."""
         return self.shared.holder
 
     def is_entry_gone(self, name: str) -> bool:
-        """Tell whether nobody but this sidecar is left to bill for an entry."""
+        """Return whether an entry has ended, so that this sidecar must bill for it."""
         if self.connections_by_peer[name] > 0:
             return False
         return self.shared.membership.status_of(name) is InstanceStatus.GONE
 
     def gate_view(self) -> GateView:
-        """Return what the gate looks at, as of now."""
+        """Return the current input of the gate's checks."""
         return GateView(
             fleet=self.holder.state,
             instance=self.settings.name,
--- a/acaciacove/sidecar/ticket.py
+++ b/acaciacove/sidecar/ticket.py
@@ -1,4 +1,4 @@
-"""A place that an attempt got at the endpoint."""
+"""The record of one admitted attempt."""
 
 from attrs import define
 
@@ -26,7 +26,7 @@
     service_call_s: float | None = None
 
     def token_s(self, now_s: float) -> float:
-        """Return the mean time per token after the first, or the whole time."""
+        """Return the mean time per token after the first, or the total time."""
         if self.service_call_s is not None:
             return self.service_call_s
         elapsed_s = now_s - self.admitted_at_s
@@ -35,5 +35,5 @@
         return (elapsed_s - self.first_chunk_s) / (self.tokens - 1)
 
     def remaining_s(self, now_s: float) -> float:
-        """Return the time that is left to answer."""
+        """Return the time until the deadline, at least 0."""
         return max(0.0, self.arrived_at_s + self.run.deadline_s - now_s)
--- a/acaciacove/sidecar/version_reconciler.py
+++ b/acaciacove/sidecar/version_reconciler.py
@@ -1,4 +1,4 @@
-"""Orders to the engine, so that it holds what the release in force wants of it."""
+"""Orders the engine to load and unload versions until it holds the planned ones."""
 
 import asyncio
 from random import Random
@@ -20,16 +20,18 @@
 from acaciacove.state.load_permit import wait_for_permit
 
 RECONCILE_INTERVAL_S = 0.5
-# Peers that are silent for a moment come back: a copy of a version is unloaded only
-# after the plan has done without it for this long.
+# A peer that is briefly unreachable returns. A version is therefore unloaded only after
+# it has been missing from the plan for this long.
 SURPLUS_GRACE_S = 5.0
 LOAD_PERMIT_TIMEOUT_S = 600.0
-NOT_PLANNED = Refusal(Reason.STALE_FENCE, True, "the version is no longer wanted")
+NOT_PLANNED = Refusal(
+    Reason.STALE_FENCE, True, "the version is no longer planned for this endpoint"
+)
 
 
 @define(eq=False)
 class VersionReconciler:
-    """Gives one order at a time; ``gate`` refuses those that were overtaken."""
+    """Sends one order at a time; ``gate`` refuses orders with a stale fence."""
 
     sidecar: SidecarState
     gate: FenceGate
@@ -39,20 +41,20 @@
     surplus_since_s: dict[VersionId, float] = field(factory=dict)
 
     async def run(self) -> None:
-        """Compare what is held with what is wanted, again and again."""
+        """Compare the loaded versions with the planned ones periodically."""
         while True:
             await asyncio.sleep(RECONCILE_INTERVAL_S)
             try:
                 await self._reconcile()
             except PlatformUnavailableError as error:
-                # Whether the order was obeyed is not known. It is given again under
-                # a number that is no lower, which engines take as the same order.
+                # The engine may or may not have executed the order. It is sent again
+                # with a fence that is no lower, which engines treat as the same order.
                 log_event("order_in_doubt", detail=str(error))
 
     async def _reconcile(self) -> None:
-        """Give the next order that is due, if there is one."""
+        """Send the next load or unload order, if one is needed."""
         if not self.sidecar.shared.is_listed:
-            # Whoever knows nobody else would take each version for its own to hold.
+            # With an empty view of its peers, this sidecar would load every version.
             return
         fleet = self.sidecar.holder.state
         planned = self._planned(fleet)
@@ -70,11 +72,11 @@
     def _expired_surplus(
         self, fleet: FleetState, planned: frozenset[VersionId]
     ) -> frozenset[VersionId]:
-        """Return versions loaded here that the plan has placed elsewhere for a while.
+        """Return loaded versions that were not planned here for the grace period.
 
-        Peers that were not known yet, or silent, make an endpoint load in their place.
-        Nothing else would take such a copy away: entries never look for it, and it
-        fills the engine's memory.
+        An endpoint loads a version in place of a peer that it does not know yet or
+        that is unreachable. Nothing else would unload such a surplus version: entries
+        never route to it, and it fills the engine's memory.
         """
         now_s = asyncio.get_running_loop().time()
         listed_versions = self.sidecar.shared.me.versions
@@ -93,7 +95,7 @@
         )
 
     def _planned(self, fleet: FleetState) -> frozenset[VersionId]:
-        """Return what this endpoint should hold, as every process plans it."""
+        """Return the versions planned for this endpoint; peers compute the same."""
         if not self.sidecar.is_engine:
             return frozenset()
         shared = self.sidecar.shared
@@ -106,7 +108,7 @@
         return self.sidecar.running_by_version[version] == 0
 
     async def _load(self, version: VersionId, fence: int) -> None:
-        """Load a version, once the weight store lets its weights be fetched."""
+        """Load a version once the weight store permits the download."""
 
         def find_refusal() -> Refusal | None:
             planned = version in self._planned(self.sidecar.holder.state)
@@ -124,7 +126,7 @@
             self._set_served(self.sidecar.served | {version})
 
     async def _unload(self, version: VersionId, fence: int) -> None:
-        """Unload a withdrawn version that nothing runs on any more."""
+        """Unload a withdrawn or surplus version that runs no attempts."""
         self._set_served(self.sidecar.served - {version})
         if not await self._send_order(EngineAction.UNLOAD_VERSION, version, fence):
             self._set_served(self.sidecar.served | {version})
@@ -136,7 +138,7 @@
     async def _send_order(
         self, action: EngineAction, version: VersionId, fence: int
     ) -> bool:
-        """Give an order under its fencing number, and log it."""
+        """Send an order with its fence to the engine, and log it."""
         refusal = self.gate.admit(fence)
         if refusal is None:
             self.order_count += 1
--- a/tests/test_path_claims.py
+++ b/tests/test_path_claims.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated, and bills, on real daemons."""
+"""Non-idempotent calls, billing and session pins on real daemons."""
 
 import asyncio
 
@@ -23,7 +23,7 @@
 
 
 def read_ledger(fleet):
-    """Read the billing stream as its readers do."""
+    """Return a ledger of the whole billing stream."""
     stream = fleet.log.stream(BILLING_STREAM)
     read = BillingLedger()
     read.offer([LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)])
@@ -36,8 +36,8 @@
 
 
 def test_booking_and_its_retry_through_another_entry_run_once():
-    # The answer to a booking is lost on its way, and the caller asks again through
-    # another entry. A second run would send a second driver.
+    # Guards against a double booking when the caller loses the first answer and
+    # retries through another entry.
     async def test():
         async with embedded_fleet(models=0, entries=2) as fleet:
             first = await book(fleet, "k1")
@@ -64,8 +64,9 @@
 
 @pytest.mark.parametrize("fault", ["drop_after_effect", "drop_before_effect"])
 def test_booking_with_a_lost_answer_is_never_repeated(fault):
-    # The service drops the connection, before or after the booking took effect;
-    # nobody can tell which. The caller is told so, now and at each retry.
+    # The service drops the connection before or after the booking takes effect.
+    # The outcome cannot be determined, so the call and each retry must report it as
+    # unknown.
     async def test():
         async with embedded_fleet(models=0, services=1) as fleet:
             setattr(fleet.services["bookings-0"].faults, fault, 1)
@@ -79,7 +80,7 @@
 
 
 def test_log_outage_refuses_bookings_as_not_run_but_serves_chats():
-    # Without the log nobody can know that a key was not used elsewhere.
+    # Without the log, no process can rule out that the key was used elsewhere.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
@@ -92,10 +93,10 @@
             fleet.log.faults.outage = False
             assert effects(fleet) == 0
 
-            async def is_booked():
+            async def book_succeeds():
                 return (await book(fleet, "k1"))[0] == 200
 
-            while not await is_booked():
+            while not await book_succeeds():
                 await asyncio.sleep(0.1)
             assert effects(fleet) == 1
 
@@ -114,8 +115,8 @@
 
 
 def test_every_answered_request_is_billed_once():
-    # Retries of a booking, failed attempts and refusals must not show on the bill;
-    # answered requests must, each once.
+    # Each answered request is billed once. Retries of a booking, failed attempts and
+    # refusals are not billed.
     async def test():
         async with embedded_fleet(entries=2) as fleet:
             fleet.engines["guide-0"].faults.fail = 2
@@ -134,8 +135,8 @@
 
 
 def test_session_keeps_its_version_when_its_entry_is_replaced():
-    # A chat began on the dear version. Its entry is replaced; the next one knows
-    # nothing of the chat but what the caller brings along.
+    # A chat starts on the more expensive version and its entry is replaced. The next
+    # entry has no state of the chat except the session token of the caller.
     async def test():
         async with embedded_fleet(entries=2, services=0) as fleet:
             body = orjson.dumps({**orjson.loads(QUESTION), "model": str(LARGE)})
--- a/tests/test_path_faults.py
+++ b/tests/test_path_faults.py
@@ -1,4 +1,4 @@
-"""Endpoints that fail, callers that leave, instances that go: on real daemons."""
+"""Failing endpoints, disconnecting callers and draining instances on real daemons."""
 
 import asyncio
 
@@ -18,7 +18,7 @@
 
 
 def stream_text(raw):
-    """Join what a stream's events say, and tell whether it ended as whole."""
+    """Return the text of a stream's events, and whether the stream is complete."""
     events = [e for e in raw.split(b"\n\n") if e.startswith(b"data: ")]
     complete = bool(events) and events[-1] == b"data: [DONE]"
     documents = [orjson.loads(e[6:]) for e in events if e != b"data: [DONE]"]
@@ -34,14 +34,14 @@
     "fault", ["crossed", "truncated", "dropped", "garbage", "fail"]
 )
 def test_invalid_answer_is_retried_on_another_endpoint(fault):
-    # An endpoint answers with somebody else's id, half an answer, or none. The
-    # caller must get its own whole answer from another endpoint, not the bad one.
+    # An endpoint answers with another request's id, a partial answer, or none. The
+    # caller must get its complete answer from another endpoint instead.
     async def test():
         async with embedded_fleet() as fleet:
             for engine in fleet.engines.values():
                 setattr(engine.faults, fault, 1)
-            # Two endpoints fail once each; the third attempt has nowhere to go, so
-            # one of them is left whole.
+            # If both endpoints failed once, no endpoint would be left for a third
+            # attempt, so the second one has no fault.
             setattr(fleet.engines["guide-1"].faults, fault, 0)
             for _ in range(6):
                 response = await fleet.post(CHAT, orjson.dumps(QUESTION))
@@ -56,8 +56,8 @@
 
 @pytest.mark.parametrize("fault", ["truncated", "dropped"])
 def test_broken_stream_resumes_without_lost_or_repeated_tokens(fault):
-    # An endpoint dies in the middle of a stream. The caller sees one whole answer,
-    # with no token missing and none twice.
+    # An endpoint fails in the middle of a stream. The caller must get one complete
+    # answer without missing or repeated tokens.
     async def test():
         async with embedded_fleet() as fleet:
             setattr(fleet.engines["guide-0"].faults, fault, 1)
@@ -73,7 +73,8 @@
 
 
 def test_stream_without_a_working_endpoint_ends_with_an_error_event():
-    # Every endpoint breaks. The caller must not take half an answer for a whole.
+    # Every endpoint truncates its answer. The caller must be able to tell a partial
+    # answer from a complete one.
     async def test():
         async with embedded_fleet() as fleet:
             for engine in fleet.engines.values():
@@ -91,8 +92,8 @@
 
 @pytest.mark.parametrize("stream", [True, False])
 def test_caller_disconnect_cancels_the_engine_call(stream):
-    # A caller gives up half-way. Otherwise its engine goes on generating for nobody
-    # while others wait.
+    # Guards against an engine that continues to generate for a disconnected caller
+    # while other requests wait.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             engine = fleet.engines["guide-0"]
@@ -117,8 +118,8 @@
 
 
 def test_draining_endpoint_finishes_its_streams_and_gets_no_new_ones():
-    # A sidecar is told to stop while it streams. Its callers get whole answers, and
-    # new requests go elsewhere.
+    # A sidecar is stopped while it streams. Its callers must get complete answers,
+    # and new requests must go to another endpoint.
     async def test():
         async with embedded_fleet() as fleet:
             for engine in fleet.engines.values():
@@ -146,7 +147,8 @@
 
 
 def test_entry_shutdown_completes_running_requests():
-    # The entry gets SIGTERM while it answers. Its callers must not notice.
+    # The entry is stopped while it answers, as by SIGTERM. Its callers must still get
+    # complete answers.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.engines["guide-0"].profile = EngineProfile(token_s=0.02)
@@ -168,7 +170,8 @@
 
 
 def test_withdrawn_version_gets_no_new_requests():
-    # A release note withdraws the cheap version under traffic.
+    # A release note withdraws the cheaper version. Requests must go to the other one,
+    # and a request for the withdrawn version must be refused as not run.
     async def test():
         async with embedded_fleet() as fleet:
             note = ReleaseNote("note-2", 0, withdrawn=(SMALL,))
@@ -209,8 +212,8 @@
 
 
 def test_cold_endpoint_stays_within_its_cold_capacity():
-    # A freshly started engine falls over when it gets more than it bears. Thirty
-    # callers come at once; all must be served, and nothing may fall over.
+    # A freshly started engine fails when it gets more than its cold capacity. Thirty
+    # concurrent requests must all be served without overloading it.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             engine = fleet.engines["guide-0"]
@@ -239,8 +242,8 @@
 
 
 def test_unusually_slow_request_is_hedged():
-    # One endpoint stalls and says nothing more. The caller should not wait for its
-    # whole deadline while another endpoint could answer at once.
+    # One endpoint stalls and sends nothing more. The caller must not wait until its
+    # deadline while another endpoint could answer immediately.
     async def test():
         async with embedded_fleet() as fleet:
             entry = fleet.entries[0].state
@@ -248,7 +251,7 @@
                 body = {**QUESTION, "max_tokens": 4 + number % 2}
                 response = await fleet.post(CHAT, orjson.dumps(body))
                 await response.content()
-            # The endpoint that holds the question's prefix is the one asked next.
+            # Next requests prefer the endpoint that has the prefix in its cache.
             preferred = response.headers["x-endpoint"]
             fleet.engines[preferred].faults.stalled = -1
             hedged = 0
@@ -257,8 +260,8 @@
                 response = await fleet.post(CHAT, orjson.dumps(QUESTION))
                 answer = orjson.loads(await response.content())
                 assert response.status_code == 200, answer
-                # A few requests are asked of the dear version to learn about it;
-                # which ones depends on draws that run beside this test.
+                # Some requests go to the more expensive version to measure it. Which
+                # ones depends on random draws that the test does not control.
                 version = LARGE if answer["model"] == str(LARGE) else SMALL
                 assert response.headers["x-version"] == str(version)
                 text = answer["choices"][0]["message"]["content"]
@@ -270,8 +273,8 @@
 
 
 def test_slow_caller_past_its_deadline_gets_an_error_event():
-    # A caller reads its stream so slowly that its deadline passes while the entry is
-    # writing to it. The stream must end with an error, not just stop.
+    # A deadline passes while the entry writes a stream to a slow caller. The stream
+    # must end with an error event, not just stop.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             engine = fleet.engines["guide-0"]
--- a/tests/test_sidecar_claimed_call.py
+++ b/tests/test_sidecar_claimed_call.py
@@ -1,4 +1,4 @@
-"""A claimed call is checked once more before it is made, and billed after it."""
+"""Claimed calls are checked again before the call and billed after it."""
 
 import asyncio
 from types import SimpleNamespace
@@ -33,7 +33,7 @@
 
 
 class FakeSidecar:
-    """What a claimed call needs of a sidecar, with a service that counts."""
+    """The parts of a sidecar that a claimed call uses; counts service calls."""
 
     def __init__(self, world):
         self.claims = world.start("s1")
@@ -59,8 +59,8 @@
 
 
 def test_withdrawal_or_pause_during_the_claim_prevents_the_call():
-    # The version is withdrawn, or the process is paused, between the first check
-    # and the answer of the log. The call would be new work for a stopped version.
+    # Guards against new work for a stopped version. The version is withdrawn, or the
+    # process is paused, between the first check and the reply of the log.
     async def main():
         withdrawn = evolve(FLEET.versions[SHUTTLE], withdrawn=True)
         for change in (
@@ -79,8 +79,8 @@
 
 
 def test_booking_is_billed_when_its_entry_is_lost_during_the_call():
-    # The entry's connection breaks during the call, and the attempt ends with it.
-    # The seat is taken; without the copy nobody would ever be billed for it.
+    # Guards against unbilled calls. The entry's connection breaks during the call,
+    # which cancels the attempt. The booking takes effect, so its copy must be held.
     async def main():
         sidecar = FakeSidecar(World())
         booking = book(sidecar)
--- a/tests/test_sidecar_version_reconciler.py
+++ b/tests/test_sidecar_version_reconciler.py
@@ -27,7 +27,7 @@
 
 
 class FakeMembership:
-    """The members that one sidecar knows of."""
+    """The members in the view of one sidecar."""
 
     def __init__(self, known_names):
         self.known_names = set(known_names)
@@ -42,7 +42,7 @@
 
 
 def create_roll_out():
-    """Return a holder of a release that replaces the first version by a second."""
+    """Return fleet state in which a second version replaces the first."""
     holder = FleetHolder()
     first = ReleaseNote("a", -1, versions=(Version(OLD, "guide", 1.0),))
     second = ReleaseNote("b", 0, versions=(Version(NEW, "guide", 1.0, replaces=OLD),))
@@ -83,7 +83,8 @@
 
 
 def test_surplus_versions_are_unloaded_once_all_peers_are_known():
-    # Guards against roll-outs that keep more copies than planned after a slow start.
+    # Guards against more loaded copies than planned. Endpoints that do not know their
+    # peers at the start each load the version.
     async def main():
         fleet = [build_reconciler(name, {name}) for name in NAMES]
         await run_until_settled(fleet)
@@ -97,7 +98,8 @@
 
 
 def test_unlisted_sidecar_loads_no_version():
-    # Guards against a roll-out on all endpoints at once when all of them start.
+    # Guards against loading a new version on all endpoints at once when all of them
+    # start with an empty view.
     async def main():
         fleet = [build_reconciler(name, set()) for name in NAMES]
         await run_until_settled(fleet)
@@ -107,7 +109,7 @@
 
 
 def test_surplus_version_with_running_requests_is_not_unloaded():
-    # Guards against unloading a surplus version under a request.
+    # Guards against unloading a surplus version while it runs a request.
     async def main():
         fleet = [build_reconciler(name, {name}) for name in NAMES]
         await run_until_settled(fleet)
@@ -121,7 +123,8 @@
 
 
 def test_briefly_silent_peer_causes_no_unload():
-    # Guards against loading and unloading in turn while a peer is heard now and then.
+    # Guards against alternate loading and unloading while a peer is reachable only
+    # intermittently.
     async def main():
         fleet = [build_reconciler(name, NAMES) for name in NAMES]
         await run_until_settled(fleet)
