--- a/acaciacove/sidecar/attempt_outcome.py
+++ b/acaciacove/sidecar/attempt_outcome.py
@@ -4,7 +4,11 @@
 
 
 class AttemptOutcome(Enum):
-    """``INCONCLUSIVE`` attempts never ran, or their caller disconnected."""
+    """The end of an attempt as evidence on the endpoint.
+
+    ``INCONCLUSIVE`` attempts never ran, or their caller disconnected. They say
+    nothing about the endpoint.
+    """
 
     COMPLETED = auto()
     FAILED = auto()
--- a/acaciacove/sidecar/entry_session.py
+++ b/acaciacove/sidecar/entry_session.py
@@ -69,7 +69,8 @@
         An entry that has sent no request lately would otherwise route by a stale
         load. The report is also a heartbeat that makes a probe unnecessary. With few
         entries it is sent every second. With many it is sent less often, so that the
-        reports to all entries together stay within one byte rate.
+        reports to all entries together stay within one byte rate. That suffices,
+        because answers carry the load as well.
         """
         while True:
             entries = sum(
--- a/acaciacove/sidecar/gate.py
+++ b/acaciacove/sidecar/gate.py
@@ -48,10 +48,10 @@
 def _check_process(run: Run, view: GateView) -> Refusal | None:
     if view.fleet.revision == NO_REVISION:
         return Refusal(
-            Reason.NOT_READY, True, "no release note read yet", RETRY_AFTER_S
+            Reason.NOT_READY, True, "no release note is known", RETRY_AFTER_S
         )
     if not view.takes_work:
-        return Refusal(Reason.LEAVING, True, f"{view.instance} is draining")
+        return Refusal(Reason.LEAVING, True, f"{view.instance} is leaving")
     return None
 
 
@@ -65,7 +65,7 @@
         detail = f"{view.instance} was paused and is catching up"
         return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     if run.revision > view.fleet.revision:
-        detail = f"{view.instance} has not yet read revision {run.revision}"
+        detail = f"{view.instance} is still reading revision {run.revision}"
         return Refusal(Reason.STALE_REVISION, True, detail, RETRY_AFTER_S)
     return None
 
@@ -88,7 +88,7 @@
     if version_spec.id in view.fleet.quarantines:
         return Refusal(Reason.VERSION_QUARANTINED, True, run.version)
     if version_spec.id not in view.served:
-        detail = f"{view.instance} does not serve version {run.version}"
+        detail = f"{view.instance} does not serve {run.version}"
         return Refusal(Reason.NO_ENDPOINT, True, detail)
     return None
 
@@ -105,9 +105,7 @@
 
 def _check_deadline(run: Run, view: GateView) -> Refusal | None:
     if run.deadline_s <= 0:
-        return Refusal(
-            Reason.DEADLINE_EXCEEDED, True, "the deadline passed before the call"
-        )
+        return Refusal(Reason.DEADLINE_EXCEEDED, True, "no time is left")
     return None
 
 
@@ -116,11 +114,7 @@
     if api is None:
         return Refusal(Reason.UNKNOWN_API, True, run.api)
     if not api.may_repeat(run.method, run.path) and not run.idempotency_key:
-        return Refusal(
-            Reason.KEY_REQUIRED,
-            True,
-            "this call is not idempotent: send an Idempotency-Key",
-        )
+        return Refusal(Reason.KEY_REQUIRED, True, "send an Idempotency-Key")
     return None
 
 
