--- a/acaciacove/sidecar/attempt_outcome.py
+++ b/acaciacove/sidecar/attempt_outcome.py
@@ -1,11 +1,15 @@
-"""How an attempt ended, as far as it tells of the endpoint."""
+"""What the end of an attempt says about the health of the endpoint."""
 
 from enum import Enum, auto
 
 
 class AttemptOutcome(Enum):
-    """``UNTOLD`` attempts never ran, or their caller left: they tell nothing."""
+    """The end of an attempt as evidence on the endpoint.
+
+    ``INCONCLUSIVE`` attempts never ran, or their caller disconnected. They say
+    nothing about the endpoint.
+    """
 
     COMPLETED = auto()
     FAILED = auto()
-    UNTOLD = auto()
+    INCONCLUSIVE = auto()
--- a/acaciacove/sidecar/hold_bill.py
+++ b/acaciacove/sidecar/hold_billing_copy.py
@@ -1,4 +1,4 @@
-"""The sidecar's copy of a bill."""
+"""Holds the sidecar's copy of a billing record."""
 
 import asyncio
 from time import time
@@ -11,22 +11,22 @@
 from acaciacove.state.billing_record import BillingRecord
 
 
-def hold_bill(
+def hold_billing_copy(
     run: Run, entry: str, sidecar: SidecarState, ticket: Ticket, answered: bool
 ) -> None:
-    """Keep what an attempt cost until the entry has it in the log.
+    """Hold a billing record until the entry has appended its own to the log.
 
-    If the entry is lost first, its bill would be lost with it; then the copy counts.
-    Nothing is kept of a call that may not be repeated and has no answer yet: its
-    record is the one of whoever gets the answer.
+    If the entry is lost first, the sidecar appends this copy in its place. Nothing
+    is held for a non-idempotent call without an answer: the process that gets the
+    answer makes its record.
     """
     if run.non_idempotent and not answered:
         return
     version = parse_version_id(run.version)
-    known = sidecar.fleet_store.state.versions.get(version) if version else None
-    if known is None:
+    version_spec = sidecar.fleet_store.state.versions.get(version) if version else None
+    if version_spec is None:
         return
-    cost = price(known, ticket.prompt_tokens, ticket.tokens) if answered else 0.0
+    cost = price(version_spec, ticket.prompt_tokens, ticket.tokens) if answered else 0.0
     record = BillingRecord(
         request_id=billing_id(
             run.request_id, run.organisation, run.api, run.idempotency_key
--- a/acaciacove/sidecar/sidecar_state.py
+++ b/acaciacove/sidecar/sidecar_state.py
@@ -1,4 +1,4 @@
-"""Everything that the tasks of one sidecar share."""
+"""State that the tasks of one sidecar share."""
 
 from collections import Counter
 
@@ -12,8 +12,8 @@
 from acaciacove.fleet.instance_status import InstanceStatus
 from acaciacove.fleet.version_id import VersionId
 from acaciacove.settings.sidecar_settings import SidecarSettings
-from acaciacove.sidecar.admission import Admission
-from acaciacove.sidecar.evidence_report import EvidenceReport
+from acaciacove.sidecar.admission_controller import AdmissionController
+from acaciacove.sidecar.evidence_reporter import EvidenceReporter
 from acaciacove.sidecar.gate import GateView
 from acaciacove.sidecar.sidecar_metrics import SidecarMetrics
 from acaciacove.state.billing_outbox import BillingOutbox
@@ -23,26 +23,26 @@
 
 @define(eq=False)
 class SidecarState:
-    """The parts of one sidecar; each is owned by one task and read by the others."""
+    """The components of one sidecar; one task writes each, the others read it."""
 
     settings: SidecarSettings
     lifecycle: ProcessLifecycle
     shared: SharedState
-    admission: Admission
+    admission: AdmissionController
     engine: Engine
     service: PlainService
     metrics: SidecarMetrics
-    evidence: EvidenceReport
+    evidence: EvidenceReporter
     claims: ClaimOwner
     billing: BillingOutbox
     served: frozenset[VersionId]
     in_flight: int = field(default=0)
-    connected: Counter[str] = field(factory=Counter)
-    running: Counter[VersionId] = field(factory=Counter)
+    connections_by_peer: Counter[str] = field(factory=Counter)
+    running_by_version: Counter[VersionId] = field(factory=Counter)
 
     @property
     def is_engine(self) -> bool:
-        """Tell whether a model engine, and no plain service, stands behind it."""
+        """Return whether the endpoint is a model engine, not a plain service."""
         fleet = self.fleet_store.state
         for version in self.served & fleet.versions.keys():
             api = fleet.apis.get(fleet.versions[version].api)
@@ -52,17 +52,17 @@
 
     @property
     def fleet_store(self) -> FleetStore:
-        """Return the state in force."""
+        """Return the store of the current fleet state."""
         return self.shared.fleet_store
 
-    def entry_is_gone(self, name: str) -> bool:
-        """Tell whether nobody but this sidecar is left to bill for an entry."""
-        if self.connected[name] > 0:
+    def is_entry_gone(self, name: str) -> bool:
+        """Return whether an entry has ended, so that this sidecar must bill for it."""
+        if self.connections_by_peer[name] > 0:
             return False
         return self.shared.membership.status_of(name) is InstanceStatus.GONE
 
     def gate_view(self) -> GateView:
-        """Return what the gate looks at, as of now."""
+        """Return the current input of the gate's checks."""
         return GateView(
             fleet=self.fleet_store.state,
             instance=self.settings.name,
--- a/tests/test_path_claims.py
+++ b/tests/test_path_claims.py
@@ -1,4 +1,4 @@
-"""Calls that may not be repeated, and bills, on real daemons."""
+"""Non-idempotent calls, billing and session pins on real daemons."""
 
 import asyncio
 
@@ -22,8 +22,8 @@
     return sum(service.effects for service in fleet.services.values())
 
 
-def ledger(fleet):
-    """Read the billing stream as its readers do."""
+def read_ledger(fleet):
+    """Return a ledger of the whole billing stream."""
     stream = fleet.log.stream(BILLING_STREAM)
     read = BillingLedger()
     read.offer([LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)])
@@ -35,9 +35,9 @@
     return response.status_code, orjson.loads(await response.content())
 
 
-def test_a_booking_and_its_retry_through_another_entry_run_once():
-    # The answer to a booking is lost on its way, and the caller asks again through
-    # another entry. A second run would send a second driver.
+def test_booking_and_its_retry_through_another_entry_run_once():
+    # Guards against a double booking when the caller loses the first answer and
+    # retries through another entry.
     async def test():
         async with embedded_fleet(models=0, entries=2) as fleet:
             first = await book(fleet, "k1")
@@ -49,7 +49,7 @@
     run(test)
 
 
-def test_the_same_booking_sent_many_times_at_once_runs_once():
+def test_concurrent_duplicate_bookings_run_once():
     async def test():
         async with embedded_fleet(models=0, services=3, entries=2) as fleet:
             answers = await asyncio.gather(
@@ -63,9 +63,10 @@
 
 
 @pytest.mark.parametrize("fault", ["drop_after_effect", "drop_before_effect"])
-def test_a_booking_whose_answer_is_lost_is_never_repeated(fault):
-    # The service drops the connection, before or after the booking took effect;
-    # nobody can tell which. The caller is told so, now and at each retry.
+def test_booking_with_a_lost_answer_is_never_repeated(fault):
+    # The service drops the connection before or after the booking takes effect.
+    # The outcome cannot be determined, so the call and each retry must report it as
+    # unknown.
     async def test():
         async with embedded_fleet(models=0, services=1) as fleet:
             setattr(fleet.services["bookings-0"].faults, fault, 1)
@@ -78,8 +79,8 @@
     run(test)
 
 
-def test_in_a_log_outage_bookings_are_truly_not_run_and_chats_go_on():
-    # Without the log nobody can know that a key was not used elsewhere.
+def test_log_outage_refuses_bookings_as_not_run_but_serves_chats():
+    # Without the log, no process can rule out that the key was used elsewhere.
     async def test():
         async with embedded_fleet(models=1) as fleet:
             fleet.log.faults.outage = True
@@ -92,17 +93,17 @@
             fleet.log.faults.outage = False
             assert effects(fleet) == 0
 
-            async def booked():
+            async def book_succeeds():
                 return (await book(fleet, "k1"))[0] == 200
 
-            while not await booked():
+            while not await book_succeeds():
                 await asyncio.sleep(0.1)
             assert effects(fleet) == 1
 
     run(test)
 
 
-def test_a_key_that_is_used_for_another_booking_is_refused():
+def test_reused_key_with_another_body_is_refused():
     async def test():
         async with embedded_fleet(models=0) as fleet:
             await book(fleet, "k1")
@@ -114,8 +115,8 @@
 
 
 def test_every_answered_request_is_billed_once():
-    # Retries of a booking, failed attempts and refusals must not show on the bill;
-    # answered requests must, each once.
+    # Each answered request is billed once. Retries of a booking, failed attempts and
+    # refusals are not billed.
     async def test():
         async with embedded_fleet(entries=2) as fleet:
             fleet.engines["guide-0"].faults.fail = 2
@@ -125,21 +126,21 @@
             for _ in range(3):
                 await book(fleet, "k1")
             await fleet.post(CHAT, b"{")
-            await until(lambda: ledger(fleet).requests["ozark-guides"] == 7)
+            await until(lambda: read_ledger(fleet).requests["ozark-guides"] == 7)
             sidecars = [s.state.billing for s in fleet.sidecars.values()]
             await until(lambda: all(b.held == 0 for b in sidecars))
-            assert ledger(fleet).requests["ozark-guides"] == 7
+            assert read_ledger(fleet).requests["ozark-guides"] == 7
 
     run(test)
 
 
-def test_a_session_keeps_its_version_through_the_loss_of_its_entry():
-    # A chat began on the dear version. Its entry is replaced; the next one knows
-    # nothing of the chat but what the caller brings along.
+def test_session_keeps_its_version_when_its_entry_is_replaced():
+    # A chat starts on the more expensive version and its entry is replaced. The next
+    # entry has no state of the chat except the session token of the caller.
     async def test():
         async with embedded_fleet(entries=2, services=0) as fleet:
-            named = orjson.dumps({**orjson.loads(QUESTION), "model": str(LARGE)})
-            first = await fleet.post(CHAT, named, X_Session_Id="chat-1")
+            body = orjson.dumps({**orjson.loads(QUESTION), "model": str(LARGE)})
+            first = await fleet.post(CHAT, body, X_Session_Id="chat-1")
             token = first.headers["x-session-token"]
             await fleet.entry_stacks[0].aclose()
             for _ in range(3):
