--- a/acaciacove/adapters/completion.py
+++ b/acaciacove/adapters/completion.py
@@ -43,7 +43,7 @@
     return completion
 
 
-def finish_of(finish_reason: str, usage: dict[str, Any]) -> EngineFinish:
+def build_finish(finish_reason: str, usage: dict[str, Any]) -> EngineFinish:
     """Build the finish event from a usage object; lacking counts are 0."""
     details = usage.get("prompt_tokens_details") or {}
     return EngineFinish(
--- a/acaciacove/adapters/engine_piece.py
+++ b/acaciacove/adapters/engine_chunk.py
@@ -4,7 +4,7 @@
 
 
 @frozen
-class EnginePiece:
+class EngineChunk:
     """Bytes to relay as they are.
 
     In a stream it is one server-sent event with its blank line, checked to belong
--- a/acaciacove/adapters/engine_event.py
+++ b/acaciacove/adapters/engine_event.py
@@ -1,8 +1,8 @@
 """What an engine call yields."""
 
+from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_finish import EngineFinish
 from acaciacove.adapters.engine_head import EngineHead
-from acaciacove.adapters.engine_piece import EnginePiece
 from acaciacove.refusal import Refusal
 
-EngineEvent = EngineHead | EnginePiece | EngineFinish | Refusal
+EngineEvent = EngineHead | EngineChunk | EngineFinish | Refusal
--- a/acaciacove/adapters/http_client.py
+++ b/acaciacove/adapters/http_client.py
@@ -8,11 +8,11 @@
 from aiosonic.timeout import Timeouts
 
 from acaciacove.adapters.http_connection import SafeConnection
-from acaciacove.adapters.once_connection import OnceConnection
+from acaciacove.adapters.single_use_connection import SingleUseConnection
 
-CONNECT_S = 2.0
-IDLE_MS = 4_000
-REUSES = 10_000
+CONNECT_TIMEOUT_S = 2.0
+MAX_IDLE_MS = 4_000
+MAX_REQUESTS_PER_CONNECTION = 10_000
 
 
 def open_client(
@@ -30,13 +30,15 @@
     """
     config = PoolConfig(
         size=connections,
-        max_conn_requests=REUSES,
-        max_conn_idle_ms=IDLE_MS,
+        max_conn_requests=MAX_REQUESTS_PER_CONNECTION,
+        max_conn_idle_ms=MAX_IDLE_MS,
+    )
+    timeouts = Timeouts(
+        sock_connect=CONNECT_TIMEOUT_S, sock_read=None, request_timeout=None
     )
-    timeouts = Timeouts(sock_connect=CONNECT_S, sock_read=None, request_timeout=None)
     connector = TCPConnector(
         pool_configs={":default": config},
         timeouts=timeouts,
-        connection_cls=connection_cls if reuse else OnceConnection,
+        connection_cls=connection_cls if reuse else SingleUseConnection,
     )
     return HTTPClient(connector)
--- a/acaciacove/adapters/http_connection.py
+++ b/acaciacove/adapters/http_connection.py
@@ -12,7 +12,7 @@
 class Sending:
     """Whether any byte of a request has left this process."""
 
-    begun: bool = False
+    has_started: bool = False
 
 
 current_sending: ContextVar[Sending] = ContextVar("current_sending")
@@ -42,7 +42,7 @@
         """Send bytes, and note that the request has begun to leave."""
         sending = current_sending.get(None)
         if sending is not None:
-            sending.begun = True
+            sending.has_started = True
         super().write(data)
 
     async def _connection_made(self) -> None:
--- a/acaciacove/adapters/http_engine.py
+++ b/acaciacove/adapters/http_engine.py
@@ -8,13 +8,13 @@
 import orjson
 from attrs import frozen
 
-from acaciacove.adapters.completion import finish_of, read_completion
+from acaciacove.adapters.completion import build_finish, read_completion
 from acaciacove.adapters.engine_call import EngineCall
+from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_event import EngineEvent
 from acaciacove.adapters.engine_head import EngineHead
 from acaciacove.adapters.engine_load import EngineLoad
 from acaciacove.adapters.engine_order import EngineOrder
-from acaciacove.adapters.engine_piece import EnginePiece
 from acaciacove.adapters.http_connection import Sending
 from acaciacove.adapters.http_exchange import (
     EXCHANGE_ERRORS,
@@ -22,7 +22,7 @@
     end_to_end_headers,
     open_exchange,
     read_body,
-    refusal_of,
+    refusal_from_error,
 )
 from acaciacove.adapters.http_json import call_json
 from acaciacove.adapters.sse_events import BLANK_LINE, SseSplitter, event_data
@@ -32,11 +32,11 @@
 CHAT_PATH = "/v1/chat/completions"
 REQUEST_ID = "X-Request-Id"
 DONE = b"[DONE]"
-OK = 200
-CLIENT_ERRORS = 400
-CONFLICT = 409
-TOO_MANY_REQUESTS = 429
-SERVER_ERRORS = 500
+HTTP_OK = 200
+MIN_CLIENT_ERROR = 400
+HTTP_CONFLICT = 409
+HTTP_TOO_MANY_REQUESTS = 429
+MIN_SERVER_ERROR = 500
 MAX_ANSWER_BYTES = 8_000_000
 
 
@@ -53,12 +53,12 @@
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + call.timeout_s
         try:
-            async with aclosing(self._events(call, sending, deadline_s)) as events:
+            async with aclosing(self._call_events(call, sending, deadline_s)) as events:
                 async for event in events:
                     yield event
         except EXCHANGE_ERRORS as error:
             is_late = loop.time() >= deadline_s
-            yield refusal_of(TimeoutError() if is_late else error, sending)
+            yield refusal_from_error(TimeoutError() if is_late else error, sending)
 
     async def order(self, order: EngineOrder) -> Refusal | None:
         """Give an order; None when done, STALE_FENCE when the engine refused it."""
@@ -70,9 +70,9 @@
         }
         url = f"{self.url}/orders"
         answer = await call_json(self.client, "POST", url, orjson.dumps(document))
-        if answer.status == CONFLICT:
+        if answer.status == HTTP_CONFLICT:
             return Refusal(Reason.STALE_FENCE, True, f"fence {order.fence} is old")
-        if answer.status != OK:
+        if answer.status != HTTP_OK:
             detail = f"order refused with status {answer.status}"
             return Refusal(Reason.ENDPOINT_FAILED, True, detail)
         return None
@@ -90,10 +90,10 @@
             restarts=int(document.get("restarts", 0)),
         )
 
-    async def _events(
+    async def _call_events(
         self, call: EngineCall, sending: Sending, deadline_s: float
     ) -> AsyncGenerator[EngineEvent, None]:
-        body = _body(call)
+        body = _build_body(call)
         if body is None:
             yield Refusal(Reason.MALFORMED_REQUEST, True, "the body is no JSON object")
             return
@@ -104,14 +104,14 @@
                 self.client, sending, "POST", url, headers=headers, data=body
             )
         try:
-            async with aclosing(_answer(call, response, deadline_s)) as events:
+            async with aclosing(_read_answer(call, response, deadline_s)) as events:
                 async for event in events:
                     yield event
         finally:
             await response.aclose()
 
 
-async def _answer(
+async def _read_answer(
     call: EngineCall, response: Any, deadline_s: float
 ) -> AsyncGenerator[EngineEvent, None]:
     """Check the head, then read the answer in the shape that was asked for."""
@@ -121,23 +121,23 @@
         yield refusal
         return
     yield EngineHead(status, end_to_end_headers(response.raw_headers))
-    if call.stream and status == OK:
-        async with aclosing(_stream(call, response, deadline_s)) as events:
+    if call.stream and status == HTTP_OK:
+        async with aclosing(_read_stream(call, response, deadline_s)) as events:
             async for event in events:
                 yield event
         return
     async with asyncio.timeout_at(deadline_s):
         data = await read_body(response, MAX_ANSWER_BYTES)
-    for event in _whole(call, status, data):
+    for event in _read_complete_answer(call, status, data):
         yield event
 
 
 def _head_refusal(call: EngineCall, response: Any) -> Refusal | None:
     """Refuse failures, and an answer that carries another request's id."""
     status = response.status_code
-    if status == TOO_MANY_REQUESTS:
+    if status == HTTP_TOO_MANY_REQUESTS:
         return Refusal(Reason.OVERLOADED, False, "the engine is overloaded")
-    if status >= SERVER_ERRORS:
+    if status >= MIN_SERVER_ERROR:
         return Refusal(Reason.ENDPOINT_FAILED, False, f"engine status {status}")
     echoed = response.headers.get(REQUEST_ID, call.request_id)
     if echoed != call.request_id:
@@ -145,21 +145,23 @@
     return None
 
 
-def _whole(call: EngineCall, status: int, data: bytes) -> list[EngineEvent]:
+def _read_complete_answer(
+    call: EngineCall, status: int, data: bytes
+) -> list[EngineEvent]:
     """Check a whole answer; client errors of the engine are answers too."""
-    if status >= CLIENT_ERRORS:
-        return [EnginePiece(data), finish_of("error", {})]
+    if status >= MIN_CLIENT_ERROR:
+        return [EngineChunk(data), build_finish("error", {})]
     completion = read_completion(data, call.request_id)
     if isinstance(completion, Refusal):
         return [completion]
     if completion.finish_reason is None:
         return [Refusal(Reason.ANSWER_TRUNCATED, False, "no finish reason")]
-    finish = finish_of(completion.finish_reason, completion.usage)
-    piece = EnginePiece(data, finish.completion_tokens, completion.text)
-    return [piece, finish]
+    finish = build_finish(completion.finish_reason, completion.usage)
+    chunk = EngineChunk(data, finish.completion_tokens, completion.text)
+    return [chunk, finish]
 
 
-async def _stream(
+async def _read_stream(
     call: EngineCall, response: Any, deadline_s: float
 ) -> AsyncGenerator[EngineEvent, None]:
     """Relay events as they come, each checked, and miss no early end."""
@@ -183,11 +185,11 @@
                 finish_reason = completion.finish_reason or finish_reason
                 usage = completion.usage or usage
                 text = completion.text
-                yield EnginePiece(event + BLANK_LINE, 1 if text else 0, text)
+                yield EngineChunk(event + BLANK_LINE, 1 if text else 0, text)
     if not (done and finish_reason):
         yield Refusal(Reason.ANSWER_TRUNCATED, False, "the stream ended early")
         return
-    yield finish_of(finish_reason, usage)
+    yield build_finish(finish_reason, usage)
 
 
 async def _timed_chunks(
@@ -198,19 +200,19 @@
     A stalled stream looks like a slow one. Without the limit the caller would wait
     until the whole deadline; TimeoutError ends it after ``stall_s`` of silence.
     """
-    clock = asyncio.get_running_loop()
+    loop = asyncio.get_running_loop()
     chunks = body_chunks(response)
     while True:
-        limit_s = min(deadline_s, clock.time() + call.stall_s)
+        stall_deadline_s = min(deadline_s, loop.time() + call.stall_s)
         try:
-            async with asyncio.timeout_at(limit_s):
+            async with asyncio.timeout_at(stall_deadline_s):
                 chunk = await anext(chunks)
         except StopAsyncIteration:
             return
         yield chunk
 
 
-def _body(call: EngineCall) -> bytes | None:
+def _build_body(call: EngineCall) -> bytes | None:
     """Set what the system decides in the caller's body; None if it is no object."""
     try:
         document = orjson.loads(call.body)
--- a/acaciacove/adapters/http_exchange.py
+++ b/acaciacove/adapters/http_exchange.py
@@ -65,24 +65,24 @@
     current_sending.set(sending)
     response = await client.request(url, method, stream=True, **parts)
     try:
-        _check_has_length(response, method)
+        _check_is_delimited(response, method)
     except TruncatedError:
         await response.aclose()
         raise
     return response
 
 
-async def read_body(response: Any, limit_bytes: int) -> bytes:
+async def read_body(response: Any, max_bytes: int) -> bytes:
     """Read a whole body; raises TooLargeError beyond the limit."""
-    pieces: list[bytes] = []
+    received: list[bytes] = []
     size = 0
     async with aclosing(body_chunks(response)) as chunks:
         async for chunk in chunks:
             size += len(chunk)
-            if size > limit_bytes:
-                raise TooLargeError(f"answer larger than {limit_bytes} bytes")
-            pieces.append(chunk)
-    return b"".join(pieces)
+            if size > max_bytes:
+                raise TooLargeError(f"answer larger than {max_bytes} bytes")
+            received.append(chunk)
+    return b"".join(received)
 
 
 async def body_chunks(response: Any) -> AsyncGenerator[bytes, None]:
@@ -93,26 +93,28 @@
         yield chunk
 
 
-def end_to_end_headers(pairs: Any) -> tuple[Header, ...]:
+def end_to_end_headers(raw_headers: Any) -> tuple[Header, ...]:
     """Keep the headers that are meant for the far end."""
     return tuple(
-        Header(name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP
+        Header(name, value)
+        for name, value in raw_headers
+        if name.lower() not in HOP_BY_HOP
     )
 
 
-def refusal_of(error: BaseException, sending: Sending) -> Refusal:
+def refusal_from_error(error: BaseException, sending: Sending) -> Refusal:
     """Say what a failed exchange means for the request.
 
     Only when no byte has left is the request known not to have run.
     """
     return Refusal(
-        reason=_reason_of(error),
-        not_run=not sending.begun,
+        reason=_reason_for_error(error),
+        not_run=not sending.has_started,
         detail=f"{type(error).__name__}: {error}".removesuffix(": "),
     )
 
 
-def _reason_of(error: BaseException) -> Reason:
+def _reason_for_error(error: BaseException) -> Reason:
     reasons: list[tuple[type[BaseException], Reason]] = [
         (TimeoutError, Reason.DEADLINE_EXCEEDED),
         (TooLargeError, Reason.TOO_LARGE),
@@ -125,7 +127,7 @@
     return Reason.CONNECTION_LOST
 
 
-def _check_has_length(response: Any, method: str) -> None:
+def _check_is_delimited(response: Any, method: str) -> None:
     """Refuse an answer whose end cannot be told.
 
     The client takes a connection lost amid the headers for their end, and the
--- a/acaciacove/adapters/http_json.py
+++ b/acaciacove/adapters/http_json.py
@@ -10,10 +10,10 @@
 from acaciacove.adapters.json_answer import JsonAnswer
 from acaciacove.errors import PlatformRefusedError, PlatformUnavailableError
 
-CALL_LIMIT_S = 5.0
+CALL_TIMEOUT_S = 5.0
 MAX_ANSWER_BYTES = 64_000_000
-TOO_MANY_REQUESTS = 429
-SERVER_ERRORS = 500
+HTTP_TOO_MANY_REQUESTS = 429
+MIN_SERVER_ERROR = 500
 
 
 async def call_json(
@@ -22,7 +22,7 @@
     url: str,
     body: bytes = b"",
     params: dict[str, Any] | None = None,
-    limit_s: float = CALL_LIMIT_S,
+    timeout_s: float = CALL_TIMEOUT_S,
 ) -> JsonAnswer:
     """Call a service and read its JSON answer.
 
@@ -32,7 +32,7 @@
     sending = Sending()
     try:
         async with (
-            asyncio.timeout(limit_s),
+            asyncio.timeout(timeout_s),
             exchange(
                 client, sending, method, url, data=body or None, params=params
             ) as response,
@@ -41,15 +41,15 @@
             data = await read_body(response, MAX_ANSWER_BYTES)
             document = orjson.loads(data) if data else {}
     except EXCHANGE_ERRORS as error:
-        raise _error(sending, f"{method} {url}: {error!r}") from error
-    if status == TOO_MANY_REQUESTS:
+        raise _unavailable_error(sending, f"{method} {url}: {error!r}") from error
+    if status == HTTP_TOO_MANY_REQUESTS:
         raise PlatformRefusedError(f"{method} {url}: rate limit")
-    if status >= SERVER_ERRORS:
+    if status >= MIN_SERVER_ERROR:
         raise PlatformUnavailableError(f"{method} {url}: status {status}")
     return JsonAnswer(status, document)
 
 
-def _error(sending: Sending, detail: str) -> PlatformUnavailableError:
-    if sending.begun:
+def _unavailable_error(sending: Sending, detail: str) -> PlatformUnavailableError:
+    if sending.has_started:
         return PlatformUnavailableError(detail)
     return PlatformRefusedError(detail)
--- a/acaciacove/adapters/http_rating_service.py
+++ b/acaciacove/adapters/http_rating_service.py
@@ -38,12 +38,12 @@
             self.client, "GET", f"{self.url}/ratings", params=params
         )
         try:
-            return [_rating(document) for document in answer.document["ratings"]]
+            return [_parse_rating(document) for document in answer.document["ratings"]]
         except (KeyError, TypeError, ValueError) as error:
             raise PlatformUnavailableError(f"bad ratings: {error}") from error
 
 
-def _rating(document: dict[str, Any]) -> Rating:
+def _parse_rating(document: dict[str, Any]) -> Rating:
     version = parse_version_id(document["version"])
     if version is None:
         raise ValueError(f"not a version id: {document['version']!r}")
--- a/acaciacove/adapters/http_service.py
+++ b/acaciacove/adapters/http_service.py
@@ -12,7 +12,7 @@
     end_to_end_headers,
     exchange,
     read_body,
-    refusal_of,
+    refusal_from_error,
 )
 from acaciacove.adapters.service_answer import ServiceAnswer
 from acaciacove.adapters.service_call import ServiceCall
@@ -28,25 +28,27 @@
     """A PlainService at ``url``.
 
     ``client`` reuses connections and serves calls that may be repeated;
-    ``once_client``, opened with ``reuse=False``, serves those that may not.
+    ``single_use_client``, opened with ``reuse=False``, serves those that may not.
     """
 
     url: str
     client: Any
-    once_client: Any
+    single_use_client: Any
     max_answer_bytes: int = MAX_ANSWER_BYTES
 
     async def call(self, call: ServiceCall) -> ServiceAnswer | Refusal:
         """Make one call, and send it once if it may not be repeated."""
         sending = Sending()
-        limit = asyncio.timeout(call.timeout_s)
+        timeout = asyncio.timeout(call.timeout_s)
         try:
-            async with limit:
+            async with timeout:
                 answer = await self._exchange(call, sending)
         except EXCHANGE_ERRORS as error:
             # A connection that is closed because the time is up may show as lost.
             # The caller would then read a wrong reason for an unknown outcome.
-            return refusal_of(TimeoutError() if limit.expired() else error, sending)
+            return refusal_from_error(
+                TimeoutError() if timeout.expired() else error, sending
+            )
         if call.echo_wanted and _echoed_id(answer) != call.request_id:
             return Refusal(
                 Reason.ANSWER_MISMATCH,
@@ -56,13 +58,13 @@
         return answer
 
     async def _exchange(self, call: ServiceCall, sending: Sending) -> ServiceAnswer:
-        client = self.client if call.may_repeat else self.once_client
+        client = self.client if call.may_repeat else self.single_use_client
         async with exchange(
             client,
             sending,
             call.method,
             self.url + call.path,
-            headers=_headers(call),
+            headers=_request_headers(call),
             data=call.body or None,
         ) as response:
             body = await read_body(response, self.max_answer_bytes)
@@ -70,14 +72,14 @@
             return ServiceAnswer(response.status_code, headers, body)
 
 
-def _headers(call: ServiceCall) -> list[tuple[str, str]]:
+def _request_headers(call: ServiceCall) -> list[tuple[str, str]]:
     """Pass the caller's headers on, with the request's id."""
-    kept = [
+    forwarded = [
         (header.name, header.value)
         for header in call.headers
         if header.name.lower() not in HOP_BY_HOP and header.name.lower() != REQUEST_ID
     ]
-    return [*kept, (REQUEST_ID, call.request_id)]
+    return [*forwarded, (REQUEST_ID, call.request_id)]
 
 
 def _echoed_id(answer: ServiceAnswer) -> str | None:
--- a/acaciacove/adapters/instance_codec.py
+++ b/acaciacove/adapters/instance_codec.py
@@ -30,14 +30,14 @@
             port=int(document["port"]),
             incarnation=int(document.get("incarnation", 0)),
             status=InstanceStatus(document.get("status", InstanceStatus.LIVE)),
-            versions=tuple(map(_version, document.get("versions", ()))),
+            versions=tuple(map(_parse_version, document.get("versions", ()))),
             http_port=int(document.get("http_port", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
         raise MalformedMessageError(f"not an instance: {error}") from error
 
 
-def _version(text: str) -> VersionId:
+def _parse_version(text: str) -> VersionId:
     version = parse_version_id(text)
     if version is None:
         raise ValueError(f"not a version id: {text!r}")
--- a/acaciacove/adapters/once_connection.py
+++ b/acaciacove/adapters/single_use_connection.py
@@ -3,7 +3,7 @@
 from acaciacove.adapters.http_connection import SafeConnection
 
 
-class OnceConnection(SafeConnection):
+class SingleUseConnection(SafeConnection):
     """A connection that carries one request and is closed after it.
 
     The library sends a PUT or DELETE again when a reused connection is lost, and
--- a/acaciacove/adapters/sse_events.py
+++ b/acaciacove/adapters/sse_events.py
@@ -11,18 +11,18 @@
 class SseSplitter:
     """Collects chunks of a body and gives out whole events."""
 
-    rest: bytes = b""
+    incomplete: bytes = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Return the events that a chunk completes, without their blank lines.
 
         Raises ValueError when an event grows beyond any use.
         """
-        data = self.rest + chunk
+        data = self.incomplete + chunk
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
-        *events, self.rest = data.split(BLANK_LINE)
-        if len(self.rest) > MAX_EVENT_BYTES:
+        *events, self.incomplete = data.split(BLANK_LINE)
+        if len(self.incomplete) > MAX_EVENT_BYTES:
             raise ValueError("server-sent event too large")
         return events
 
--- a/acaciacove/bench/capacity_projection.py
+++ b/acaciacove/bench/capacity_projection.py
@@ -7,7 +7,7 @@
 from acaciacove.bench.capacity_slopes import CapacitySlopes
 from acaciacove.bench.control_budget import ControlBudget
 from acaciacove.bench.design_size import DesignSize
-from acaciacove.daemon.follow_instances import list_pause_s
+from acaciacove.daemon.follow_instances import list_fetch_interval_s
 from acaciacove.state.log_tail import READ_WAIT_S, idle_delay_s
 
 ENTRY = "entry"
@@ -191,7 +191,7 @@
 
 
 def _list_polls_per_s(size: DesignSize) -> float:
-    return 1.0 / list_pause_s(size.processes)
+    return 1.0 / list_fetch_interval_s(size.processes)
 
 
 def _list_cpu_s(slopes: CapacitySlopes, size: DesignSize) -> float:
--- a/acaciacove/cli/ask_instance.py
+++ b/acaciacove/cli/ask_instance.py
@@ -25,7 +25,7 @@
     host = f"[{instance.host}]" if ":" in instance.host else instance.host
     url = f"http://{host}:{instance.http_port}/status"
     try:
-        answer = await call_json(client, "GET", url, limit_s=timeout_s)
+        answer = await call_json(client, "GET", url, timeout_s=timeout_s)
     except PlatformUnavailableError:
         return evolve(listed, fault=NO_ANSWER)
     if not isinstance(answer.document, dict):
--- a/acaciacove/daemon/append_share.py
+++ b/acaciacove/daemon/append_share.py
@@ -20,7 +20,7 @@
     listed = list(instances)
     entries = sum(instance.role is Role.ENTRY for instance in listed)
     endpoints = [i for i in listed if i.role is Role.ENDPOINT]
-    services = sum(_serves_service(endpoint, fleet) for endpoint in endpoints)
+    services = sum(_serves_plain_service(endpoint, fleet) for endpoint in endpoints)
     return shared_settings(
         LogWriterSettings(),
         claim_owners=services or len(endpoints),
@@ -28,11 +28,11 @@
     )
 
 
-def _serves_service(endpoint: Instance, fleet: FleetState) -> bool:
+def _serves_plain_service(endpoint: Instance, fleet: FleetState) -> bool:
     """Tell whether an endpoint stands for a plain service."""
     for version in endpoint.versions:
-        known = fleet.versions.get(version)
-        api = fleet.apis.get(known.api) if known else None
+        declared = fleet.versions.get(version)
+        api = fleet.apis.get(declared.api) if declared else None
         if api is not None and api.kind is ApiKind.SERVICE:
             return True
     return False
--- a/acaciacove/daemon/background.py
+++ b/acaciacove/daemon/background.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 # How long a cancelled task may take to end before it is cancelled again.
-CANCEL_AGAIN_S = 0.5
+CANCEL_RETRY_INTERVAL_S = 0.5
 
 
 @asynccontextmanager
@@ -16,14 +16,14 @@
     A task that dies unseen would leave a daemon that answers its probes but no
     longer follows the log. Its fault ends the process instead.
     """
-    block = asyncio.current_task()
-    assert block is not None
+    owner = asyncio.current_task()
+    assert owner is not None
     faults: list[BaseException] = []
 
     def on_done(task: asyncio.Task[None]) -> None:
         if not task.cancelled() and (fault := task.exception()) is not None:
             faults.append(fault)
-            block.cancel()
+            owner.cancel()
 
     tasks = [asyncio.create_task(coroutine) for coroutine in coroutines]
     for task in tasks:
@@ -37,10 +37,10 @@
     finally:
         for task in tasks:
             task.remove_done_callback(on_done)
-        await _end(tasks)
+        await _cancel_until_done(tasks)
 
 
-async def _end(tasks: list[asyncio.Task[None]]) -> None:
+async def _cancel_until_done(tasks: list[asyncio.Task[None]]) -> None:
     """Cancel tasks until all have ended.
 
     An HTTP library may turn a cancellation into an error of the call under way. A
@@ -51,5 +51,5 @@
     while pending:
         for task in pending:
             task.cancel()
-        _, pending = await asyncio.wait(pending, timeout=CANCEL_AGAIN_S)
+        _, pending = await asyncio.wait(pending, timeout=CANCEL_RETRY_INTERVAL_S)
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/acaciacove/daemon/billing.py
+++ b/acaciacove/daemon/billing.py
@@ -6,20 +6,20 @@
 from acaciacove.daemon.shared_state import SharedState
 from acaciacove.state.billing_outbox import BillingOutbox
 
-TICK_S = 0.25
+TICK_INTERVAL_S = 0.25
 
 
 async def tick_billing(
-    billing: BillingOutbox, is_gone: Callable[[str], bool] | None = None
+    billing: BillingOutbox, is_removed: Callable[[str], bool] | None = None
 ) -> None:
     """Append what is due, again and again."""
     while True:
-        billing.tick(asyncio.get_running_loop().time(), is_gone)
-        await asyncio.sleep(TICK_S)
+        billing.tick(asyncio.get_running_loop().time(), is_removed)
+        await asyncio.sleep(TICK_INTERVAL_S)
 
 
-async def flush(shared: SharedState, billing: BillingOutbox, limit_s: float) -> bool:
+async def flush(shared: SharedState, billing: BillingOutbox, timeout_s: float) -> bool:
     """Append everything before the process ends; false if the log did not take it."""
-    deadline_s = asyncio.get_running_loop().time() + limit_s
+    deadline_s = asyncio.get_running_loop().time() + timeout_s
     billing.append_all(asyncio.get_running_loop().time())
     return await shared.writer.flush(deadline_s)
--- a/acaciacove/daemon/decision_log.py
+++ b/acaciacove/daemon/decision_log.py
@@ -19,10 +19,10 @@
 
 def log_event(event: str, level: str = "INFO", **fields: Any) -> None:
     """Write one event with its fields; unknown types are written as text."""
-    logger.log(level, _rest_of_line(event, fields))
+    logger.log(level, _encode_line(event, fields))
 
 
-def _rest_of_line(event: str, fields: dict[str, Any]) -> str:
+def _encode_line(event: str, fields: dict[str, Any]) -> str:
     """Write the object without its opening brace, which LINE_FORMAT has."""
     document = {"event": event, **fields}
     return orjson.dumps(document, default=str).decode()[1:]
--- a/acaciacove/daemon/duty.py
+++ b/acaciacove/daemon/evaluators.py
@@ -4,17 +4,17 @@
 from acaciacove.fleet.role import Role
 from acaciacove.state.rendezvous import rank_owners
 
-LEARNING_DUTY = 1_000_001
-READERS = 2
+EVALUATION_PARTITION = 1_000_001
+EVALUATOR_COUNT = 2
 
 
-def duty_names(instances: list[Instance], me: str = "") -> list[str]:
+def evaluator_names(instances: list[Instance], local_name: str = "") -> list[str]:
     """Name the entries that read ratings and judge roll-outs.
 
     Everybody ranks the live entries by the same hash, so no election is needed. A
     short disagreement means that three or one of them read, which does no harm.
     """
     entries = {i.name for i in instances if i.role is Role.ENTRY}
-    if me:
-        entries.add(me)
-    return rank_owners(LEARNING_DUTY, entries)[:READERS]
+    if local_name:
+        entries.add(local_name)
+    return rank_owners(EVALUATION_PARTITION, entries)[:EVALUATOR_COUNT]
--- a/acaciacove/daemon/http_server.py
+++ b/acaciacove/daemon/http_server.py
@@ -9,10 +9,10 @@
 from uvicorn import Config, Server
 
 BACKLOG = 2048
-KEEP_ALIVE_S = 75
+KEEP_ALIVE_TIMEOUT_S = 75
 
 
-class _QuietServer(Server):
+class _ServerWithoutSignals(Server):
     """Leaves signals to the daemon, which drains before it stops the server."""
 
     def capture_signals(self) -> AbstractContextManager[None]:  # type: ignore[override]
@@ -39,16 +39,16 @@
         ws="none",
         server_header=False,
         proxy_headers=False,
-        timeout_keep_alive=KEEP_ALIVE_S,
+        timeout_keep_alive=KEEP_ALIVE_TIMEOUT_S,
         h11_max_incomplete_event_size=max_header_bytes,
     )
-    server = _QuietServer(config)
-    serving = asyncio.create_task(server.serve(sockets=[listener]))
+    server = _ServerWithoutSignals(config)
+    server_task = asyncio.create_task(server.serve(sockets=[listener]))
     try:
         yield listener.getsockname()[1]
     finally:
         server.should_exit = True
-        await serving
+        await server_task
         listener.close()
 
 
--- a/acaciacove/daemon/message_server.py
+++ b/acaciacove/daemon/message_server.py
@@ -7,12 +7,12 @@
 
 from acaciacove.wire.connection import Connection
 
-Handler = Callable[[Connection], Awaitable[None]]
+OnConnection = Callable[[Connection], Awaitable[None]]
 
 
 @asynccontextmanager
 async def message_server(
-    listener: socket | tuple[str, int], handle: Handler
+    listener: socket | tuple[str, int], on_connection: OnConnection
 ) -> AsyncIterator[None]:
     """Accept connections on a listening socket or an address while the block runs.
 
@@ -27,7 +27,7 @@
         assert session is not None
         sessions.add(session)
         try:
-            await handle(Connection(reader, writer))
+            await on_connection(Connection(reader, writer))
         except asyncio.CancelledError:
             # The server is closing. asyncio would print a traceback for each open
             # connection, which looks like a fault to whoever reads the log.
--- a/acaciacove/daemon/peer_network.py
+++ b/acaciacove/daemon/peer_network.py
@@ -23,12 +23,12 @@
 from acaciacove.wire.codec import decode, encode
 from acaciacove.wire.connection import connect
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 PULL_TIMEOUT_S = 1.0
-LEAVING_PEERS = 8
+SHUTDOWN_FANOUT = 8
 
 Address = tuple[str, int]
-EvidenceHandler = Callable[[Evidence], Evidence | None]
+OnEvidence = Callable[[Evidence], Evidence | None]
 
 
 class PeerNetwork:
@@ -40,15 +40,15 @@
 
     def __init__(
         self,
-        me: Instance,
+        local_instance: Instance,
         spread: Spread,
         membership: Membership,
         holder: FleetHolder,
     ) -> None:
         """Take what the network serves; nothing is open before ``opened``."""
         self.control_bytes = 0
-        self.on_evidence: EvidenceHandler = _no_answer
-        self._me = me
+        self.on_evidence: OnEvidence = _ignore_evidence
+        self._local_instance = local_instance
         self._holder = holder
         self._spread = spread
         self._membership = membership
@@ -57,11 +57,11 @@
         self._pulls: set[asyncio.Task[None]] = set()
 
     @asynccontextmanager
-    async def opened(self, datagrams: socket) -> AsyncIterator[None]:
+    async def opened(self, udp_socket: socket) -> AsyncIterator[None]:
         """Serve a bound UDP socket while the block runs, then close it."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self._receive), sock=datagrams
+            lambda: _DatagramReceiver(self._receive), sock=udp_socket
         )
         self._transport = transport
         try:
@@ -76,7 +76,7 @@
         """Tick until cancelled."""
         while True:
             self.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def tick(self) -> None:
         """Look for silence, probe, and tell peers what is new."""
@@ -88,7 +88,7 @@
 
     def announce_leaving(self) -> None:
         """Tell some peers at once that this process leaves."""
-        self._send(self._spread.announce(self._membership.peers(), LEAVING_PEERS))
+        self._send(self._spread.announce(self._membership.peers(), SHUTDOWN_FANOUT))
 
     def answer(self, sender: str, message: Message) -> list[Message]:
         """Take a message in that came on a connection; return the replies to it."""
@@ -165,10 +165,16 @@
             self._send(self._spread.on_message(name, message, _now_s()))
 
     def _hello(self) -> Hello:
-        me = self._me
+        local_instance = self._local_instance
         revision = self._holder.revision
-        zone = me.availability_zone
-        return Hello(me.name, me.incarnation, me.role, zone, revision)
+        zone = local_instance.availability_zone
+        return Hello(
+            local_instance.name,
+            local_instance.incarnation,
+            local_instance.role,
+            zone,
+            revision,
+        )
 
     def _address_of(self, name: str) -> Address | None:
         """Return where a peer listens: as it is listed, or as it last spoke."""
@@ -176,7 +182,7 @@
         return (peer.host, peer.port) if peer else self._addresses.get(name)
 
 
-class _Receiver(asyncio.DatagramProtocol):
+class _DatagramReceiver(asyncio.DatagramProtocol):
     """Hands datagrams on; errors of single sends are not this process's."""
 
     def __init__(self, receive: Callable[[bytes, Address], None]) -> None:
@@ -186,7 +192,7 @@
         self._receive(data, addr)
 
 
-def _no_answer(_: Evidence) -> None:
+def _ignore_evidence(_: Evidence) -> None:
     """Ignore evidence, as a process does that judges nothing."""
 
 
--- a/acaciacove/daemon/peer_sockets.py
+++ b/acaciacove/daemon/peer_sockets.py
@@ -4,7 +4,7 @@
 
 from attrs import frozen
 
-TRIES = 50
+MAX_BIND_ATTEMPTS = 50
 BACKLOG = 1024
 
 
@@ -12,8 +12,8 @@
 class PeerSockets:
     """A listening TCP socket and a UDP socket, bound to the same number."""
 
-    messages: socket.socket
-    datagrams: socket.socket
+    tcp_listener: socket.socket
+    udp_socket: socket.socket
     port: int
 
 
@@ -22,19 +22,19 @@
 
     Raises OSError when the address is taken.
     """
-    for _ in range(TRIES):
-        messages = socket.create_server((host, port), backlog=BACKLOG)
-        messages.setblocking(False)
-        bound = messages.getsockname()[1]
-        datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        datagrams.setblocking(False)
+    for _ in range(MAX_BIND_ATTEMPTS):
+        tcp_listener = socket.create_server((host, port), backlog=BACKLOG)
+        tcp_listener.setblocking(False)
+        bound = tcp_listener.getsockname()[1]
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
         try:
-            datagrams.bind((host, bound))
+            udp_socket.bind((host, bound))
         except OSError:
-            messages.close()
-            datagrams.close()
+            tcp_listener.close()
+            udp_socket.close()
             if port:
                 raise
             continue
-        return PeerSockets(messages, datagrams, bound)
+        return PeerSockets(tcp_listener, udp_socket, bound)
     raise OSError(f"no port of {host} is free for both TCP and UDP")
--- a/acaciacove/daemon/process_lifecycle.py
+++ b/acaciacove/daemon/process_lifecycle.py
@@ -36,7 +36,7 @@
         return self.state in (ProcessState.READY, ProcessState.NOTICE)
 
     @property
-    def is_leaving(self) -> bool:
+    def is_shutting_down(self) -> bool:
         """Tell whether this process has been asked to stop."""
         return self.state not in (ProcessState.STARTING, ProcessState.READY)
 
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -36,20 +36,20 @@
 from acaciacove.state.spread_settings import SpreadSettings
 
 NS_PER_MS = 1_000_000
-SNAPSHOT_CHECK_S = 5.0
-READY_CHECK_S = 0.05
+SNAPSHOT_CHECK_INTERVAL_S = 5.0
+READY_POLL_INTERVAL_S = 0.05
 
 
 @define(eq=False)
 class SharedState:
     """Release stream, membership and log of one process.
 
-    ``listed`` is set once the instance list has been read. ``on_change`` of
+    ``list_received`` is set once the instance list has been read. ``on_change`` of
     ``build_shared_state`` is called after each new revision and
     each change of who is usable.
     """
 
-    me: Instance
+    local_instance: Instance
     holder: FleetHolder
     membership: Membership
     spread: Spread
@@ -60,16 +60,16 @@
     listing: HttpInstanceList
     snapshots: SnapshotSchedule
     health: LogHealth
-    listed: asyncio.Event = field(factory=asyncio.Event)
+    list_received: asyncio.Event = field(factory=asyncio.Event)
 
     @asynccontextmanager
-    async def running(self, datagrams: socket) -> AsyncIterator[None]:
+    async def running(self, udp_socket: socket) -> AsyncIterator[None]:
         """Keep the state current while the block runs; takes over the UDP socket."""
         async with (
-            self.network.opened(datagrams),
+            self.network.opened(udp_socket),
             background(
                 self.tail.run(),
-                self._note_caught_up(),
+                self._report_catch_up(),
                 self.writer.run(),
                 self.network.run(),
                 self._append_snapshots(),
@@ -81,10 +81,10 @@
     def hello(self) -> Hello:
         """Write the message that opens a connection."""
         return Hello(
-            self.me.name,
-            self.me.incarnation,
-            self.me.role,
-            self.me.availability_zone,
+            self.local_instance.name,
+            self.local_instance.incarnation,
+            self.local_instance.role,
+            self.local_instance.availability_zone,
             self.holder.revision,
         )
 
@@ -111,7 +111,7 @@
 
         Until then the list may be older than the fleet that this process is part of.
         """
-        return self.membership.find(self.me.name) is not None
+        return self.membership.find(self.local_instance.name) is not None
 
     @property
     def may_decide(self) -> bool:
@@ -121,36 +121,36 @@
     async def ready(self) -> None:
         """Wait until this process knows enough to decide."""
         while not self.spread.ready or self.holder.state.release_revision < 0:
-            await asyncio.sleep(READY_CHECK_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    async def knows_endpoints(self) -> None:
+    async def wait_for_instance_list(self) -> None:
         """Wait until the instance list has been read once.
 
         The log may be read to its end before the list arrives. An entry that took
         callers then would know every release and no endpoint: it would refuse them
         with "no endpoint" while the whole fleet stands ready.
         """
-        await self.listed.wait()
+        await self.list_received.wait()
 
     def _on_list(self, listed: list[Instance]) -> None:
-        self.listed.set()
+        self.list_received.set()
         self.membership.on_list(listed, asyncio.get_running_loop().time())
 
-    async def _note_caught_up(self) -> None:
+    async def _report_catch_up(self) -> None:
         await self.tail.caught_up.wait()
         self.spread.log_caught_up()
 
     async def _append_snapshots(self) -> None:
         """Append the state again before the records that it stands for expire."""
         while True:
-            await asyncio.sleep(SNAPSHOT_CHECK_S)
+            await asyncio.sleep(SNAPSHOT_CHECK_INTERVAL_S)
             payload = self.snapshots.due(asyncio.get_running_loop().time())
             if payload is not None:
                 self.writer.submit(RELEASE_STREAM, payload, Priority.DECISION)
 
 
 def build_shared_state(
-    me: Instance,
+    local_instance: Instance,
     lifecycle: ProcessLifecycle,
     log: HttpLog,
     listing: HttpInstanceList,
@@ -160,7 +160,14 @@
     """Put the parts together; nothing runs before ``running``."""
     holder = FleetHolder()
     health = LogHealth()
-    writer = LogWriter(log, me.name, me.incarnation, LogWriterSettings(), rng, health)
+    writer = LogWriter(
+        log,
+        local_instance.name,
+        local_instance.incarnation,
+        LogWriterSettings(),
+        rng,
+        health,
+    )
 
     def changed() -> None:
         writer.configure(append_share(membership.usable(), holder.state))
@@ -173,12 +180,12 @@
         return membership.evidence(asyncio.get_running_loop().time())
 
     def status() -> InstanceStatus:
-        if lifecycle.is_leaving:
+        if lifecycle.is_shutting_down:
             return InstanceStatus.LEAVING
         ready = lifecycle.accepts_callers
         return InstanceStatus.LIVE if ready else InstanceStatus.STARTING
 
-    spread = Spread(me, holder, SpreadSettings(), rng, status, evidence)
+    spread = Spread(local_instance, holder, SpreadSettings(), rng, status, evidence)
     tail = LogTail(
         log,
         RELEASE_STREAM,
@@ -191,16 +198,16 @@
     )
     holder.listen(lambda _: tail.advance_to(holder.next_offset))
     return SharedState(
-        me=me,
+        local_instance=local_instance,
         holder=holder,
         membership=membership,
         spread=spread,
-        network=PeerNetwork(me, spread, membership, holder),
+        network=PeerNetwork(local_instance, spread, membership, holder),
         log=log,
         writer=writer,
         tail=tail,
         listing=listing,
-        snapshots=SnapshotSchedule(holder, me.name, rng),
+        snapshots=SnapshotSchedule(holder, local_instance.name, rng),
         health=health,
     )
 
--- a/acaciacove/entry/learning.py
+++ b/acaciacove/entry/learning.py
@@ -6,7 +6,7 @@
 from acaciacove.adapters.log_entry import LogEntry
 from acaciacove.adapters.rating_service import RatingService
 from acaciacove.daemon.decision_log import log_event
-from acaciacove.daemon.duty import duty_names
+from acaciacove.daemon.evaluators import evaluator_names
 from acaciacove.daemon.evidence_cells import from_message_cells
 from acaciacove.entry.entry_state import EntryState
 from acaciacove.entry.estimates_record import (
@@ -31,7 +31,7 @@
     while True:
         await asyncio.sleep(LOOK_S)
         instances = entry.shared.membership.usable()
-        if entry.settings.name not in duty_names(instances, entry.settings.name):
+        if entry.settings.name not in evaluator_names(instances, entry.settings.name):
             continue
         if ratings is not None:
             with suppress(Unavailable):
--- a/acaciacove/entry/read_request.py
+++ b/acaciacove/entry/read_request.py
@@ -60,7 +60,7 @@
 
 def _refuse_early(request: Request, entry: EntryState) -> Refusal | None:
     """Refuse what needs no look at the body."""
-    if entry.lifecycle.is_leaving and not entry.lifecycle.takes_work:
+    if entry.lifecycle.is_shutting_down and not entry.lifecycle.takes_work:
         return DRAINING
     if not entry.lifecycle.takes_work:
         return NOT_READY
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -92,7 +92,7 @@
 
     async def become_ready() -> None:
         await shared.ready()
-        await shared.knows_endpoints()
+        await shared.wait_for_instance_list()
         entry.lifecycle.become_ready()
 
     shared.network.on_evidence = lambda evidence: take_evidence(entry, evidence)
@@ -107,8 +107,8 @@
         entry, answer, probe_routes(entry.lifecycle, registry, status)
     )
     async with (
-        message_server(sockets.messages, handle),
-        shared.running(sockets.datagrams),
+        message_server(sockets.tcp_listener, handle),
+        shared.running(sockets.udp_socket),
         background(
             become_ready(),
             learn(entry, entry.rater.service),
@@ -158,7 +158,7 @@
         shared.membership.watch(router.views)
 
     shared = build_shared_state(
-        me=_me(settings, peer_port),
+        local_instance=_me(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
--- a/acaciacove/fleet/fleet_state.py
+++ b/acaciacove/fleet/fleet_state.py
@@ -49,9 +49,9 @@
 
     def is_usable(self, version: VersionId) -> bool:
         """Tell whether a version may get work at all."""
-        known = self.versions.get(version)
+        declared = self.versions.get(version)
         return (
-            known is not None
-            and not known.withdrawn
+            declared is not None
+            and not declared.withdrawn
             and version not in self.quarantines
         )
--- a/acaciacove/sidecar/claimed_call.py
+++ b/acaciacove/sidecar/claimed_call.py
@@ -67,20 +67,24 @@
     """List the claim partitions of which this sidecar is the usual owner."""
     if not _serves_claims(shared):
         return
-    mine = set(shared.me.versions)
+    mine = set(shared.local_instance.versions)
     names = {
         instance.name
         for instance in shared.membership.usable()
         if instance.role is Role.ENDPOINT and mine.intersection(instance.versions)
     }
-    names.add(shared.me.name)
+    names.add(shared.local_instance.name)
     for partition in range(CLAIM_PARTITIONS):
-        if usual_owner(partition, names) == shared.me.name:
+        if usual_owner(partition, names) == shared.local_instance.name:
             yield partition
 
 
 def _serves_claims(shared: SharedState) -> bool:
     """Tell whether this endpoint serves an API with calls that may not be repeated."""
     fleet = shared.holder.state
-    apis = {fleet.versions[v].api for v in shared.me.versions if v in fleet.versions}
+    apis = {
+        fleet.versions[v].api
+        for v in shared.local_instance.versions
+        if v in fleet.versions
+    }
     return any(fleet.apis[api].non_idempotent for api in apis if api in fleet.apis)
--- a/acaciacove/sidecar/evidence_report.py
+++ b/acaciacove/sidecar/evidence_report.py
@@ -5,7 +5,7 @@
 
 from attrs import define, field
 
-from acaciacove.daemon.duty import duty_names
+from acaciacove.daemon.evaluators import evaluator_names
 from acaciacove.daemon.evidence_cells import to_message_cells
 from acaciacove.daemon.shared_state import SharedState
 from acaciacove.decisions.evidence_kind import EvidenceKind
@@ -78,7 +78,7 @@
             self._has_news = self._is_urgent = False
             cells = self.guard.export_delta(CELLS_PER_REPORT)
             message = Evidence(to_message_cells(cells), self.guard.window)
-            for name in duty_names(shared.membership.usable()):
+            for name in evaluator_names(shared.membership.usable()):
                 shared.network.send_datagram(name, message)
 
 
@@ -99,9 +99,9 @@
     for version in served & fleet.versions.keys():
         listed = _listed(version, fleet, endpoints)
         names = {e.name for e in endpoints if listed in e.versions}
-        names.add(shared.me.name)
+        names.add(shared.local_instance.name)
         ranked = rank_owners(partition_of(str(version), HASH_PARTITIONS), names)
-        if shared.me.name in ranked[:REPORTERS_PER_VERSION]:
+        if shared.local_instance.name in ranked[:REPORTERS_PER_VERSION]:
             return True
     return False
 
--- a/acaciacove/sidecar/run_attempt.py
+++ b/acaciacove/sidecar/run_attempt.py
@@ -5,9 +5,9 @@
 from contextlib import aclosing
 
 from acaciacove.adapters.engine_call import EngineCall
+from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_finish import EngineFinish
 from acaciacove.adapters.engine_head import EngineHead
-from acaciacove.adapters.engine_piece import EnginePiece
 from acaciacove.adapters.service_answer import ServiceAnswer
 from acaciacove.adapters.service_call import ServiceCall
 from acaciacove.daemon.decision_log import log_event
@@ -113,7 +113,7 @@
                 case EngineHead():
                     # Sent along with the first piece: a write and a wake-up less.
                     head = event
-                case EnginePiece():
+                case EngineChunk():
                     ticket.last_piece_at_s = loop.time()
                     if chunks == 0:
                         await send(_head(run, head))
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -109,8 +109,8 @@
     orders = _version_orders(settings, sidecar)
     probes = probe_routes(sidecar.lifecycle, registry, status)
     async with (
-        message_server(sockets.messages, handle),
-        shared.running(sockets.datagrams),
+        message_server(sockets.tcp_listener, handle),
+        shared.running(sockets.udp_socket),
         background(
             become_ready(),
             sidecar.evidence.run(shared, lambda: sidecar.served),
@@ -156,7 +156,7 @@
         admission.update(shared.holder.state, state.served)
 
     shared = build_shared_state(
-        me=_me(settings, peer_port),
+        local_instance=_me(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
@@ -197,7 +197,7 @@
 
     return ClaimOwner(
         name=settings.name,
-        incarnation=shared.me.incarnation,
+        incarnation=shared.local_instance.incarnation,
         log=shared.log,
         writer=shared.writer,
         settings=ClaimSettings(
--- a/acaciacove/sidecar/version_orders.py
+++ b/acaciacove/sidecar/version_orders.py
@@ -77,7 +77,7 @@
         fills the engine's memory.
         """
         now_s = asyncio.get_running_loop().time()
-        listed = self.sidecar.shared.me.versions
+        listed = self.sidecar.shared.local_instance.versions
         surplus = {
             version
             for version in self.sidecar.served - wanted
@@ -98,9 +98,9 @@
             return frozenset()
         shared = self.sidecar.shared
         peers = {i.name: i for i in shared.membership.usable()}
-        peers[shared.me.name] = shared.me
+        peers[shared.local_instance.name] = shared.local_instance
         endpoints = [i for i in peers.values() if i.role is Role.ENDPOINT]
-        return planned_versions(fleet, endpoints)[shared.me.name]
+        return planned_versions(fleet, endpoints)[shared.local_instance.name]
 
     def _is_idle(self, version: VersionId) -> bool:
         return self.sidecar.running[version] == 0
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -46,7 +46,7 @@
 TOKEN = "guides-token"
 SECRET = "a-secret-for-tests-only-0123456789abcdef"
 ZONES = ("ozark", "piedmont", "cumberland", "gulfcoast")
-WAIT_LIMIT_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def release_note() -> ReleaseNote:
@@ -70,7 +70,7 @@
 
 
 @define(eq=False)
-class Embedded:
+class EmbeddedFleet:
     """The parts of a running fleet, for tests to look into and to break."""
 
     log: LogState
@@ -129,7 +129,7 @@
     rated: bool = False,
     weights: bool = False,
     extra: tuple[VersionId, ...] = (),
-) -> AsyncIterator[Embedded]:
+) -> AsyncIterator[EmbeddedFleet]:
     """Run a fleet until its entries are ready.
 
     With ``rated`` a rating service stands by and gets every answer, with ``weights``
@@ -137,7 +137,7 @@
     endpoints besides the usual ones.
     """
     rating = RatingState(Random(1))
-    fleet = Embedded(LogState(), InstanceListState(), rating)
+    fleet = EmbeddedFleet(LogState(), InstanceListState(), rating)
     for number in range(models):
         served = {str(version) for version in (SMALL, LARGE, *extra)}
         fleet.engines[f"guide-{number}"] = EngineState(served)
@@ -173,12 +173,12 @@
         finally:
             fleet.log.faults.outage = False
             stacks = [*fleet.entry_stacks, *fleet.sidecar_stacks.values()]
-            await asyncio.gather(*(own.aclose() for own in stacks))
+            await asyncio.gather(*(own_stack.aclose() for own_stack in stacks))
             await fleet.client.aclose()
 
 
 async def add_sidecar(
-    fleet: Embedded,
+    fleet: EmbeddedFleet,
     stack: AsyncExitStack,
     name: str,
     zone: str,
@@ -202,10 +202,10 @@
         drain_limit_s=5.0,
         seed=1,
     )
-    own = await stack.enter_async_context(AsyncExitStack())
-    sidecar = await own.enter_async_context(running_sidecar(settings))
+    own_stack = await stack.enter_async_context(AsyncExitStack())
+    sidecar = await own_stack.enter_async_context(running_sidecar(settings))
     fleet.sidecars[name] = sidecar
-    fleet.sidecar_stacks[name] = own
+    fleet.sidecar_stacks[name] = own_stack
     fleet.instances[name] = Instance(
         name,
         Role.ENDPOINT,
@@ -219,7 +219,9 @@
     return sidecar
 
 
-async def add_entry(fleet: Embedded, stack: AsyncExitStack, name: str) -> RunningEntry:
+async def add_entry(
+    fleet: EmbeddedFleet, stack: AsyncExitStack, name: str
+) -> RunningEntry:
     """Start an entry and wait until it is ready."""
     settings = EntrySettings(
         name=name,
@@ -237,10 +239,10 @@
         drain_limit_s=5.0,
         seed=7 + len(fleet.entries),
     )
-    own = await stack.enter_async_context(AsyncExitStack())
-    entry = await own.enter_async_context(running_entry(settings))
+    own_stack = await stack.enter_async_context(AsyncExitStack())
+    entry = await own_stack.enter_async_context(running_entry(settings))
     fleet.entries.append(entry)
-    fleet.entry_stacks.append(own)
+    fleet.entry_stacks.append(own_stack)
     fleet.instances[name] = Instance(
         name,
         Role.ENTRY,
@@ -256,7 +258,7 @@
 
 async def until(condition: Any) -> None:
     """Wait for a condition; a bound only keeps a broken test from hanging."""
-    async with asyncio.timeout(WAIT_LIMIT_S):
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -26,11 +26,11 @@
 from tests.embedded import BOOKINGS, TOKEN, ZONES, release_note
 
 ROOT = Path(__file__).parent.parent
-START_LIMIT_S = 60.0
+START_TIMEOUT_S = 60.0
 
 
 @define(eq=False)
-class Processes:
+class ProcessFleet:
     """A fleet of processes; ``services`` count what took effect."""
 
     log: LogState
@@ -77,10 +77,10 @@
 @asynccontextmanager
 async def running_processes(
     sidecars: int = 3, entries: int = 2
-) -> AsyncIterator[Processes]:
+) -> AsyncIterator[ProcessFleet]:
     """Start processes and wait until the entries are ready."""
     names = [f"bookings-{n}" for n in range(sidecars)]
-    fleet = Processes(LogState(), {name: ServiceState() for name in names})
+    fleet = ProcessFleet(LogState(), {name: ServiceState() for name in names})
     listing = InstanceListState()
     apps = [build_log_app(fleet.log), build_instance_list_app(listing)]
     apps += [build_service_app(state) for state in fleet.services.values()]
@@ -125,14 +125,14 @@
             )
         listing.publish(asyncio.get_running_loop().time(), tuple(instances))
         for name, command in commands.items():
-            fleet.daemons[name] = await _started(stack, command)
+            fleet.daemons[name] = await _start_process(stack, command)
         fleet.client = await stack.enter_async_context(open_client())
         for name in fleet.daemons:
-            await _until_ready(fleet, name)
+            await _wait_until_ready(fleet, name)
         yield fleet
 
 
-async def _started(stack, command):
+async def _start_process(stack, command):
     """Start a process that ends, by its own handle, with the test."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -144,20 +144,20 @@
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.DEVNULL,
     )
-    stack.push_async_callback(_ended, process)
+    stack.push_async_callback(_end_process, process)
     return process
 
 
-async def _ended(process):
+async def _end_process(process):
     if process.returncode is None:
         process.send_signal(signal.SIGCONT)
         process.kill()
     await process.wait()
 
 
-async def _until_ready(fleet, name):
+async def _wait_until_ready(fleet, name):
     url = f"http://127.0.0.1:{fleet.http_ports[name]}/ready"
-    async with asyncio.timeout(START_LIMIT_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             try:
                 response = await fleet.client.request(url, method="GET")
--- a/tests/hand_started.py
+++ b/tests/readme_session.py
@@ -33,15 +33,15 @@
 
 
 @define(eq=False)
-class HandStarted:
+class ReadmeSession:
     """``ports`` maps a port on the page to the free one that stands for it."""
 
     stack: AsyncExitStack
     ports: dict[int, int] = field(factory=dict)
     instances: dict[str, object] = field(factory=dict)
-    listed: object = None
+    instance_list: object = None
 
-    def moved(self, text):
+    def with_free_ports(self, text):
         """Put the free ports in place of those on the page."""
 
         def port(match):
@@ -61,14 +61,14 @@
         if args[0] in ("entry", "sidecar"):
             return await self._daemon(args)
         out = StringIO()
-        env = {name: self.moved(value) for name, value in ENV.items()}
+        env = {name: self.with_free_ports(value) for name, value in ENV.items()}
         await asyncio.to_thread(main, args, Environment(StringIO(), out, out, env))
         return out.getvalue()
 
     async def _standins(self, file):
         fleet = read_fleet_file(file.read_bytes())
         self.instances = {instance.name: instance for instance in fleet.instances}
-        applications, self.listed = standin_applications(fleet, seed=1)
+        applications, self.instance_list = standin_applications(fleet, seed=1)
         for port, app in applications:
             self.ports[port] = await self.stack.enter_async_context(serve(app))
         return ""
@@ -80,13 +80,13 @@
             written,
             http_port=0,
             peer_port=0,
-            log_url=self.moved(written.log_url),
-            instance_list_url=self.moved(written.instance_list_url),
+            log_url=self.with_free_ports(written.log_url),
+            instance_list_url=self.with_free_ports(written.instance_list_url),
             drain_notice_s=0.0,
             seed=1,
         )
         if isinstance(settings, SidecarSettings):
-            url = self.moved(settings.endpoint_url)
+            url = self.with_free_ports(settings.endpoint_url)
             running = running_sidecar(evolve(settings, endpoint_url=url))
         else:
             assert isinstance(settings, EntrySettings)
@@ -105,7 +105,7 @@
         moved = evolve(listed, port=port, http_port=daemon.http_port)
         self.instances[written.name] = moved
         now_s = asyncio.get_running_loop().time()
-        self.listed.publish(now_s, tuple(self.instances.values()))
+        self.instance_list.publish(now_s, tuple(self.instances.values()))
 
     async def _curl(self, args):
         """Send what a curl command sends: -H, -d and the URL."""
@@ -123,7 +123,7 @@
                 case "-N":
                     continue
                 case _:
-                    url = self.moved(word)
+                    url = self.with_free_ports(word)
         async with open_http_client() as client:
             method = "GET" if body is None else "POST"
             answer = await client.request(url, method, headers=headers, data=body)
@@ -135,7 +135,7 @@
 
 
 @asynccontextmanager
-async def hand_started():
+async def readme_session():
     """Give a place to run commands in; whatever they start ends with the block."""
     async with AsyncExitStack() as stack:
-        yield HandStarted(stack)
+        yield ReadmeSession(stack)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -8,14 +8,14 @@
 from tests.virtual import run_virtual
 
 
-def test_a_task_that_takes_its_cancellation_for_a_lost_call_ends_all_the_same():
+def test_task_that_swallows_cancellations_is_cancelled_until_it_ends():
     """A daemon is told to stop while a task of its own asks a platform service. The
     HTTP library turns the cancellation into an error of the call; the task takes the
     service for unavailable and looks again later. Cancelled only once, it would run
     for ever, and the operator would see a process that does not end.
     """
 
-    async def stubborn(swallowed):
+    async def swallow_cancellations(swallowed):
         while True:
             try:
                 await asyncio.sleep(0.5)
@@ -26,16 +26,18 @@
 
     async def main():
         swallowed = []
-        async with background(stubborn(swallowed)):
+        async with background(swallow_cancellations(swallowed)):
             await asyncio.sleep(1.2)
         assert len(swallowed) == 2
         others = asyncio.all_tasks() - {asyncio.current_task()}
-        assert all(task.done() or "stubborn" not in repr(task) for task in others)
+        assert all(
+            task.done() or "swallow_cancellations" not in repr(task) for task in others
+        )
 
     run_virtual(main, limit_s=30.0)
 
 
-def test_a_fault_of_a_task_ends_the_block_with_it():
+def test_exception_in_a_task_ends_the_block():
     async def faulty():
         await asyncio.sleep(0.1)
         raise ValueError("broken")
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -35,7 +35,7 @@
 from acaciacove.bench.control_budget import ControlBudget
 from acaciacove.bench.design_size import DesignSize
 from acaciacove.daemon.append_share import append_share
-from acaciacove.daemon.follow_instances import list_pause_s
+from acaciacove.daemon.follow_instances import list_fetch_interval_s
 from acaciacove.fleet.fleet_state import FleetState
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.role import Role
@@ -88,7 +88,7 @@
 
 def test_control_traffic_adds_up_spread_tail_list_and_notes():
     tail = 120.0 / (READ_WAIT_S + idle_delay_s(30))
-    listing = 3000.0 / list_pause_s(30)
+    listing = 3000.0 / list_fetch_interval_s(30)
     notes = 920 * 2000 / 86_400
     assert line(TRAFFIC).value == round(500.0 + tail + listing + notes, 1)
 
@@ -151,9 +151,9 @@
 def test_a_longer_list_is_fetched_less_often():
     # A list fetched each second, however long, would take more of a node than all
     # other control, and the platform would serve it a thousand times a second.
-    assert list_pause_s(3) == 1.0
-    assert 2.0 < list_pause_s(20) < 4.0
-    assert 980 * 206 / list_pause_s(980) < 2000
+    assert list_fetch_interval_s(3) == 1.0
+    assert 2.0 < list_fetch_interval_s(20) < 4.0
+    assert 980 * 206 / list_fetch_interval_s(980) < 2000
 
 
 def test_a_writer_keeps_to_its_share_of_the_appends(append_costs):
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -25,7 +25,7 @@
 from acaciacove.release_format.read_note import read_note
 from acaciacove.sidecar.sidecar_metrics import SidecarMetrics
 from tests.fake_log import FakeLog
-from tests.hand_started import hand_started
+from tests.readme_session import readme_session
 
 ROOT = Path(__file__).parent.parent
 PAGES = sorted([*ROOT.glob("*.md"), *ROOT.glob("docs/**/*.md")])
@@ -89,7 +89,7 @@
     monkeypatch.chdir(ROOT)
 
     async def test():
-        async with hand_started() as shells:
+        async with readme_session() as shells:
             await follow(shells, "README.md")
 
     asyncio.run(test())
@@ -99,7 +99,7 @@
     monkeypatch.chdir(ROOT)
 
     async def test():
-        async with hand_started() as shells:
+        async with readme_session() as shells:
             await start(shells)
             await follow(shells, "docs/callers.md")
 
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -6,7 +6,7 @@
 import orjson
 
 from acaciacove.adapters.log_entry import LogEntry
-from acaciacove.daemon.shared_state import READY_CHECK_S
+from acaciacove.daemon.shared_state import READY_POLL_INTERVAL_S
 from acaciacove.fleet.instance_status import InstanceStatus
 from acaciacove.state.record_codec import encode_record
 from acaciacove.state.release_note import ReleaseNote
@@ -97,7 +97,7 @@
             await until(lambda: len(fleet.entries) == 2)
             late = fleet.entries[1]
             await until(lambda: late.shared.spread.ready)
-            await asyncio.sleep(READY_CHECKS * READY_CHECK_S)
+            await asyncio.sleep(READY_CHECKS * READY_POLL_INTERVAL_S)
             assert not late.state.lifecycle.accepts_callers
             fleet.listing.faults.outage = False
             await started
@@ -115,7 +115,7 @@
         async with embedded_fleet() as fleet:
             membership = fleet.entries[0].shared.membership
             for name in fleet.services:
-                incarnation = fleet.sidecars[name].shared.me.incarnation
+                incarnation = fleet.sidecars[name].shared.local_instance.incarnation
                 now_s = asyncio.get_running_loop().time()
                 membership.heard(name, incarnation + 1, now_s, InstanceStatus.STARTING)
             assert not {i.name for i in membership.usable()} & set(fleet.services)
--- a/tests/test_platform_engine.py
+++ b/tests/test_platform_engine.py
@@ -6,9 +6,9 @@
 import pytest
 
 from acaciacove.adapters.engine_call import EngineCall
+from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_finish import EngineFinish
 from acaciacove.adapters.engine_order import EngineAction, EngineOrder
-from acaciacove.adapters.engine_piece import EnginePiece
 from acaciacove.adapters.http_client import open_client
 from acaciacove.adapters.http_engine import HttpEngine
 from acaciacove.reason import Reason
@@ -54,7 +54,7 @@
 
 
 def text_of(events):
-    return "".join(e.text for e in events if isinstance(e, EnginePiece))
+    return "".join(e.text for e in events if isinstance(e, EngineChunk))
 
 
 @pytest.mark.parametrize("stream", [False, True])
@@ -105,7 +105,7 @@
         async def read_two():
             events = engine.generate(call(stream=True))
             async for event in events:
-                if isinstance(event, EnginePiece):
+                if isinstance(event, EngineChunk):
                     break
             await events.aclose()
 
@@ -140,7 +140,7 @@
 def test_chunks_arrive_while_the_engine_generates():
     async def use(engine, state):
         events = engine.generate(call(stream=True))
-        while not isinstance(await anext(events), EnginePiece):
+        while not isinstance(await anext(events), EngineChunk):
             pass
         tokens = state.counters.tokens
         await events.aclose()
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -14,48 +14,48 @@
 BOOKINGS = 40
 
 
-def ledger(fleet):
+def read_ledger(fleet):
     stream = fleet.log.stream(BILLING_STREAM)
-    read = BillingLedger()
-    read.offer([LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)])
-    return read
+    ledger = BillingLedger()
+    ledger.offer([LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)])
+    return ledger
 
 
-def judge(fleet, answers):
+def check_outcomes(fleet, answers):
     """Check what callers were told against what took effect."""
     effects = fleet.effects
     assert all(count <= 1 for count in effects.values()), effects
-    for key, told in answers.items():
-        for status, body in filter(None, told):
+    for key, responses in answers.items():
+        for status, body in filter(None, responses):
             if status == 200:
                 assert effects.get(key) == 1, key
-            elif orjson.loads(body)["not_run"] and (len(told) == 1):
+            elif orjson.loads(body)["not_run"] and (len(responses) == 1):
                 assert effects.get(key, 0) == 0, key
 
 
-async def book_all(fleet, disturb):
+async def book_all(fleet, inject_fault):
     """Send bookings through both entries, each again after it failed."""
     answers = {}
 
-    async def one(number):
+    async def book_with_retry(number):
         key = f"key-{number}"
         answers[key] = [await fleet.book(f"entry-{number % 2}", key)]
         if answers[key][0] is None or answers[key][0][0] != 200:
             answers[key].append(await fleet.book(f"entry-{(number + 1) % 2}", key))
 
-    async def paced():
+    async def start_tasks():
         for number in range(BOOKINGS):
             if number == BOOKINGS // 3:
-                await disturb()
-            yield asyncio.create_task(one(number))
+                await inject_fault()
+            yield asyncio.create_task(book_with_retry(number))
             await asyncio.sleep(0.02)
 
-    tasks = [task async for task in paced()]
+    tasks = [task async for task in start_tasks()]
     await asyncio.gather(*tasks)
     return answers
 
 
-def test_bookings_survive_the_kill_of_a_sidecar():
+def test_bookings_run_at_most_once_when_a_sidecar_is_killed():
     # A sidecar is killed in the middle of bookings, without a word. Some callers
     # cannot be told what became of theirs; none is booked twice, none is told "not
     # run" of one that did run, and the others are booked.
@@ -64,20 +64,22 @@
             for service in fleet.services.values():
                 service.faults.delay_s = 0.05
 
-            async def disturb():
+            async def inject_fault():
                 fleet.kill("bookings-0")
 
-            answers = await book_all(fleet, disturb)
-            judge(fleet, answers)
+            answers = await book_all(fleet, inject_fault)
+            check_outcomes(fleet, answers)
             booked = [
-                k for k, told in answers.items() if told[-1] and told[-1][0] == 200
+                k
+                for k, responses in answers.items()
+                if responses[-1] and responses[-1][0] == 200
             ]
             assert len(booked) >= BOOKINGS // 2
 
     run(test)
 
 
-def test_bookings_survive_the_kill_of_an_entry_and_are_billed():
+def test_bookings_are_billed_once_when_an_entry_is_killed():
     # An entry is killed; its callers ask another one with the same keys. Sidecars
     # hold copies of its bills, so no booking is billed twice or not at all.
     async def test():
@@ -85,22 +87,22 @@
             for service in fleet.services.values():
                 service.faults.delay_s = 0.05
 
-            async def disturb():
+            async def inject_fault():
                 fleet.kill("entry-0")
 
-            answers = await book_all(fleet, disturb)
-            judge(fleet, answers)
+            answers = await book_all(fleet, inject_fault)
+            check_outcomes(fleet, answers)
             effects = sum(fleet.effects.values())
             async with asyncio.timeout(60):
-                while ledger(fleet).requests["ozark-guides"] < effects:
+                while read_ledger(fleet).requests["ozark-guides"] < effects:
                     await asyncio.sleep(0.1)
-            assert ledger(fleet).requests["ozark-guides"] == effects
+            assert read_ledger(fleet).requests["ozark-guides"] == effects
 
     run(test)
 
 
 @pytest.mark.parametrize("frozen", ["bookings-0", "entry-0"])
-def test_bookings_survive_a_process_that_is_frozen_and_wakes(frozen):
+def test_bookings_run_at_most_once_when_a_process_is_paused(frozen):
     # A process is stopped for seconds, as a paused machine is, and goes on with
     # what it held. Whatever it still does must not book anything a second time.
     async def test():
@@ -108,12 +110,12 @@
             for service in fleet.services.values():
                 service.faults.delay_s = 0.05
 
-            async def disturb():
+            async def inject_fault():
                 fleet.pause(frozen)
                 asyncio.get_running_loop().call_later(5, fleet.resume, frozen)
 
-            answers = await book_all(fleet, disturb)
+            answers = await book_all(fleet, inject_fault)
             await asyncio.sleep(2)
-            judge(fleet, answers)
+            check_outcomes(fleet, answers)
 
     run(test)
--- a/tests/test_sidecar_version_orders.py
+++ b/tests/test_sidecar_version_orders.py
@@ -63,7 +63,9 @@
         running=Counter(),
         engine=FakeEngine(),
         admission=SimpleNamespace(update=lambda fleet, versions: None),
-        shared=SimpleNamespace(me=me, membership=view, is_listed=bool(known)),
+        shared=SimpleNamespace(
+            local_instance=me, membership=view, is_listed=bool(known)
+        ),
     )
     gate = FenceGate(lambda: holder.state.release_revision)
     return VersionOrders(sidecar, gate, None, Random(1))
@@ -124,7 +126,7 @@
         fleet = [orders_of(name, NAMES) for name in NAMES]
         await settle(fleet)
         holders = [orders for orders in fleet if NEW in orders.sidecar.served]
-        silent = holders[0].sidecar.shared.me.name
+        silent = holders[0].sidecar.shared.local_instance.name
         for orders in fleet:
             orders.sidecar.shared.membership.known.discard(silent)
         await asyncio.sleep(0)
