--- a/acaciacove/adapters/__init__.py
+++ b/acaciacove/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Replaceable adapters to the platform and to what stands behind it."""
+"""Adapters to the platform services, model engines and plain services."""
--- a/acaciacove/adapters/completion.py
+++ b/acaciacove/adapters/completion.py
@@ -1,4 +1,4 @@
-"""Reading chat-completion documents, with a check of whose they are."""
+"""Parsing of chat completions, with a check of the request that they answer."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 @frozen
 class Completion:
-    """One document: a whole completion, or one event of a stream."""
+    """A complete chat completion, or one event of a stream."""
 
     text: str
     finish_reason: str | None
@@ -22,7 +22,7 @@
 
 
 def read_completion(data: bytes, request_id: str) -> Completion | Refusal:
-    """Read a document that belongs to a request, or say what is wrong with it."""
+    """Parse a completion; a refusal when it is malformed or for another request."""
     try:
         document = orjson.loads(data)
         answer_id = document["id"]
@@ -35,16 +35,20 @@
             usage=document.get("usage") or {},
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Refusal(Reason.ENDPOINT_FAILED, False, f"malformed answer: {error!r}")
+        return Refusal(
+            Reason.ENDPOINT_FAILED, False, f"malformed completion: {error!r}"
+        )
     if answer_id != COMPLETION_ID + request_id:
         return Refusal(
-            Reason.ANSWER_MISMATCH, False, f"the answer's id is {answer_id!r}"
+            Reason.ANSWER_MISMATCH,
+            False,
+            f"completion id is {answer_id!r}, expected {COMPLETION_ID + request_id!r}",
         )
     return completion
 
 
 def build_finish(finish_reason: str, usage: dict[str, Any]) -> EngineFinish:
-    """Build the finish event from a usage object; lacking counts are 0."""
+    """Build the finish event from a usage object; missing counts become 0."""
     details = usage.get("prompt_tokens_details") or {}
     return EngineFinish(
         finish_reason=finish_reason,
--- a/acaciacove/adapters/engine.py
+++ b/acaciacove/adapters/engine.py
@@ -1,4 +1,4 @@
-"""The interface to one model engine."""
+"""Interface of a model engine."""
 
 from collections.abc import AsyncGenerator
 from typing import Protocol
@@ -11,23 +11,23 @@
 
 
 class Engine(Protocol):
-    """What a sidecar needs of its engine."""
+    """Operations of a model engine that a sidecar uses."""
 
     def generate(self, call: EngineCall) -> AsyncGenerator[EngineEvent, None]:
-        """Run a call: a head, pieces, and a finish or a refusal at the end.
+        """Run a call; yields a head, chunks, and a finish or a refusal at the end.
 
-        Closing the generator or cancelling its reader cancels the call in the
-        engine. Nothing is raised for failures of the engine.
+        Closing the generator or cancelling its consumer cancels the call in the
+        engine. A failure of the engine is yielded as a refusal and raises nothing.
         """
         ...
 
     async def order(self, order: EngineOrder) -> Refusal | None:
-        """Give an order; None when done, STALE_FENCE when the engine refused it.
+        """Send an order; None when done, STALE_FENCE when its fence is outdated.
 
-        Raises PlatformUnavailableError when the effect is not known.
+        Raises PlatformUnavailableError when it is unknown whether it took effect.
         """
         ...
 
     async def load(self) -> EngineLoad:
-        """Ask for the load report; raises PlatformUnavailableError."""
+        """Fetch the load report; raises PlatformUnavailableError."""
         ...
--- a/acaciacove/adapters/engine_call.py
+++ b/acaciacove/adapters/engine_call.py
@@ -9,8 +9,9 @@
 
     ``body`` is the caller's JSON; the adapter sets model, stream, priority and
     resume point in it. A lower ``priority`` is served sooner. A positive
-    ``resume_from_tokens`` continues an answer after that many tokens. The whole
-    call ends after ``timeout_s``; an engine silent for ``stall_s`` has failed.
+    ``resume_from_tokens`` continues an answer after that many tokens. The call
+    times out after ``timeout_s``. An engine that sends nothing for ``stall_s``
+    counts as failed.
     """
 
     request_id: str
--- a/acaciacove/adapters/engine_chunk.py
+++ b/acaciacove/adapters/engine_chunk.py
@@ -1,15 +1,15 @@
-"""A piece of an engine's answer."""
+"""A chunk of an engine's answer."""
 
 from attrs import frozen
 
 
 @frozen
 class EngineChunk:
-    """Bytes to relay as they are.
+    """Bytes that are relayed unchanged.
 
-    In a stream it is one server-sent event with its blank line, checked to belong
-    to the request; ``text`` is what it adds to the answer and ``tokens`` how many
-    tokens that is. Otherwise it is the whole body.
+    In a stream, ``data`` is one server-sent event with its blank line, checked to
+    belong to the request. ``text`` is the text that it adds to the answer, and
+    ``tokens`` its number of tokens. Otherwise ``data`` is the complete body.
     """
 
     data: bytes
--- a/acaciacove/adapters/engine_event.py
+++ b/acaciacove/adapters/engine_event.py
@@ -1,4 +1,4 @@
-"""What an engine call yields."""
+"""Events that an engine call yields."""
 
 from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_finish import EngineFinish
--- a/acaciacove/adapters/engine_finish.py
+++ b/acaciacove/adapters/engine_finish.py
@@ -5,10 +5,11 @@
 
 @frozen
 class EngineFinish:
-    """The answer is whole; comes last.
+    """Last event of a complete answer.
 
     In a stream it stands for the closing ``[DONE]`` event, which is not relayed as
-    a piece. Counts are the engine's own and cover a resumed answer from its start.
+    a chunk. The engine counts the tokens; for a resumed answer the counts include
+    the part before the resumption.
     """
 
     finish_reason: str = ""
--- a/acaciacove/adapters/engine_head.py
+++ b/acaciacove/adapters/engine_head.py
@@ -7,7 +7,7 @@
 
 @frozen
 class EngineHead:
-    """Status and end-to-end headers; comes first, once, unless the call failed."""
+    """Status and end-to-end headers: the first event, unless the call failed."""
 
     status: int
     headers: tuple[Header, ...] = ()
--- a/acaciacove/adapters/engine_load.py
+++ b/acaciacove/adapters/engine_load.py
@@ -1,11 +1,11 @@
-"""An engine's own report of its load."""
+"""Load report of an engine."""
 
 from attrs import frozen
 
 
 @frozen
 class EngineLoad:
-    """Counts that lag behind; ``restarts`` grows when the engine starts anew."""
+    """Load counts, possibly stale; ``restarts`` increases at each engine restart."""
 
     in_flight: int
     queued: int
--- a/acaciacove/adapters/engine_order.py
+++ b/acaciacove/adapters/engine_order.py
@@ -15,7 +15,7 @@
 
 @frozen
 class EngineOrder:
-    """An order under a fencing number, which some engines ignore."""
+    """An order with a fencing token in ``fence``; some engines ignore the token."""
 
     fence: int
     action: EngineAction
--- a/acaciacove/adapters/http_client.py
+++ b/acaciacove/adapters/http_client.py
@@ -1,4 +1,4 @@
-"""One HTTP client for all adapters: pooled, bounded and safe to cancel."""
+"""The HTTP client of all adapters: pooled, bounded and safe to cancel."""
 
 from typing import Any
 
@@ -20,13 +20,13 @@
     reuse: bool = True,
     connection_cls: type[SafeConnection] = SafeConnection,
 ) -> Any:
-    """Open a client with a pool of at most so many connections.
+    """Open a client with a pool of at most ``connections`` connections.
 
-    Without ``reuse`` every request has a fresh connection. The library sends a
-    PUT or DELETE again when a reused connection is lost, and then a booking runs
-    twice; on a fresh connection it never does, so calls that may not be repeated
-    take such a client. There are no timeouts but for connecting: callers bound
-    the whole exchange themselves, which also bounds the reading of a body.
+    Without ``reuse`` every request gets a new connection. When a reused connection
+    is lost, the library sends a PUT or DELETE again, and a booking would run twice.
+    On a new connection it never does, so non-idempotent calls use such a client.
+    Only connecting has a timeout here: callers set a deadline for the complete
+    exchange, which includes reading the body.
     """
     config = PoolConfig(
         size=connections,
--- a/acaciacove/adapters/http_engine.py
+++ b/acaciacove/adapters/http_engine.py
@@ -1,4 +1,4 @@
-"""A model engine over HTTP, in the usual shape of chat completions."""
+"""A model engine over HTTP with the chat completions API."""
 
 import asyncio
 from collections.abc import AsyncGenerator
@@ -48,7 +48,7 @@
     client: Any
 
     async def generate(self, call: EngineCall) -> AsyncGenerator[EngineEvent, None]:
-        """Run a call: a head, pieces, and a finish or a refusal at the end."""
+        """Run a call; yields a head, chunks, and a finish or a refusal at the end."""
         sending = Sending()
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + call.timeout_s
@@ -61,7 +61,7 @@
             yield refusal_from_error(TimeoutError() if is_late else error, sending)
 
     async def order(self, order: EngineOrder) -> Refusal | None:
-        """Give an order; None when done, STALE_FENCE when the engine refused it."""
+        """Send an order; None when done, STALE_FENCE when its fence is outdated."""
         document = {
             "fence": order.fence,
             "action": order.action,
@@ -71,14 +71,14 @@
         url = f"{self.url}/orders"
         answer = await call_json(self.client, "POST", url, orjson.dumps(document))
         if answer.status == HTTP_CONFLICT:
-            return Refusal(Reason.STALE_FENCE, True, f"fence {order.fence} is old")
+            return Refusal(Reason.STALE_FENCE, True, f"fence {order.fence} is outdated")
         if answer.status != HTTP_OK:
-            detail = f"order refused with status {answer.status}"
+            detail = f"engine answered {order.action} with status {answer.status}"
             return Refusal(Reason.ENDPOINT_FAILED, True, detail)
         return None
 
     async def load(self) -> EngineLoad:
-        """Ask for the load report; raises PlatformUnavailableError."""
+        """Fetch the load report; raises PlatformUnavailableError."""
         answer = await call_json(self.client, "GET", f"{self.url}/load")
         document = answer.document
         return EngineLoad(
@@ -95,7 +95,9 @@
     ) -> AsyncGenerator[EngineEvent, None]:
         body = _build_body(call)
         if body is None:
-            yield Refusal(Reason.MALFORMED_REQUEST, True, "the body is no JSON object")
+            yield Refusal(
+                Reason.MALFORMED_REQUEST, True, "request body is not a JSON object"
+            )
             return
         url = self.url + CHAT_PATH
         headers = [(REQUEST_ID, call.request_id), ("Content-Type", "application/json")]
@@ -114,7 +116,7 @@
 async def _read_answer(
     call: EngineCall, response: Any, deadline_s: float
 ) -> AsyncGenerator[EngineEvent, None]:
-    """Check the head, then read the answer in the shape that was asked for."""
+    """Check the head, then read the answer: a stream or one document."""
     status = response.status_code
     refusal = _head_refusal(call, response)
     if refusal is not None:
@@ -133,29 +135,41 @@
 
 
 def _head_refusal(call: EngineCall, response: Any) -> Refusal | None:
-    """Refuse failures, and an answer that carries another request's id."""
+    """Return a refusal for an error status or an id of another request."""
     status = response.status_code
     if status == HTTP_TOO_MANY_REQUESTS:
-        return Refusal(Reason.OVERLOADED, False, "the engine is overloaded")
+        return Refusal(
+            Reason.OVERLOADED, False, f"engine is overloaded (status {status})"
+        )
     if status >= MIN_SERVER_ERROR:
-        return Refusal(Reason.ENDPOINT_FAILED, False, f"engine status {status}")
+        return Refusal(
+            Reason.ENDPOINT_FAILED, False, f"engine answered with status {status}"
+        )
     echoed = response.headers.get(REQUEST_ID, call.request_id)
     if echoed != call.request_id:
-        return Refusal(Reason.ANSWER_MISMATCH, False, f"answer for {echoed!r}")
+        return Refusal(
+            Reason.ANSWER_MISMATCH,
+            False,
+            f"engine answered request {echoed!r} instead of {call.request_id!r}",
+        )
     return None
 
 
 def _read_complete_answer(
     call: EngineCall, status: int, data: bytes
 ) -> list[EngineEvent]:
-    """Check a whole answer; client errors of the engine are answers too."""
+    """Check a complete answer; a client error (4xx) is relayed as an answer."""
     if status >= MIN_CLIENT_ERROR:
         return [EngineChunk(data), build_finish("error", {})]
     completion = read_completion(data, call.request_id)
     if isinstance(completion, Refusal):
         return [completion]
     if completion.finish_reason is None:
-        return [Refusal(Reason.ANSWER_TRUNCATED, False, "no finish reason")]
+        return [
+            Refusal(
+                Reason.ANSWER_TRUNCATED, False, "engine answer has no finish_reason"
+            )
+        ]
     finish = build_finish(completion.finish_reason, completion.usage)
     chunk = EngineChunk(data, finish.completion_tokens, completion.text)
     return [chunk, finish]
@@ -164,7 +178,7 @@
 async def _read_stream(
     call: EngineCall, response: Any, deadline_s: float
 ) -> AsyncGenerator[EngineEvent, None]:
-    """Relay events as they come, each checked, and miss no early end."""
+    """Check and relay events as they arrive; a premature end is a refusal."""
     splitter = SseSplitter()
     finish_reason = ""
     usage: dict[str, Any] = {}
@@ -187,7 +201,11 @@
                 text = completion.text
                 yield EngineChunk(event + BLANK_LINE, 1 if text else 0, text)
     if not (done and finish_reason):
-        yield Refusal(Reason.ANSWER_TRUNCATED, False, "the stream ended early")
+        yield Refusal(
+            Reason.ANSWER_TRUNCATED,
+            False,
+            "engine stream ended before finish_reason and [DONE]",
+        )
         return
     yield build_finish(finish_reason, usage)
 
@@ -195,10 +213,10 @@
 async def _timed_chunks(
     call: EngineCall, response: Any, deadline_s: float
 ) -> AsyncGenerator[bytes, None]:
-    """Yield chunks; a silent engine is given up, so that another can resume.
+    """Yield chunks; raises TimeoutError when none arrives for ``stall_s``.
 
-    A stalled stream looks like a slow one. Without the limit the caller would wait
-    until the whole deadline; TimeoutError ends it after ``stall_s`` of silence.
+    Another engine can then resume the answer. A stalled stream looks like a slow
+    one, and without this timeout the caller would wait until the call's deadline.
     """
     loop = asyncio.get_running_loop()
     chunks = body_chunks(response)
@@ -213,7 +231,7 @@
 
 
 def _build_body(call: EngineCall) -> bytes | None:
-    """Set what the system decides in the caller's body; None if it is no object."""
+    """Set the router's fields in the caller's body; None if it is not an object."""
     try:
         document = orjson.loads(call.body)
     except orjson.JSONDecodeError:
--- a/acaciacove/adapters/http_exchange.py
+++ b/acaciacove/adapters/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange, and what its failure says about the request."""
+"""HTTP exchanges, and the refusals that their failures become."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -12,8 +12,8 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# What the client raises for lost connections and malformed answers: its own
-# exceptions, the sockets', an end of file within a body, a bad chunk length.
+# Exceptions of the client for lost connections and malformed answers: its own
+# classes, socket errors, end of file within a body, a malformed chunk length.
 EXCHANGE_ERRORS = (AiosonicError, OSError, EOFError, ValueError)
 EMPTY_STATUSES = frozenset({204, 304})
 CONTENT_LENGTH = "content-length"
@@ -36,20 +36,21 @@
 
 
 class TooLargeError(ValueError):
-    """An answer longer than the limit."""
+    """An answer that is larger than the limit."""
 
 
 class TruncatedError(ValueError):
-    """An answer that ended too early."""
+    """An answer that ended before it was complete."""
 
 
 @asynccontextmanager
 async def exchange(
     client: Any, sending: Sending, method: str, url: str, **parts: Any
 ) -> AsyncIterator[Any]:
-    """Send a request and yield its response, body unread.
+    """Send a request and yield its response with the body unread.
 
-    The connection is closed on leaving unless the body was read to its end.
+    When the block ends, the connection is closed unless the body was read to its
+    end.
     """
     response = await open_exchange(client, sending, method, url, **parts)
     try:
@@ -61,7 +62,7 @@
 async def open_exchange(
     client: Any, sending: Sending, method: str, url: str, **parts: Any
 ) -> Any:
-    """Send a request and return its response, which the caller has to close."""
+    """Send a request and return its response, which the caller must close."""
     current_sending.set(sending)
     response = await client.request(url, method, stream=True, **parts)
     try:
@@ -73,20 +74,20 @@
 
 
 async def read_body(response: Any, max_bytes: int) -> bytes:
-    """Read a whole body; raises TooLargeError beyond the limit."""
+    """Read a complete body; raises TooLargeError above ``max_bytes``."""
     received: list[bytes] = []
     size = 0
     async with aclosing(body_chunks(response)) as chunks:
         async for chunk in chunks:
             size += len(chunk)
             if size > max_bytes:
-                raise TooLargeError(f"answer larger than {max_bytes} bytes")
+                raise TooLargeError(f"answer is larger than {max_bytes} bytes")
             received.append(chunk)
     return b"".join(received)
 
 
 async def body_chunks(response: Any) -> AsyncGenerator[bytes, None]:
-    """Yield the pieces of a body as they come in; nothing for an empty one."""
+    """Yield the chunks of a body as they arrive; none for an empty body."""
     if not response._has_pending_body():
         return
     async for chunk in response.read_chunks():
@@ -94,7 +95,7 @@
 
 
 def end_to_end_headers(raw_headers: Any) -> tuple[Header, ...]:
-    """Keep the headers that are meant for the far end."""
+    """Return the end-to-end headers, without the hop-by-hop ones."""
     return tuple(
         Header(name, value)
         for name, value in raw_headers
@@ -103,9 +104,9 @@
 
 
 def refusal_from_error(error: BaseException, sending: Sending) -> Refusal:
-    """Say what a failed exchange means for the request.
+    """Build the refusal for a failed exchange.
 
-    Only when no byte has left is the request known not to have run.
+    The request is known not to have run only if no byte of it was sent.
     """
     return Refusal(
         reason=_reason_for_error(error),
@@ -128,14 +129,14 @@
 
 
 def _check_is_delimited(response: Any, method: str) -> None:
-    """Refuse an answer whose end cannot be told.
+    """Reject an answer that has neither a length nor chunked encoding.
 
-    The client takes a connection lost amid the headers for their end, and the
-    answer for an empty one: a caller would read success without a body. An answer
-    that states neither a length nor chunks is therefore taken as truncated.
+    When the connection is lost within the headers, the client takes that for their
+    end and returns an empty answer: a caller would read success without a body. An
+    answer with neither header therefore counts as truncated.
     """
     if method == "HEAD" or response.status_code in EMPTY_STATUSES:
         return
     if CONTENT_LENGTH in response.headers or TRANSFER_ENCODING in response.headers:
         return
-    raise TruncatedError("answer without a length")
+    raise TruncatedError("answer has neither Content-Length nor Transfer-Encoding")
--- a/acaciacove/adapters/http_instance_list.py
+++ b/acaciacove/adapters/http_instance_list.py
@@ -18,9 +18,11 @@
     client: Any
 
     async def fetch(self) -> list[Instance]:
-        """Return the list as of now; raises PlatformUnavailableError."""
+        """Return the current list; raises PlatformUnavailableError."""
         answer = await call_json(self.client, "GET", f"{self.url}/instances")
         try:
             return [instance_from_document(d) for d in answer.document["instances"]]
         except (KeyError, TypeError, MalformedMessageError) as error:
-            raise PlatformUnavailableError(f"bad instance list: {error}") from error
+            raise PlatformUnavailableError(
+                f"{self.url}: malformed instance list: {error!r}"
+            ) from error
--- a/acaciacove/adapters/http_json.py
+++ b/acaciacove/adapters/http_json.py
@@ -27,7 +27,7 @@
     """Call a service and read its JSON answer.
 
     Raises PlatformRefusedError when the call is known to have had no effect, and
-    PlatformUnavailableError when that is not known.
+    PlatformUnavailableError when its effect is unknown.
     """
     sending = Sending()
     try:
@@ -43,9 +43,13 @@
     except EXCHANGE_ERRORS as error:
         raise _unavailable_error(sending, f"{method} {url}: {error!r}") from error
     if status == HTTP_TOO_MANY_REQUESTS:
-        raise PlatformRefusedError(f"{method} {url}: rate limit")
+        raise PlatformRefusedError(
+            f"{method} {url}: rate limit exceeded (status {status})"
+        )
     if status >= MIN_SERVER_ERROR:
-        raise PlatformUnavailableError(f"{method} {url}: status {status}")
+        raise PlatformUnavailableError(
+            f"{method} {url}: service answered with status {status}"
+        )
     return JsonAnswer(status, document)
 
 
--- a/acaciacove/adapters/http_log.py
+++ b/acaciacove/adapters/http_log.py
@@ -34,7 +34,7 @@
     async def read(
         self, stream: str, from_offset: int, limit: int, wait_s: float = 0.0
     ) -> list[LogEntry]:
-        """Read records from an offset on, waiting for the first."""
+        """Read records from an offset on; waits up to ``wait_s`` for the first."""
         url = self._records_url(stream)
         params = {"from": from_offset, "limit": limit, "wait_s": wait_s}
         answer = await call_json(
@@ -54,6 +54,8 @@
 
 def _require_status(answer: JsonAnswer, status: int, url: str) -> dict[str, Any]:
     if answer.status != status:
-        raise PlatformUnavailableError(f"{url}: status {answer.status}")
+        raise PlatformUnavailableError(
+            f"{url}: expected status {status}, got {answer.status}"
+        )
     document: dict[str, Any] = answer.document
     return document
--- a/acaciacove/adapters/http_rating_service.py
+++ b/acaciacove/adapters/http_rating_service.py
@@ -21,7 +21,7 @@
     async def submit(
         self, request_id: str, version: str, request_class: str, answer: str
     ) -> None:
-        """Hand in an answer that may be rated."""
+        """Submit an answer that may be rated."""
         document = {
             "request_id": request_id,
             "version": version,
@@ -32,7 +32,7 @@
         await call_json(self.client, "POST", f"{self.url}/answers", body)
 
     async def fetch(self, after_sequence: int, limit: int) -> list[Rating]:
-        """Return ratings given after a sequence number."""
+        """Return ratings with a sequence number above ``after_sequence``."""
         params = {"after": after_sequence, "limit": limit}
         answer = await call_json(
             self.client, "GET", f"{self.url}/ratings", params=params
@@ -40,13 +40,15 @@
         try:
             return [_parse_rating(document) for document in answer.document["ratings"]]
         except (KeyError, TypeError, ValueError) as error:
-            raise PlatformUnavailableError(f"bad ratings: {error}") from error
+            raise PlatformUnavailableError(
+                f"{self.url}: malformed ratings: {error!r}"
+            ) from error
 
 
 def _parse_rating(document: dict[str, Any]) -> Rating:
     version = parse_version_id(document["version"])
     if version is None:
-        raise ValueError(f"not a version id: {document['version']!r}")
+        raise ValueError(f"expected model@version, got {document['version']!r}")
     return Rating(
         request_id=document["request_id"],
         version=version,
--- a/acaciacove/adapters/http_service.py
+++ b/acaciacove/adapters/http_service.py
@@ -27,8 +27,8 @@
 class HttpService:
     """A PlainService at ``url``.
 
-    ``client`` reuses connections and serves calls that may be repeated;
-    ``single_use_client``, opened with ``reuse=False``, serves those that may not.
+    ``client`` reuses connections and is for calls that may be repeated.
+    ``single_use_client``, opened with ``reuse=False``, is for those that may not.
     """
 
     url: str
@@ -37,15 +37,15 @@
     max_answer_bytes: int = MAX_ANSWER_BYTES
 
     async def call(self, call: ServiceCall) -> ServiceAnswer | Refusal:
-        """Make one call, and send it once if it may not be repeated."""
+        """Make one call; a call that may not be repeated is sent at most once."""
         sending = Sending()
         timeout = asyncio.timeout(call.timeout_s)
         try:
             async with timeout:
                 answer = await self._exchange(call, sending)
         except EXCHANGE_ERRORS as error:
-            # A connection that is closed because the time is up may show as lost.
-            # The caller would then read a wrong reason for an unknown outcome.
+            # A connection that was closed at the deadline may appear as lost. The
+            # caller would then get a wrong reason for an unknown outcome.
             return refusal_from_error(
                 TimeoutError() if timeout.expired() else error, sending
             )
@@ -53,7 +53,10 @@
             return Refusal(
                 Reason.ANSWER_MISMATCH,
                 not_run=False,
-                detail=f"the answer is for request {_echoed_id(answer)!r}",
+                detail=(
+                    f"answer has request id {_echoed_id(answer)!r}, "
+                    f"expected {call.request_id!r}"
+                ),
             )
         return answer
 
@@ -73,7 +76,7 @@
 
 
 def _request_headers(call: ServiceCall) -> list[tuple[str, str]]:
-    """Pass the caller's headers on, with the request's id."""
+    """Return the caller's end-to-end headers with the request id."""
     forwarded = [
         (header.name, header.value)
         for header in call.headers
--- a/acaciacove/adapters/http_weight_store.py
+++ b/acaciacove/adapters/http_weight_store.py
@@ -16,7 +16,7 @@
     client: Any
 
     async def acquire(self, weights: str) -> float:
-        """Ask for a load; returns seconds to wait first."""
+        """Request a load permit; returns the seconds to wait, 0 when granted."""
         body = orjson.dumps({"weights": weights})
         answer = await call_json(self.client, "POST", f"{self.url}/loads", body)
         return float(answer.document["wait_s"])
--- a/acaciacove/adapters/instance_codec.py
+++ b/acaciacove/adapters/instance_codec.py
@@ -1,4 +1,4 @@
-"""Instances as the platform's list writes them."""
+"""JSON form of instances in the platform's instance list."""
 
 from typing import Any
 
@@ -12,14 +12,14 @@
 
 
 def instance_to_document(instance: Instance) -> dict[str, Any]:
-    """Write an instance as a JSON object."""
+    """Convert an instance to a JSON object."""
     document = attrs.asdict(instance, recurse=False)
     document["versions"] = [str(version) for version in instance.versions]
     return document
 
 
 def instance_from_document(document: dict[str, Any]) -> Instance:
-    """Read an instance; raises MalformedMessageError."""
+    """Parse an instance; raises MalformedMessageError."""
     try:
         return Instance(
             name=str(document["name"]),
@@ -34,11 +34,13 @@
             http_port=int(document.get("http_port", 0)),
         )
     except (KeyError, TypeError, ValueError) as error:
-        raise MalformedMessageError(f"not an instance: {error}") from error
+        raise MalformedMessageError(
+            f"malformed instance in the instance list: {error!r}"
+        ) from error
 
 
 def _parse_version(text: str) -> VersionId:
     version = parse_version_id(text)
     if version is None:
-        raise ValueError(f"not a version id: {text!r}")
+        raise ValueError(f"expected model@version, got {text!r}")
     return version
--- a/acaciacove/adapters/instance_list.py
+++ b/acaciacove/adapters/instance_list.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's list of instances."""
+"""Interface of the platform's instance list."""
 
 from typing import Protocol
 
@@ -6,8 +6,8 @@
 
 
 class InstanceList(Protocol):
-    """A lagging list of live and leaving instances."""
+    """Eventually consistent list of live and draining instances."""
 
     async def fetch(self) -> list[Instance]:
-        """Return the list as of now; raises PlatformUnavailableError."""
+        """Return the current list; raises PlatformUnavailableError."""
         ...
--- a/acaciacove/adapters/json_answer.py
+++ b/acaciacove/adapters/json_answer.py
@@ -1,4 +1,4 @@
-"""A platform service's answer."""
+"""JSON answer of a platform service."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 @frozen
 class JsonAnswer:
-    """The status and the document of an answer that is no server error."""
+    """Status and document of an answer that is not a server error (5xx)."""
 
     status: int
     document: Any
--- a/acaciacove/adapters/log_entry.py
+++ b/acaciacove/adapters/log_entry.py
@@ -1,11 +1,11 @@
-"""One record as the platform's log keeps it."""
+"""One record of the platform's log."""
 
 from attrs import frozen
 
 
 @frozen
 class LogEntry:
-    """A payload at its offset in one stream; offsets grow by one."""
+    """A payload at its offset in a stream; offsets increase by one."""
 
     offset: int
     payload: bytes
--- a/acaciacove/adapters/plain_service.py
+++ b/acaciacove/adapters/plain_service.py
@@ -1,4 +1,4 @@
-"""The interface to one plain service."""
+"""Interface of a plain service."""
 
 from typing import Protocol
 
@@ -8,13 +8,13 @@
 
 
 class PlainService(Protocol):
-    """What a sidecar needs of its plain service."""
+    """Operations of a plain service that a sidecar uses."""
 
     async def call(self, call: ServiceCall) -> ServiceAnswer | Refusal:
         """Make one call.
 
-        A refusal with ``not_run`` means that no byte has left; without it the
-        outcome is unknown. Nothing is sent again after a byte has left, unless
-        the call may be repeated.
+        A refusal with ``not_run`` means that no byte was sent; without it the
+        outcome is unknown. After the first byte a call is sent again only if it
+        may be repeated.
         """
         ...
--- a/acaciacove/adapters/platform_log.py
+++ b/acaciacove/adapters/platform_log.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's append-only log."""
+"""Interface of the platform's append-only log."""
 
 from typing import Protocol
 
@@ -6,13 +6,13 @@
 
 
 class PlatformLog(Protocol):
-    """What the system needs of the log; streams are named, offsets start at 0."""
+    """Operations of the log; streams have names, and offsets start at 0."""
 
     async def append(self, stream: str, payload: bytes) -> int:
         """Append one record and return its offset.
 
-        Raises PlatformUnavailableError when no reply came: the record may be
-        in the log all the same.
+        Raises PlatformUnavailableError when no answer arrived. The record may
+        nevertheless be in the log.
         """
         ...
 
@@ -21,7 +21,7 @@
     ) -> list[LogEntry]:
         """Read records from an offset on, waiting up to ``wait_s`` for the first.
 
-        Raises OffsetExpiredError when that offset is no longer kept, and
+        Raises OffsetExpiredError when that offset is no longer retained, and
         PlatformUnavailableError when the log did not answer.
         """
         ...
--- a/acaciacove/adapters/rating.py
+++ b/acaciacove/adapters/rating.py
@@ -7,7 +7,7 @@
 
 @frozen
 class Rating:
-    """The rating service's verdict on an answer, 0 (useless) to 1 (perfect)."""
+    """A rating of an answer; ``score`` is 0 (useless) to 1 (perfect)."""
 
     request_id: str
     version: VersionId
--- a/acaciacove/adapters/rating_service.py
+++ b/acaciacove/adapters/rating_service.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's answer-rating service."""
+"""Interface of the platform's answer-rating service."""
 
 from typing import Protocol
 
@@ -6,14 +6,14 @@
 
 
 class RatingService(Protocol):
-    """Rates a sample of answers, late, and sometimes not at all."""
+    """Rates a sample of answers, with a delay; some are never rated."""
 
     async def submit(
         self, request_id: str, version: str, request_class: str, answer: str
     ) -> None:
-        """Hand in an answer that may be rated."""
+        """Submit an answer that may be rated."""
         ...
 
     async def fetch(self, after_sequence: int, limit: int) -> list[Rating]:
-        """Return ratings given after a sequence number."""
+        """Return ratings with a sequence number above ``after_sequence``."""
         ...
--- a/acaciacove/adapters/service_answer.py
+++ b/acaciacove/adapters/service_answer.py
@@ -7,7 +7,7 @@
 
 @frozen
 class ServiceAnswer:
-    """The whole answer with its end-to-end headers, whatever its status."""
+    """The complete answer with its end-to-end headers, for any status."""
 
     status: int
     headers: tuple[Header, ...] = ()
--- a/acaciacove/adapters/service_call.py
+++ b/acaciacove/adapters/service_call.py
@@ -7,9 +7,9 @@
 
 @frozen
 class ServiceCall:
-    """A call; unless ``may_repeat`` it is sent once, on a connection of its own.
+    """A call; unless ``may_repeat``, it is sent once, on a new connection.
 
-    With ``echo_wanted`` the answer must carry the request's id back.
+    With ``echo_wanted`` the answer must carry the request id in ``X-Request-Id``.
     """
 
     request_id: str
--- a/acaciacove/adapters/single_use_connection.py
+++ b/acaciacove/adapters/single_use_connection.py
@@ -1,4 +1,4 @@
-"""Connections for calls that may not be repeated."""
+"""Connections for non-idempotent calls."""
 
 from acaciacove.adapters.http_connection import SafeConnection
 
@@ -6,10 +6,10 @@
 class SingleUseConnection(SafeConnection):
     """A connection that carries one request and is closed after it.
 
-    The library sends a PUT or DELETE again when a reused connection is lost, and
-    then a booking runs twice. On a connection that was never used before it does
-    not, so this one is never kept.
+    When a reused connection is lost, the library sends a PUT or DELETE again, and a
+    booking would run twice. It does not do so on a connection that was never used
+    before, so this class never keeps a connection alive.
     """
 
     def keep_alive(self) -> None:
-        """Ignore the server's offer to keep the connection."""
+        """Ignore the server's keep-alive header."""
--- a/acaciacove/adapters/sse_events.py
+++ b/acaciacove/adapters/sse_events.py
@@ -1,4 +1,4 @@
-"""Splitting a body into server-sent events."""
+"""Splitter of a body into server-sent events."""
 
 from attrs import define
 
@@ -9,21 +9,23 @@
 
 @define
 class SseSplitter:
-    """Collects chunks of a body and gives out whole events."""
+    """Collects chunks of a body and returns complete events."""
 
     incomplete: bytes = b""
 
     def feed(self, chunk: bytes) -> list[bytes]:
         """Return the events that a chunk completes, without their blank lines.
 
-        Raises ValueError when an event grows beyond any use.
+        Raises ValueError when an event exceeds ``MAX_EVENT_BYTES``.
         """
         data = self.incomplete + chunk
         if b"\r" in data:
             data = data.replace(b"\r\n", b"\n")
         *events, self.incomplete = data.split(BLANK_LINE)
         if len(self.incomplete) > MAX_EVENT_BYTES:
-            raise ValueError("server-sent event too large")
+            raise ValueError(
+                f"server-sent event is larger than {MAX_EVENT_BYTES} bytes"
+            )
         return events
 
 
--- a/acaciacove/adapters/weight_store.py
+++ b/acaciacove/adapters/weight_store.py
@@ -1,11 +1,11 @@
-"""The interface to the platform's rate-limited weight store."""
+"""Interface of the platform's rate-limited weight store."""
 
 from typing import Protocol
 
 
 class WeightStore(Protocol):
-    """Hands out permits to load weights; too many at once are refused."""
+    """Grants permits to load model weights; refuses too many at the same time."""
 
     async def acquire(self, weights: str) -> float:
-        """Ask for a load: 0 grants it, else ask again after so many seconds."""
+        """Request a load permit: 0 when granted, else the seconds until a retry."""
         ...
--- a/acaciacove/daemon/append_share.py
+++ b/acaciacove/daemon/append_share.py
@@ -1,4 +1,4 @@
-"""One process's share of the fleet's log appends, by who is in the fleet."""
+"""Share of the log's append rate that one process of the fleet may use."""
 
 from collections.abc import Iterable
 
@@ -11,11 +11,12 @@
 
 
 def append_share(instances: Iterable[Instance], fleet: FleetState) -> LogWriterSettings:
-    """Return the settings of a log writer in a fleet of these instances.
+    """Return the log writer settings of one process in a fleet of these instances.
 
-    Rates that each process chose for itself would add up with the fleet, until the
-    log refuses operators' notes as well. Entries bill; endpoints of plain services
-    claim, or every endpoint while nothing is known of what they serve.
+    With a fixed rate per process, the total would grow with the fleet until the log
+    also refuses the operators' release notes. Entries append billing records and
+    endpoints of plain services append claims. While it is unknown what the
+    endpoints serve, all of them count as owners of claims.
     """
     listed = list(instances)
     entries = sum(instance.role is Role.ENTRY for instance in listed)
@@ -29,7 +30,7 @@
 
 
 def _serves_plain_service(endpoint: Instance, fleet: FleetState) -> bool:
-    """Tell whether an endpoint stands for a plain service."""
+    """Return whether an endpoint serves a plain service."""
     for version in endpoint.versions:
         declared = fleet.versions.get(version)
         api = fleet.apis.get(declared.api) if declared else None
--- a/acaciacove/daemon/background.py
+++ b/acaciacove/daemon/background.py
@@ -1,20 +1,20 @@
-"""Background tasks of a daemon, which end with the block around them."""
+"""Background tasks of a daemon that end with the block around them."""
 
 import asyncio
 from collections.abc import AsyncIterator, Coroutine
 from contextlib import asynccontextmanager
 from typing import Any
 
-# How long a cancelled task may take to end before it is cancelled again.
+# Time for a cancelled task to end before it is cancelled again.
 CANCEL_RETRY_INTERVAL_S = 0.5
 
 
 @asynccontextmanager
 async def background(*coroutines: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Run coroutines while the block runs; a fault in one ends the block with it.
+    """Run coroutines while the block runs; raises the exception of one that fails.
 
-    A task that dies unseen would leave a daemon that answers its probes but no
-    longer follows the log. Its fault ends the process instead.
+    If a failed task went unnoticed, the daemon would still answer its probes but no
+    longer follow the log. The exception ends the process instead.
     """
     owner = asyncio.current_task()
     assert owner is not None
@@ -43,9 +43,9 @@
 async def _cancel_until_done(tasks: list[asyncio.Task[None]]) -> None:
     """Cancel tasks until all have ended.
 
-    An HTTP library may turn a cancellation into an error of the call under way. A
-    task that goes on after such errors has then lost it, and one that is cancelled
-    only once keeps its daemon from ever ending.
+    An HTTP library may turn a cancellation into an error of the current call. A
+    task that continues after such errors swallows the cancellation. If it were
+    cancelled only once, the daemon would never exit.
     """
     pending = set(tasks)
     while pending:
--- a/acaciacove/daemon/decision_log.py
+++ b/acaciacove/daemon/decision_log.py
@@ -1,4 +1,4 @@
-"""One JSON line for each routing or placement decision, through loguru."""
+"""Structured log: one JSON line per routing or placement decision."""
 
 import sys
 from typing import Any, TextIO
@@ -12,17 +12,17 @@
 
 
 def start_log(stream: TextIO = sys.stderr, level: str = "INFO") -> None:
-    """Send log lines to a stream, one JSON object a line."""
+    """Configure loguru to write one JSON object per line to a stream."""
     logger.remove()
     logger.add(stream, format=LINE_FORMAT, level=level, backtrace=False, diagnose=False)
 
 
 def log_event(event: str, level: str = "INFO", **fields: Any) -> None:
-    """Write one event with its fields; unknown types are written as text."""
+    """Log one event with its fields; values of unknown types become strings."""
     logger.log(level, _encode_line(event, fields))
 
 
 def _encode_line(event: str, fields: dict[str, Any]) -> str:
-    """Write the object without its opening brace, which LINE_FORMAT has."""
+    """Encode the event without its opening brace, which is in LINE_FORMAT."""
     document = {"event": event, **fields}
     return orjson.dumps(document, default=str).decode()[1:]
--- a/acaciacove/daemon/drain.py
+++ b/acaciacove/daemon/drain.py
@@ -1,4 +1,4 @@
-"""Leaving without cutting a request."""
+"""Graceful shutdown that completes running requests."""
 
 import asyncio
 from collections.abc import Callable
--- a/acaciacove/daemon/evaluators.py
+++ b/acaciacove/daemon/evaluators.py
@@ -1,4 +1,4 @@
-"""Which entries do what a few can do for all."""
+"""Choice of the entries that read ratings and judge roll-outs for all."""
 
 from acaciacove.fleet.instance import Instance
 from acaciacove.fleet.role import Role
@@ -9,10 +9,11 @@
 
 
 def evaluator_names(instances: list[Instance], local_name: str = "") -> list[str]:
-    """Name the entries that read ratings and judge roll-outs.
+    """Return the names of the entries that read ratings and judge roll-outs.
 
-    Everybody ranks the live entries by the same hash, so no election is needed. A
-    short disagreement means that three or one of them read, which does no harm.
+    Every process ranks the live entries by the same hash, so no election is needed.
+    While processes disagree for a short time, three entries or one may read ratings,
+    which does no harm.
     """
     entries = {i.name for i in instances if i.role is Role.ENTRY}
     if local_name:
--- a/acaciacove/daemon/evidence_cells.py
+++ b/acaciacove/daemon/evidence_cells.py
@@ -1,4 +1,4 @@
-"""Shared counters as messages carry them, and back."""
+"""Conversion of shared counters to and from their message form."""
 
 from collections.abc import Iterable
 
@@ -7,14 +7,14 @@
 
 
 def to_message_cells(cells: Iterable[SharedCell]) -> tuple[EvidenceCell, ...]:
-    """Write counters for a message."""
+    """Convert counters to their message form."""
     return tuple(
         EvidenceCell(c.origin, c.name, c.count, c.total, c.squares) for c in cells
     )
 
 
 def from_message_cells(cells: Iterable[EvidenceCell]) -> tuple[SharedCell, ...]:
-    """Read counters from a message."""
+    """Convert counters from their message form."""
     return tuple(
         SharedCell(c.origin, c.name, c.count, c.total, c.squares) for c in cells
     )
--- a/acaciacove/daemon/follow_instances.py
+++ b/acaciacove/daemon/follow_instances.py
@@ -1,4 +1,4 @@
-"""Follows the platform's list of instances."""
+"""Periodic fetch of the platform's instance list."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 async def follow_instances(
     instance_list: InstanceList, on_list: Callable[[list[Instance]], None]
 ) -> None:
-    """Fetch the list again and again; an outage keeps the last one in use."""
+    """Fetch the list periodically; during an outage the last list stays in use."""
     interval_s = MIN_FETCH_INTERVAL_S
     while True:
         with suppress(PlatformUnavailableError):
@@ -27,11 +27,11 @@
 
 
 def list_fetch_interval_s(instance_count: int) -> float:
-    """Return how long to wait before a list of this length is fetched again.
+    """Return the interval between fetches of a list with ``instance_count`` items.
 
-    Fetched each second, a list of a thousand instances would take 200 kB/s of every
-    process. A process is told of departures sooner by other means: a leaving
-    endpoint refuses work itself, and a lost one fails its attempts.
+    Fetched every second, a list of a thousand instances would cost every process
+    200 kB/s. A process learns of removed endpoints sooner in other ways: a draining
+    endpoint refuses requests, and attempts on a lost one fail.
     """
     return max(
         MIN_FETCH_INTERVAL_S, instance_count * BYTES_PER_INSTANCE / MAX_LIST_BYTES_PER_S
--- a/acaciacove/daemon/http_server.py
+++ b/acaciacove/daemon/http_server.py
@@ -1,4 +1,4 @@
-"""A uvicorn server inside a daemon that has signal handling of its own."""
+"""A uvicorn server for a daemon with its own signal handling."""
 
 import asyncio
 import socket
@@ -13,7 +13,7 @@
 
 
 class _ServerWithoutSignals(Server):
-    """Leaves signals to the daemon, which drains before it stops the server."""
+    """Installs no signal handlers: the daemon drains before it stops the server."""
 
     def capture_signals(self) -> AbstractContextManager[None]:  # type: ignore[override]
         return nullcontext()
@@ -25,8 +25,8 @@
 ) -> AsyncIterator[int]:
     """Serve an application while the block runs; yields the bound port.
 
-    Port 0 binds a free one. Raises OSError when the address is taken. On leaving
-    the block, answers that have begun are finished first.
+    Port 0 binds a free port. Raises OSError when the address is in use. At the end
+    of the block, responses that have started are completed first.
     """
     listener = _listen(host, port)
     config = Config(
@@ -53,10 +53,11 @@
 
 
 def _listen(host: str, port: int) -> socket.socket:
-    """Open the listening socket, naming its protocol.
+    """Open the listening socket with an explicit TCP protocol number.
 
-    asyncio switches Nagle's algorithm off only for sockets that name TCP. Without
-    it the body of an answer waits 40 ms for the acknowledgement of its head.
+    asyncio disables Nagle's algorithm only for sockets with that protocol number.
+    With the algorithm on, the body of an answer waits 40 ms for the acknowledgement
+    of its head.
     """
     listener = socket.socket(
         socket.AF_INET, socket.SOCK_STREAM, proto=socket.IPPROTO_TCP
--- a/acaciacove/daemon/message_server.py
+++ b/acaciacove/daemon/message_server.py
@@ -1,4 +1,4 @@
-"""Takes connections of other processes."""
+"""Server for message connections of other processes."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -16,7 +16,7 @@
 ) -> AsyncIterator[None]:
     """Accept connections on a listening socket or an address while the block runs.
 
-    Connections that are open at the end are closed, and the socket with them.
+    At the end of the block, open connections and the socket are closed.
     """
     sessions: set[asyncio.Task[None]] = set()
 
@@ -29,8 +29,8 @@
         try:
             await on_connection(Connection(reader, writer))
         except asyncio.CancelledError:
-            # The server is closing. asyncio would print a traceback for each open
-            # connection, which looks like a fault to whoever reads the log.
+            # The server is closing. Otherwise asyncio would print a traceback for
+            # each open connection, which looks like a fault in the log.
             return
         finally:
             sessions.discard(session)
--- a/acaciacove/daemon/peer_network.py
+++ b/acaciacove/daemon/peer_network.py
@@ -1,6 +1,6 @@
-"""One process among its peers: digests over UDP, records over TCP.
+"""Transport between a process and its peers: digests over UDP, records over TCP.
 
-The decisions are Spread's and Membership's; this class owns the socket and the time.
+``Spread`` and ``Membership`` make the decisions; ``PeerNetwork`` owns the socket and the clock.
 """
 
 import asyncio
@@ -32,10 +32,11 @@
 
 
 class PeerNetwork:
-    """Owns the UDP socket of a process and its conversations with peers.
+    """Sends and receives the messages between a process and its peers.
 
-    ``control_bytes`` counts what was sent for control, UDP payloads and pulls.
-    ``on_evidence`` takes evidence in and may return an answer to its sender.
+    ``control_bytes`` counts the bytes sent as UDP payloads and as pulls.
+    ``on_evidence`` is called with received evidence and may return an answer to its
+    sender.
     """
 
     def __init__(
@@ -45,7 +46,7 @@
         membership: Membership,
         holder: FleetHolder,
     ) -> None:
-        """Take what the network serves; nothing is open before ``opened``."""
+        """Initialise without a socket; ``opened`` opens it."""
         self.control_bytes = 0
         self.on_evidence: OnEvidence = _ignore_evidence
         self._local_instance = local_instance
@@ -58,7 +59,7 @@
 
     @asynccontextmanager
     async def opened(self, udp_socket: socket) -> AsyncIterator[None]:
-        """Serve a bound UDP socket while the block runs, then close it."""
+        """Receive from a bound UDP socket while the block runs, then close it."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: _DatagramReceiver(self._receive), sock=udp_socket
@@ -73,13 +74,13 @@
             self._transport = None
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Call ``tick`` every ``TICK_INTERVAL_S`` until cancelled."""
         while True:
             self.tick()
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def tick(self) -> None:
-        """Look for silence, probe, and tell peers what is new."""
+        """Check members for silence, send due probes, and gossip to peers."""
         now_s = _now_s()
         self._membership.check(now_s)
         for instance in self._membership.to_probe(now_s):
@@ -87,18 +88,18 @@
         self._send(self._spread.tick(now_s, self._membership.peers()))
 
     def announce_leaving(self) -> None:
-        """Tell some peers at once that this process leaves."""
+        """Inform a subset of peers at once that this process is shutting down."""
         self._send(self._spread.announce(self._membership.peers(), SHUTDOWN_FANOUT))
 
     def answer(self, sender: str, message: Message) -> list[Message]:
-        """Take a message in that came on a connection; return the replies to it."""
+        """Process a message from a connection and return the replies."""
         if isinstance(message, Digest):
             self._membership.on_digest(message, _now_s())
         replies = self._spread.on_message(sender, message, _now_s())
         return [reply.message for reply in replies]
 
     def _receive(self, data: bytes, address: Address) -> None:
-        """Take in a datagram; junk is dropped."""
+        """Process a datagram; a malformed one is ignored."""
         try:
             message = decode(data)
         except MalformedMessageError:
@@ -126,7 +127,7 @@
                     self._start_pull(item.instance, item.message)
 
     def send_datagram(self, name: str, message: Digest | Evidence) -> None:
-        """Send a message that may be lost to an instance, if it is known."""
+        """Send an unreliable message to an instance if its address is known."""
         address = self._address_of(name)
         if address is not None:
             self._send_datagram(message, address)
@@ -147,7 +148,7 @@
         task.add_done_callback(self._pulls.discard)
 
     async def _pull(self, name: str, address: Address, pull: Pull) -> None:
-        """Fetch records from a peer; another peer is asked if this one is lost."""
+        """Fetch records from a peer; on failure a later tick asks another peer."""
         try:
             async with asyncio.timeout(PULL_TIMEOUT_S):
                 connection = await connect(*address)
@@ -177,13 +178,13 @@
         )
 
     def _address_of(self, name: str) -> Address | None:
-        """Return where a peer listens: as it is listed, or as it last spoke."""
+        """Return a peer's listed address, or else that of its last datagram."""
         peer = self._membership.find(name)
         return (peer.host, peer.port) if peer else self._addresses.get(name)
 
 
 class _DatagramReceiver(asyncio.DatagramProtocol):
-    """Hands datagrams on; errors of single sends are not this process's."""
+    """Passes datagrams to a callback; ignores errors of single sends."""
 
     def __init__(self, receive: Callable[[bytes, Address], None]) -> None:
         self._receive = receive
@@ -193,7 +194,7 @@
 
 
 def _ignore_evidence(_: Evidence) -> None:
-    """Ignore evidence, as a process does that judges nothing."""
+    """Ignore evidence; for processes that do not judge roll-outs."""
 
 
 def _now_s() -> float:
--- a/acaciacove/daemon/peer_sockets.py
+++ b/acaciacove/daemon/peer_sockets.py
@@ -1,4 +1,4 @@
-"""The two sockets of a process towards its peers, on one port number."""
+"""The TCP and UDP sockets of a process for its peers, on one port number."""
 
 import socket
 
@@ -10,7 +10,7 @@
 
 @frozen
 class PeerSockets:
-    """A listening TCP socket and a UDP socket, bound to the same number."""
+    """A listening TCP socket and a UDP socket, bound to the same port number."""
 
     tcp_listener: socket.socket
     udp_socket: socket.socket
@@ -18,9 +18,9 @@
 
 
 def bind_peer_sockets(host: str, port: int) -> PeerSockets:
-    """Bind both; port 0 looks for a number that is free for both.
+    """Bind both sockets; port 0 selects a port that is free for both.
 
-    Raises OSError when the address is taken.
+    Raises OSError when the address is in use.
     """
     for _ in range(MAX_BIND_ATTEMPTS):
         tcp_listener = socket.create_server((host, port), backlog=BACKLOG)
@@ -37,4 +37,6 @@
                 raise
             continue
         return PeerSockets(tcp_listener, udp_socket, bound)
-    raise OSError(f"no port of {host} is free for both TCP and UDP")
+    raise OSError(
+        f"{host}: no port free for both TCP and UDP in {MAX_BIND_ATTEMPTS} attempts"
+    )
--- a/acaciacove/daemon/probes.py
+++ b/acaciacove/daemon/probes.py
@@ -1,4 +1,4 @@
-"""Probes, metrics and status of a daemon over HTTP."""
+"""HTTP routes for the probes, metrics and status of a daemon."""
 
 from collections.abc import Callable
 from typing import Any
@@ -20,7 +20,7 @@
     registry: Registry,
     status: Callable[[], dict[str, Any]],
 ) -> list[BaseRoute]:
-    """Build ``/live``, ``/ready``, ``/status`` and ``/metrics``."""
+    """Build the routes ``/live``, ``/ready``, ``/status`` and ``/metrics``."""
 
     async def live(_: Request) -> Response:
         return _json({"state": lifecycle.state})
--- a/acaciacove/daemon/process_lifecycle.py
+++ b/acaciacove/daemon/process_lifecycle.py
@@ -1,4 +1,4 @@
-"""Lifecycle of a process: one shared machine, a small model for each process."""
+"""Lifecycle of a process: a shared state machine with a model per process."""
 
 from typing import Any
 
@@ -8,11 +8,12 @@
 
 
 class ProcessLifecycle:
-    """The state of one process; ``state`` is set by the shared machine.
+    """The state of one process; the shared machine sets ``state``.
 
-    ``become_ready`` comes once a revision is known, ``announce_leaving`` on SIGTERM
-    (readiness fails, work is still taken while the balancer notices), ``drain`` when
-    new work is refused, ``stop`` when nothing is in flight.
+    ``become_ready`` is triggered once a revision is known. ``announce_leaving`` is
+    triggered on SIGTERM: readiness fails, and requests are still accepted until the
+    load balancer has noticed. ``drain`` is triggered when new requests are refused,
+    and ``stop`` when none is in flight.
     """
 
     state: str
@@ -22,22 +23,22 @@
     stop: Any
 
     def __init__(self) -> None:
-        """Begin in the starting state."""
+        """Start in the state ``starting``."""
         _MACHINE.add_model(self)
 
     @property
     def accepts_callers(self) -> bool:
-        """Tell whether the balancer may send new callers here."""
+        """Return whether the load balancer may send new callers here."""
         return self.state == ProcessState.READY
 
     @property
     def takes_work(self) -> bool:
-        """Tell whether a request that arrives now is served."""
+        """Return whether a request that arrives now is served."""
         return self.state in (ProcessState.READY, ProcessState.NOTICE)
 
     @property
     def is_shutting_down(self) -> bool:
-        """Tell whether this process has been asked to stop."""
+        """Return whether this process was asked to shut down."""
         return self.state not in (ProcessState.STARTING, ProcessState.READY)
 
 
--- a/acaciacove/daemon/process_metrics.py
+++ b/acaciacove/daemon/process_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics that every daemon has."""
+"""Metrics of every daemon."""
 
 import resource
 
@@ -10,7 +10,7 @@
 
 @define(eq=False)
 class ProcessMetrics:
-    """Revision in force, control traffic, and what the process uses."""
+    """Current revision, control traffic, and resource usage of the process."""
 
     registry: Registry
     revision: Gauge = field(init=False)
@@ -28,7 +28,7 @@
         self.memory_bytes = self._gauge("peak_memory_bytes", "peak resident memory")
 
     def refresh(self, revision: int, control_bytes: int) -> None:
-        """Take readings just before they are served."""
+        """Update the values; called before the metrics are served."""
         usage = resource.getrusage(resource.RUSAGE_SELF)
         self.revision.set({}, revision)
         self.control_bytes.set({}, control_bytes)
--- a/acaciacove/daemon/process_state.py
+++ b/acaciacove/daemon/process_state.py
@@ -1,10 +1,10 @@
-"""The lifecycle of a daemon's process."""
+"""Lifecycle states of a daemon."""
 
 from enum import StrEnum
 
 
 class ProcessState(StrEnum):
-    """From the first line of a daemon to its exit."""
+    """Lifecycle states in their order, from start to exit."""
 
     STARTING = "starting"
     READY = "ready"
--- a/acaciacove/daemon/serve_peer.py
+++ b/acaciacove/daemon/serve_peer.py
@@ -1,4 +1,4 @@
-"""The conversation with a peer that has opened a connection to ask for something."""
+"""Server side of a connection that a peer opened."""
 
 from acaciacove.daemon.peer_network import PeerNetwork
 from acaciacove.messages.hello import Hello
@@ -6,7 +6,7 @@
 
 
 async def serve_peer(connection: Connection, network: PeerNetwork) -> None:
-    """Answer a peer's messages until it closes; the first one names it."""
+    """Answer a peer's messages until it closes; the Hello carries its name."""
     sender = ""
     try:
         while (message := await connection.receive()) is not None:
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -1,4 +1,4 @@
-"""What every process keeps of the shared state, and the tasks that keep it current."""
+"""Local copy of the shared state in every process, and the tasks that update it."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -44,9 +44,9 @@
 class SharedState:
     """Release stream, membership and log of one process.
 
-    ``list_received`` is set once the instance list has been read. ``on_change`` of
-    ``build_shared_state`` is called after each new revision and
-    each change of who is usable.
+    ``list_received`` is set once the instance list has been fetched. The callback
+    ``on_change`` of ``build_shared_state`` is called after each new revision and each
+    change of the usable instances.
     """
 
     local_instance: Instance
@@ -64,7 +64,7 @@
 
     @asynccontextmanager
     async def running(self, udp_socket: socket) -> AsyncIterator[None]:
-        """Keep the state current while the block runs; takes over the UDP socket."""
+        """Update the state while the block runs; takes ownership of the UDP socket."""
         async with (
             self.network.opened(udp_socket),
             background(
@@ -79,7 +79,7 @@
             yield
 
     def hello(self) -> Hello:
-        """Write the message that opens a connection."""
+        """Build the first message of a connection."""
         return Hello(
             self.local_instance.name,
             self.local_instance.incarnation,
@@ -89,16 +89,16 @@
         )
 
     def heard(self, peer: Hello | None) -> None:
-        """Take in a sign of life of whoever is at the end of a connection."""
+        """Record that a message arrived from the peer of a connection."""
         if peer is not None:
             self.membership.heard(peer.instance, peer.incarnation, _now_s())
 
     def connection_lost(self, name: str) -> None:
-        """Take in that an instance cannot be reached, or was lost half-way."""
+        """Record that connecting to an instance failed or its connection was lost."""
         self.membership.connect_failed(name, _now_s())
 
     def refused(self, peer: Hello | None, name: str, refused: Refused) -> None:
-        """Take in what a refusal says about its instance."""
+        """Update the membership with a refusal by an instance."""
         if refused.reason == Reason.CONNECTION_LOST:
             self.connection_lost(name)
         elif peer is not None:
@@ -107,28 +107,28 @@
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether the platform's list has shown this instance itself.
+        """Return whether the platform's list has contained this instance.
 
-        Until then the list may be older than the fleet that this process is part of.
+        Until then the list may be older than the fleet that this process belongs to.
         """
         return self.membership.find(self.local_instance.name) is not None
 
     @property
     def may_decide(self) -> bool:
-        """Tell whether the state held is current: it is not right after a pause."""
+        """Return whether the local state is current; it is not right after a pause."""
         return self.spread.guard.may_decide(_now_s())
 
     async def ready(self) -> None:
-        """Wait until this process knows enough to decide."""
+        """Wait until the state is caught up and includes a release note."""
         while not self.spread.ready or self.holder.state.release_revision < 0:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     async def wait_for_instance_list(self) -> None:
-        """Wait until the instance list has been read once.
+        """Wait until the instance list has been fetched once.
 
-        The log may be read to its end before the list arrives. An entry that took
-        callers then would know every release and no endpoint: it would refuse them
-        with "no endpoint" while the whole fleet stands ready.
+        The log may be read to its end before the list arrives. An entry that accepted
+        callers then would know every release but no endpoint. It would refuse them
+        with "no endpoint" although the complete fleet is ready.
         """
         await self.list_received.wait()
 
@@ -141,7 +141,7 @@
         self.spread.log_caught_up()
 
     async def _append_snapshots(self) -> None:
-        """Append the state again before the records that it stands for expire."""
+        """Append a snapshot of the state before the records that it covers expire."""
         while True:
             await asyncio.sleep(SNAPSHOT_CHECK_INTERVAL_S)
             payload = self.snapshots.due(asyncio.get_running_loop().time())
@@ -157,7 +157,7 @@
     rng: Random,
     on_change: Callable[[], None],
 ) -> SharedState:
-    """Put the parts together; nothing runs before ``running``."""
+    """Build the parts of the shared state; ``running`` starts its tasks."""
     holder = FleetHolder()
     health = LogHealth()
     writer = LogWriter(
@@ -217,7 +217,7 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that grows with each start of a process under one name."""
+    """Return a number that increases with each start of a process of one name."""
     return time_ns() // NS_PER_MS
 
 
--- a/acaciacove/daemon/stop_signal.py
+++ b/acaciacove/daemon/stop_signal.py
@@ -1,4 +1,4 @@
-"""SIGTERM and SIGINT as an event that tasks wait for."""
+"""Event that is set by SIGTERM and SIGINT."""
 
 import asyncio
 import signal
--- a/acaciacove/fleet/__init__.py
+++ b/acaciacove/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""The data that every decision is made from: plain frozen attrs values."""
+"""Input of every decision, as frozen attrs classes."""
--- a/acaciacove/fleet/api.py
+++ b/acaciacove/fleet/api.py
@@ -1,4 +1,4 @@
-"""One API that callers ask for, answered by one or more versions."""
+"""An API that callers use, served by one or more versions."""
 
 from attrs import frozen
 
@@ -8,11 +8,11 @@
 
 @frozen
 class Api:
-    """An API by name.
+    """An API with its name and kind.
 
     ``quality_target`` is the mean rating (0 to 1) that answers have to meet.
     ``non_idempotent`` lists the calls that may run at most once.
-    ``echoes_request_id`` says that answers carry back ``X-Request-Id``.
+    ``echoes_request_id`` is set when answers return ``X-Request-Id``.
     """
 
     name: str
@@ -22,5 +22,5 @@
     echoes_request_id: bool = True
 
     def may_repeat(self, method: str, path: str) -> bool:
-        """Tell whether a call of this API may be sent a second time."""
+        """Return whether a call of this API may be sent a second time."""
         return not any(rule.matches(method, path) for rule in self.non_idempotent)
--- a/acaciacove/fleet/api_kind.py
+++ b/acaciacove/fleet/api_kind.py
@@ -1,10 +1,10 @@
-"""What stands behind an API."""
+"""Kinds of back ends of an API."""
 
 from enum import StrEnum
 
 
 class ApiKind(StrEnum):
-    """Whether an API is answered by model engines or by a plain service."""
+    """Whether model engines or a plain service answer an API."""
 
     MODEL = "model"
     SERVICE = "service"
--- a/acaciacove/fleet/call_rule.py
+++ b/acaciacove/fleet/call_rule.py
@@ -1,4 +1,4 @@
-"""Which calls of a plain service may not be repeated."""
+"""Rules for the non-idempotent calls of a plain service."""
 
 from attrs import frozen
 
@@ -11,5 +11,5 @@
     path_prefix: str
 
     def matches(self, method: str, path: str) -> bool:
-        """Tell whether a call falls under this rule."""
+        """Return whether this rule matches a call."""
         return method.upper() == self.method and path.startswith(self.path_prefix)
--- a/acaciacove/fleet/fleet_state.py
+++ b/acaciacove/fleet/fleet_state.py
@@ -1,4 +1,4 @@
-"""What is in force: the fold of the release stream up to one revision."""
+"""Configuration in force: the fold of the release stream up to one revision."""
 
 from attrs import field, frozen
 
@@ -20,13 +20,13 @@
 class FleetState:
     """The configuration in force at ``revision``.
 
-    ``revision`` is the log offset of the last record that was folded, accepted or
-    not; ``release_revision`` that of the release note in force, on which the next
-    note must be based. ``release_note_id`` is that note's id and ``decision_ids``
-    are those of recent decisions, so that a second copy of one changes nothing.
-    ``declared_at`` maps a version to the release that declared it last, and
-    ``session_bases`` an organisation's use of an API (``session_base_key``) to the
-    version of its sessions that carry no token. Values are never changed in place.
+    ``revision`` is the log offset of the last folded record, whether it was accepted
+    or not. ``release_revision`` is the offset of the release note in force, on which
+    the next note must be based, and ``release_note_id`` is that note's id.
+    ``decision_ids`` are the ids of recent decisions, so that a duplicate of one has
+    no effect. ``declared_at`` maps a version to the release that declared it last.
+    ``session_bases`` maps an organisation and an API (``session_base_key``) to the
+    version of its sessions that carry no token. Values are never mutated.
     """
 
     revision: int = NO_REVISION
@@ -44,11 +44,11 @@
     session_bases: dict[str, VersionId] = field(factory=dict)
 
     def versions_of(self, api: str) -> tuple[Version, ...]:
-        """List the versions that answer an API, withdrawn ones included."""
+        """Return the versions of an API, including withdrawn ones."""
         return tuple(v for v in self.versions.values() if v.api == api)
 
     def is_usable(self, version: VersionId) -> bool:
-        """Tell whether a version may get work at all."""
+        """Return whether a version may get any requests."""
         declared = self.versions.get(version)
         return (
             declared is not None
--- a/acaciacove/fleet/instance.py
+++ b/acaciacove/fleet/instance.py
@@ -1,4 +1,4 @@
-"""One instance of the fleet, as the platform's list names it."""
+"""One instance of the fleet, as in the platform's instance list."""
 
 from attrs import frozen
 
@@ -11,11 +11,11 @@
 class Instance:
     """An entry, or an endpoint with its sidecar.
 
-    ``host`` is an IP number; ``port`` is where its process listens for the
-    system's own messages, ``http_port`` where it serves probes, metrics and status
-    (0 when the list does not tell). ``incarnation`` grows with each start under one
-    name (milliseconds of wall clock at the start). ``versions`` are those that an
-    endpoint serves.
+    ``host`` is an IP address. The process listens on ``port`` for messages between
+    processes, and on ``http_port`` for probes, metrics and status (0 when the list
+    does not contain it). ``incarnation`` increases with each start under one name
+    (wall clock at the start in milliseconds). ``versions`` are those that an endpoint
+    serves.
     """
 
     name: str
--- a/acaciacove/fleet/instance_status.py
+++ b/acaciacove/fleet/instance_status.py
@@ -1,10 +1,10 @@
-"""How an instance stands, as membership sees it."""
+"""Status of an instance in the membership."""
 
 from enum import StrEnum
 
 
 class InstanceStatus(StrEnum):
-    """States of the one lifecycle that entries and endpoints share."""
+    """Lifecycle states of entries and endpoints."""
 
     STARTING = "starting"
     LIVE = "live"
--- a/acaciacove/fleet/organisation.py
+++ b/acaciacove/fleet/organisation.py
@@ -1,4 +1,4 @@
-"""An organisation: a calling team, and what it is allowed to reach."""
+"""An organisation: a team of callers with its permissions."""
 
 from attrs import field, frozen
 
@@ -9,11 +9,12 @@
 
 @frozen
 class Organisation:
-    """A calling team that an operator approved.
+    """A team of callers that an operator approved.
 
     ``token_sha256`` holds hexadecimal digests of its bearer tokens (several while
     a token is replaced). ``allowed`` maps a model name to the versions that it may
-    use; ``ANY_VERSION`` allows all of them. ``weight`` is its share under load.
+    use; ``ANY_VERSION`` allows all of them. ``weight`` sets its share of the capacity
+    under load, relative to other organisations.
     """
 
     name: str
@@ -22,6 +23,6 @@
     weight: float = 1.0
 
     def allows(self, version: VersionId) -> bool:
-        """Tell whether this organisation may use a version."""
+        """Return whether this organisation may use a version."""
         versions = self.allowed.get(version.model, ())
         return ANY_VERSION in versions or version.version in versions
--- a/acaciacove/fleet/quarantine.py
+++ b/acaciacove/fleet/quarantine.py
@@ -1,4 +1,4 @@
-"""A version that evidence has stopped."""
+"""Quarantine of a version."""
 
 from attrs import frozen
 
@@ -7,7 +7,7 @@
 
 @frozen
 class Quarantine:
-    """A version stopped by the roll-out guard at log offset ``revision``."""
+    """A version that the roll-out guard stopped, recorded at offset ``revision``."""
 
     version: VersionId
     reason: str
--- a/acaciacove/fleet/role.py
+++ b/acaciacove/fleet/role.py
@@ -1,4 +1,4 @@
-"""What an instance does."""
+"""Roles of instances."""
 
 from enum import StrEnum
 
--- a/acaciacove/fleet/version.py
+++ b/acaciacove/fleet/version.py
@@ -1,4 +1,4 @@
-"""One version of a model or service, as a release note declares it."""
+"""A version of a model or service, as declared in a release note."""
 
 from attrs import frozen
 
@@ -7,15 +7,16 @@
 
 @frozen
 class Version:
-    """A version that answers one API.
+    """A version that serves one API.
 
-    ``cost_per_1k_tokens`` is in the release note's currency; a plain service
-    charges it per call. ``quality`` is the declared mean rating, 0 to 1, a prior
-    for the learned estimate. ``cold_bears`` and ``warm_bears`` are concurrent
-    requests one endpoint bears when freshly started and when warm, ``warm_up_s``
-    the time between them. ``replaces`` names the version this one is rolled out
-    against. ``first_share`` is the traffic share a roll-out starts at. A withdrawn
-    version stays in the fleet state, so that it is refused by name.
+    ``cost_per_1k_tokens`` is in the release note's currency; for a plain service it
+    is the cost per call. ``quality`` is the declared mean rating, 0 to 1, used as the
+    prior of the learned estimate. ``cold_bears`` and ``warm_bears`` are the capacity
+    of one endpoint in concurrent requests, freshly started and warm; ``warm_up_s`` is
+    the time from one to the other. ``replaces`` is the version that this one is
+    rolled out against, and ``first_share`` the initial traffic share of the roll-out.
+    A withdrawn version stays in the fleet state, so that requests for it are refused
+    by name.
     """
 
     id: VersionId
--- a/acaciacove/fleet/version_id.py
+++ b/acaciacove/fleet/version_id.py
@@ -1,4 +1,4 @@
-"""The name of one version of one model or service."""
+"""Identifier of a version of a model or service."""
 
 from attrs import frozen
 
@@ -13,12 +13,12 @@
     version: str
 
     def __str__(self) -> str:
-        """Write the id as release notes and logs spell it."""
+        """Return the form used in release notes and logs."""
         return f"{self.model}{SEPARATOR}{self.version}"
 
 
 def parse_version_id(text: str) -> VersionId | None:
-    """Read ``model@version``; None when either half is missing."""
+    """Parse ``model@version``; None when either part is missing."""
     model, separator, version = text.partition(SEPARATOR)
     if not (model and separator and version):
         return None
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -50,7 +50,7 @@
 
 
 def release_note() -> ReleaseNote:
-    """One model API with a cheap and a dear version, and one plain service."""
+    """Build a note with a model API of two versions and one plain service."""
     digest = sha256(TOKEN.encode()).hexdigest()
     allowed = {"guide-small": ("*",), "guide-large": ("*",), "bookings": ("*",)}
     return ReleaseNote(
@@ -71,7 +71,7 @@
 
 @define(eq=False)
 class EmbeddedFleet:
-    """The parts of a running fleet, for tests to look into and to break."""
+    """Parts of a running fleet that tests inspect and inject faults into."""
 
     log: LogState
     listing: InstanceListState
@@ -96,12 +96,12 @@
         return stream.append(encode_record(record), self.log.faults.keep_records)
 
     def list_instances(self) -> None:
-        """Let the platform's list show the instances as they are now."""
+        """Publish the current instances in the platform's instance list."""
         now_s = asyncio.get_running_loop().time()
         self.listing.publish(now_s, tuple(self.instances.values()))
 
     def mark(self, name: str, status: InstanceStatus) -> None:
-        """Change what the platform's list says of an instance."""
+        """Set the status of an instance in the platform's instance list."""
         self.instances[name] = evolve(self.instances[name], status=status)
         self.list_instances()
 
@@ -132,9 +132,9 @@
 ) -> AsyncIterator[EmbeddedFleet]:
     """Run a fleet until its entries are ready.
 
-    With ``rated`` a rating service stands by and gets every answer, with ``weights``
-    loads wait for a weight store. ``extra`` versions are served by the model
-    endpoints besides the usual ones.
+    With ``rated``, a rating service gets every answer. With ``weights``, loads wait
+    for permits of a weight store. The model endpoints serve the ``extra`` versions in
+    addition to the default ones.
     """
     rating = RatingState(Random(1))
     fleet = EmbeddedFleet(LogState(), InstanceListState(), rating)
@@ -185,7 +185,7 @@
     endpoint_port: int,
     versions: tuple[VersionId, ...],
 ) -> RunningSidecar:
-    """Start a sidecar beside an endpoint; its own stack can stop it alone."""
+    """Start the sidecar of an endpoint, with an exit stack that stops only it."""
     settings = SidecarSettings(
         name=name,
         region="south",
@@ -257,7 +257,7 @@
 
 
 async def until(condition: Any) -> None:
-    """Wait for a condition; a bound only keeps a broken test from hanging."""
+    """Wait for a condition; the timeout only prevents a broken test from hanging."""
     async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, over stand-ins in the test's process."""
+"""Fleet of daemons in separate processes, with stand-ins in the test process."""
 
 import asyncio
 import os
@@ -31,7 +31,7 @@
 
 @define(eq=False)
 class ProcessFleet:
-    """A fleet of processes; ``services`` count what took effect."""
+    """A fleet of processes; ``services`` count the effects of bookings."""
 
     log: LogState
     services: dict[str, ServiceState]
@@ -48,7 +48,7 @@
         return total
 
     async def book(self, entry, key):
-        """Send one booking; None when the entry gave no answer."""
+        """Send one booking; None when the entry did not answer."""
         url = f"http://127.0.0.1:{self.http_ports[entry]}/services/rides/shuttles"
         headers = {
             "Authorization": f"Bearer {TOKEN}",
@@ -61,7 +61,7 @@
                     url, method="POST", headers=headers, data=b'{"reference": "b"}'
                 )
                 return response.status_code, await response.content()
-        except Exception:  # noqa: BLE001 - the entry was killed, as the test wants
+        except Exception:  # noqa: BLE001 - the test may have killed the entry
             return None
 
     def kill(self, name):
@@ -133,7 +133,7 @@
 
 
 async def _start_process(stack, command):
-    """Start a process that ends, by its own handle, with the test."""
+    """Start a process that is killed by its process object when the test ends."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -164,6 +164,6 @@
                 await response.content()
                 if response.status_code == 200:
                     return
-            except Exception:  # noqa: BLE001 - not listening yet
+            except Exception:  # noqa: BLE001 - the process does not listen yet
                 pass
             await asyncio.sleep(0.05)
--- a/tests/readme_session.py
+++ b/tests/readme_session.py
@@ -1,4 +1,4 @@
-"""Runs the commands that README shows, in one process and on free ports."""
+"""Runs the commands in README in one process and on free ports."""
 
 import asyncio
 import re
@@ -34,7 +34,7 @@
 
 @define(eq=False)
 class ReadmeSession:
-    """``ports`` maps a port on the page to the free one that stands for it."""
+    """``ports`` maps a port on the page to the free port that replaces it."""
 
     stack: AsyncExitStack
     ports: dict[int, int] = field(factory=dict)
@@ -42,7 +42,7 @@
     instance_list: object = None
 
     def with_free_ports(self, text):
-        """Put the free ports in place of those on the page."""
+        """Replace the ports on the page by the free ports."""
 
         def port(match):
             written = int(match.group(1))
@@ -51,7 +51,7 @@
         return PORT.sub(port, text)
 
     async def run(self, command):
-        """Run one command line of the page and return what it prints."""
+        """Run one command line of the page and return its output."""
         program, *args = shlex.split(command)
         if program == "curl":
             return await self._curl(args)
@@ -98,7 +98,7 @@
         return ""
 
     def _list(self, written, daemon):
-        """Let the instance list tell where a daemon really listens."""
+        """Publish the actual ports of a daemon in the instance list."""
         listed = self.instances[written.name]
         assert (listed.port, listed.http_port) == (written.peer_port, written.http_port)
         port = getattr(daemon, "peer_port", listed.port)
@@ -108,7 +108,7 @@
         self.instance_list.publish(now_s, tuple(self.instances.values()))
 
     async def _curl(self, args):
-        """Send what a curl command sends: -H, -d and the URL."""
+        """Send the request of a curl command with the options -H, -d, -i and -N."""
         headers, body, url, show_headers = {}, None, "", False
         words = iter(args)
         for word in words:
@@ -136,6 +136,6 @@
 
 @asynccontextmanager
 async def readme_session():
-    """Give a place to run commands in; whatever they start ends with the block."""
+    """Open a session for commands; what they start ends with the block."""
     async with AsyncExitStack() as stack:
         yield ReadmeSession(stack)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -1,4 +1,4 @@
-"""Background tasks of a daemon end with it."""
+"""Tests of the background tasks of a daemon."""
 
 import asyncio
 
@@ -9,10 +9,10 @@
 
 
 def test_task_that_swallows_cancellations_is_cancelled_until_it_ends():
-    """A daemon is told to stop while a task of its own asks a platform service. The
-    HTTP library turns the cancellation into an error of the call; the task takes the
-    service for unavailable and looks again later. Cancelled only once, it would run
-    for ever, and the operator would see a process that does not end.
+    """A daemon is stopped while one of its tasks calls a platform service. The HTTP
+    library turns the cancellation into an error of the call, and the task retries
+    later as if the service were unavailable. If it were cancelled only once, it would
+    run forever and the process would not exit.
     """
 
     async def swallow_cancellations(swallowed):
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Real processes, killed and frozen while bookings run."""
+"""Tests with real processes that are killed or paused while bookings run."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 def check_outcomes(fleet, answers):
-    """Check what callers were told against what took effect."""
+    """Compare the responses to callers with the effects of their bookings."""
     effects = fleet.effects
     assert all(count <= 1 for count in effects.values()), effects
     for key, responses in answers.items():
@@ -34,7 +34,7 @@
 
 
 async def book_all(fleet, inject_fault):
-    """Send bookings through both entries, each again after it failed."""
+    """Send bookings through both entries and retry each failed one."""
     answers = {}
 
     async def book_with_retry(number):
@@ -56,9 +56,9 @@
 
 
 def test_bookings_run_at_most_once_when_a_sidecar_is_killed():
-    # A sidecar is killed in the middle of bookings, without a word. Some callers
-    # cannot be told what became of theirs; none is booked twice, none is told "not
-    # run" of one that did run, and the others are booked.
+    # A sidecar is killed while bookings run. The outcome of some bookings is then
+    # unknown. None runs twice, none that ran is reported as not run, and the others
+    # succeed.
     async def test():
         async with running_processes() as fleet:
             for service in fleet.services.values():
@@ -80,8 +80,9 @@
 
 
 def test_bookings_are_billed_once_when_an_entry_is_killed():
-    # An entry is killed; its callers ask another one with the same keys. Sidecars
-    # hold copies of its bills, so no booking is billed twice or not at all.
+    # An entry is killed, and its callers retry through another one with the same
+    # keys. Sidecars hold copies of its billing records, so every booking is billed
+    # exactly once.
     async def test():
         async with running_processes() as fleet:
             for service in fleet.services.values():
@@ -103,8 +104,8 @@
 
 @pytest.mark.parametrize("frozen", ["bookings-0", "entry-0"])
 def test_bookings_run_at_most_once_when_a_process_is_paused(frozen):
-    # A process is stopped for seconds, as a paused machine is, and goes on with
-    # what it held. Whatever it still does must not book anything a second time.
+    # A process is paused for seconds, as on a suspended machine, and then continues
+    # with its old state. Nothing that it still does may run a booking a second time.
     async def test():
         async with running_processes() as fleet:
             for service in fleet.services.values():
