--- a/acaciacove/adapters/completion.py
+++ b/acaciacove/adapters/completion.py
@@ -35,14 +35,10 @@
             usage=document.get("usage") or {},
         )
     except (ValueError, KeyError, TypeError, AttributeError) as error:
-        return Refusal(
-            Reason.ENDPOINT_FAILED, False, f"malformed completion: {error!r}"
-        )
+        return Refusal(Reason.ENDPOINT_FAILED, False, f"malformed answer: {error!r}")
     if answer_id != COMPLETION_ID + request_id:
         return Refusal(
-            Reason.ANSWER_MISMATCH,
-            False,
-            f"completion id is {answer_id!r}, expected {COMPLETION_ID + request_id!r}",
+            Reason.ANSWER_MISMATCH, False, f"the answer's id is {answer_id!r}"
         )
     return completion
 
--- a/acaciacove/adapters/http_engine.py
+++ b/acaciacove/adapters/http_engine.py
@@ -71,9 +71,9 @@
         url = f"{self.url}/orders"
         answer = await call_json(self.client, "POST", url, orjson.dumps(document))
         if answer.status == HTTP_CONFLICT:
-            return Refusal(Reason.STALE_FENCE, True, f"fence {order.fence} is outdated")
+            return Refusal(Reason.STALE_FENCE, True, f"fence {order.fence} is old")
         if answer.status != HTTP_OK:
-            detail = f"engine answered {order.action} with status {answer.status}"
+            detail = f"order refused with status {answer.status}"
             return Refusal(Reason.ENDPOINT_FAILED, True, detail)
         return None
 
@@ -95,9 +95,7 @@
     ) -> AsyncGenerator[EngineEvent, None]:
         body = _build_body(call)
         if body is None:
-            yield Refusal(
-                Reason.MALFORMED_REQUEST, True, "request body is not a JSON object"
-            )
+            yield Refusal(Reason.MALFORMED_REQUEST, True, "the body is no JSON object")
             return
         url = self.url + CHAT_PATH
         headers = [(REQUEST_ID, call.request_id), ("Content-Type", "application/json")]
@@ -138,20 +136,12 @@
     """Return a refusal for an error status or an id of another request."""
     status = response.status_code
     if status == HTTP_TOO_MANY_REQUESTS:
-        return Refusal(
-            Reason.OVERLOADED, False, f"engine is overloaded (status {status})"
-        )
+        return Refusal(Reason.OVERLOADED, False, "the engine is overloaded")
     if status >= MIN_SERVER_ERROR:
-        return Refusal(
-            Reason.ENDPOINT_FAILED, False, f"engine answered with status {status}"
-        )
+        return Refusal(Reason.ENDPOINT_FAILED, False, f"engine status {status}")
     echoed = response.headers.get(REQUEST_ID, call.request_id)
     if echoed != call.request_id:
-        return Refusal(
-            Reason.ANSWER_MISMATCH,
-            False,
-            f"engine answered request {echoed!r} instead of {call.request_id!r}",
-        )
+        return Refusal(Reason.ANSWER_MISMATCH, False, f"answer for {echoed!r}")
     return None
 
 
@@ -165,11 +155,7 @@
     if isinstance(completion, Refusal):
         return [completion]
     if completion.finish_reason is None:
-        return [
-            Refusal(
-                Reason.ANSWER_TRUNCATED, False, "engine answer has no finish_reason"
-            )
-        ]
+        return [Refusal(Reason.ANSWER_TRUNCATED, False, "no finish reason")]
     finish = build_finish(completion.finish_reason, completion.usage)
     chunk = EngineChunk(data, finish.completion_tokens, completion.text)
     return [chunk, finish]
@@ -201,11 +187,7 @@
                 text = completion.text
                 yield EngineChunk(event + BLANK_LINE, 1 if text else 0, text)
     if not (done and finish_reason):
-        yield Refusal(
-            Reason.ANSWER_TRUNCATED,
-            False,
-            "engine stream ended before finish_reason and [DONE]",
-        )
+        yield Refusal(Reason.ANSWER_TRUNCATED, False, "the stream ended early")
         return
     yield build_finish(finish_reason, usage)
 
--- a/acaciacove/adapters/http_exchange.py
+++ b/acaciacove/adapters/http_exchange.py
@@ -81,7 +81,7 @@
         async for chunk in chunks:
             size += len(chunk)
             if size > max_bytes:
-                raise TooLargeError(f"answer is larger than {max_bytes} bytes")
+                raise TooLargeError(f"answer larger than {max_bytes} bytes")
             received.append(chunk)
     return b"".join(received)
 
@@ -139,4 +139,4 @@
         return
     if CONTENT_LENGTH in response.headers or TRANSFER_ENCODING in response.headers:
         return
-    raise TruncatedError("answer has neither Content-Length nor Transfer-Encoding")
+    raise TruncatedError("answer without a length")
--- a/acaciacove/adapters/http_service.py
+++ b/acaciacove/adapters/http_service.py
@@ -53,10 +53,7 @@
             return Refusal(
                 Reason.ANSWER_MISMATCH,
                 not_run=False,
-                detail=(
-                    f"answer has request id {_echoed_id(answer)!r}, "
-                    f"expected {call.request_id!r}"
-                ),
+                detail=f"the answer is for request {_echoed_id(answer)!r}",
             )
         return answer
 
--- a/acaciacove/adapters/sse_events.py
+++ b/acaciacove/adapters/sse_events.py
@@ -23,9 +23,7 @@
             data = data.replace(b"\r\n", b"\n")
         *events, self.incomplete = data.split(BLANK_LINE)
         if len(self.incomplete) > MAX_EVENT_BYTES:
-            raise ValueError(
-                f"server-sent event is larger than {MAX_EVENT_BYTES} bytes"
-            )
+            raise ValueError("server-sent event too large")
         return events
 
 
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -119,7 +119,7 @@
         return self.spread.guard.may_decide(_now_s())
 
     async def ready(self) -> None:
-        """Wait until the state is caught up and includes a release note."""
+        """Wait until the state is caught up and a release note is in force."""
         while not self.spread.ready or self.holder.state.release_revision < 0:
             await asyncio.sleep(READY_POLL_INTERVAL_S)
 
--- a/tests/readme_session.py
+++ b/tests/readme_session.py
@@ -34,7 +34,10 @@
 
 @define(eq=False)
 class ReadmeSession:
-    """``ports`` maps a port on the page to the free port that replaces it."""
+    """Runs commands of a page and keeps the daemons that they start.
+
+    ``ports`` maps a port on the page to the free port that replaces it.
+    """
 
     stack: AsyncExitStack
     ports: dict[int, int] = field(factory=dict)
