--- a/acaciacove/daemon/peer_sockets.py
+++ b/acaciacove/daemon/peer_sockets.py
@@ -25,18 +25,18 @@
     for _ in range(MAX_BIND_ATTEMPTS):
         tcp_listener = socket.create_server((host, port), backlog=BACKLOG)
         tcp_listener.setblocking(False)
-        bound = tcp_listener.getsockname()[1]
+        bound_port = tcp_listener.getsockname()[1]
         udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         udp_socket.setblocking(False)
         try:
-            udp_socket.bind((host, bound))
+            udp_socket.bind((host, bound_port))
         except OSError:
             tcp_listener.close()
             udp_socket.close()
             if port:
                 raise
             continue
-        return PeerSockets(tcp_listener, udp_socket, bound)
+        return PeerSockets(tcp_listener, udp_socket, bound_port)
     raise OSError(
         f"{host}: no port free for both TCP and UDP in {MAX_BIND_ATTEMPTS} attempts"
     )
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -221,7 +221,7 @@
     return time_ns() // NS_PER_MS
 
 
-def describe(shared: SharedState) -> dict[str, Any]:
+def describe_shared_state(shared: SharedState) -> dict[str, Any]:
     """Return the shared part of ``/status``."""
     return {
         "revision": shared.holder.revision,
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -25,7 +25,7 @@
 from acaciacove.daemon.shared_state import (
     SharedState,
     build_shared_state,
-    describe,
+    describe_shared_state,
     new_incarnation,
 )
 from acaciacove.decisions.budget import Budget
@@ -213,5 +213,5 @@
         "in_flight": entry.in_flight,
         "endpoints": len(entry.router.views),
         "links": len(entry.links),
-        **describe(entry.shared),
+        **describe_shared_state(entry.shared),
     }
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -29,7 +29,7 @@
 from acaciacove.daemon.shared_state import (
     SharedState,
     build_shared_state,
-    describe,
+    describe_shared_state,
     new_incarnation,
 )
 from acaciacove.decisions.admission import AdmissionQueue
@@ -257,5 +257,5 @@
         "limit": load.limit,
         "cold": load.cold,
         "versions": [str(version) for version in sorted(sidecar.served)],
-        **describe(sidecar.shared),
+        **describe_shared_state(sidecar.shared),
     }
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -159,11 +159,11 @@
         fleet.client = open_client()
         fleet.publish(release_note())
         names = [*fleet.engines, *fleet.services]
-        for place, (name, port) in enumerate(zip(names, ports[4:], strict=True)):
+        for index, (name, port) in enumerate(zip(names, ports[4:], strict=True)):
             versions = (BOOKINGS,)
             if name in fleet.engines:
                 versions = (SMALL, LARGE, *extra)
-            number = place if name in fleet.engines else place - models
+            number = index if name in fleet.engines else index - models
             await add_sidecar(fleet, stack, name, ZONES[number % 4], port, versions)
         fleet.list_instances()
         for number in range(entries):
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -89,14 +89,14 @@
         stream = fleet.log.stream(RELEASE_STREAM)
         stream.append(encode_record(release_note()), fleet.log.faults.keep_records)
         entry_names = [f"entry-{n}" for n in range(entries)]
-        numbers = iter(free_ports(2 * (sidecars + entries)))
+        free_port_iterator = iter(free_ports(2 * (sidecars + entries)))
         instances = []
         commands = {}
-        for place, name in enumerate(names + entry_names):
+        for index, name in enumerate(names + entry_names):
             role = "entry" if name in entry_names else "sidecar"
-            http_port, peer_port = next(numbers), next(numbers)
+            http_port, peer_port = next(free_port_iterator), next(free_port_iterator)
             fleet.http_ports[name] = http_port
-            zone = ZONES[place % len(ZONES)]
+            zone = ZONES[index % len(ZONES)]
             flags = {
                 "name": name,
                 "region": "south",
@@ -109,7 +109,7 @@
                 "drain_notice_s": 0,
             }
             if role == "sidecar":
-                flags["endpoint_url"] = urls[2 + place]
+                flags["endpoint_url"] = urls[2 + index]
                 flags["versions"] = str(BOOKINGS)
             commands[name] = [role, *(f"--{key}={v}" for key, v in flags.items())]
             instances.append(
--- a/tests/readme_session.py
+++ b/tests/readme_session.py
@@ -48,8 +48,8 @@
         """Replace the ports on the page by the free ports."""
 
         def port(match):
-            written = int(match.group(1))
-            return f"127.0.0.1:{self.ports.get(written, written)}"
+            on_page = int(match.group(1))
+            return f"127.0.0.1:{self.ports.get(on_page, on_page)}"
 
         return PORT.sub(port, text)
 
@@ -57,18 +57,18 @@
         """Run one command line of the page and return its output."""
         program, *args = shlex.split(command)
         if program == "curl":
-            return await self._curl(args)
+            return await self._run_curl(args)
         assert program == "acaciacove"
         if args[0] == "standins":
-            return await self._standins(Path(args[1]))
+            return await self._start_standins(Path(args[1]))
         if args[0] in ("entry", "sidecar"):
-            return await self._daemon(args)
+            return await self._start_daemon(args)
         out = StringIO()
         env = {name: self.with_free_ports(value) for name, value in ENV.items()}
         await asyncio.to_thread(main, args, Environment(StringIO(), out, out, env))
         return out.getvalue()
 
-    async def _standins(self, file):
+    async def _start_standins(self, file):
         fleet = read_fleet_file(file.read_bytes())
         self.instances = {instance.name: instance for instance in fleet.instances}
         applications, self.instance_list = standin_applications(fleet, seed=1)
@@ -76,15 +76,15 @@
             self.ports[port] = await self.stack.enter_async_context(serve(app))
         return ""
 
-    async def _daemon(self, args):
+    async def _start_daemon(self, args):
         command, rest = find_command(COMMANDS, args)
-        written = read_settings(command, rest, ENV)
+        on_page = read_settings(command, rest, ENV)
         settings = evolve(
-            written,
+            on_page,
             http_port=0,
             peer_port=0,
-            log_url=self.with_free_ports(written.log_url),
-            instance_list_url=self.with_free_ports(written.instance_list_url),
+            log_url=self.with_free_ports(on_page.log_url),
+            instance_list_url=self.with_free_ports(on_page.instance_list_url),
             drain_notice_s=0.0,
             seed=1,
         )
@@ -95,22 +95,22 @@
             assert isinstance(settings, EntrySettings)
             running = running_entry(settings)
         daemon = await self.stack.enter_async_context(running)
-        self.ports[written.http_port] = daemon.http_port
-        self._list(written, daemon)
+        self.ports[on_page.http_port] = daemon.http_port
+        self._publish_ports(on_page, daemon)
         await until(lambda: daemon.state.lifecycle.accepts_callers)
         return ""
 
-    def _list(self, written, daemon):
+    def _publish_ports(self, on_page, daemon):
         """Publish the actual ports of a daemon in the instance list."""
-        listed = self.instances[written.name]
-        assert (listed.port, listed.http_port) == (written.peer_port, written.http_port)
+        listed = self.instances[on_page.name]
+        assert (listed.port, listed.http_port) == (on_page.peer_port, on_page.http_port)
         port = getattr(daemon, "peer_port", listed.port)
-        moved = evolve(listed, port=port, http_port=daemon.http_port)
-        self.instances[written.name] = moved
+        relisted = evolve(listed, port=port, http_port=daemon.http_port)
+        self.instances[on_page.name] = relisted
         now_s = asyncio.get_running_loop().time()
         self.instance_list.publish(now_s, tuple(self.instances.values()))
 
-    async def _curl(self, args):
+    async def _run_curl(self, args):
         """Send the request of a curl command with the options -H, -d, -i and -N."""
         headers, body, url, show_headers = {}, None, "", False
         words = iter(args)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -16,9 +16,11 @@
 
 def read_ledger(fleet):
     stream = fleet.log.stream(BILLING_STREAM)
-    ledger = BillingLedger()
-    ledger.offer([LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)])
-    return ledger
+    billing_ledger = BillingLedger()
+    billing_ledger.offer(
+        [LogEntry(o, p) for o, p in stream.read(stream.first_offset, 10_000)]
+    )
+    return billing_ledger
 
 
 def check_outcomes(fleet, answers):
