--- a/acaciacove/daemon/background.py
+++ b/acaciacove/daemon/background.py
@@ -11,7 +11,7 @@
 
 @asynccontextmanager
 async def background(*coroutines: Coroutine[Any, Any, None]) -> AsyncIterator[None]:
-    """Run coroutines while the block runs; raises the exception of one that fails.
+    """Run coroutines while the block runs; if one fails, end the block with its error.
 
     If a failed task went unnoticed, the daemon would still answer its probes but no
     longer follow the log. The exception ends the process instead.
