--- a/acaciacove/daemon/peer_network.py
+++ b/acaciacove/daemon/peer_network.py
@@ -1,7 +1,7 @@
 """Transport between a process and its peers: digests over UDP, records over TCP.
 
-``Spread`` and ``Membership`` make the decisions. ``PeerNetwork`` owns the socket and
-the clock.
+``Spread`` and ``Membership`` make the decisions. ``PeerNetwork`` owns the socket
+and the clock.
 """
 
 import asyncio
