--- a/acaciacove/adapters/http_exchange.py
+++ b/acaciacove/adapters/http_exchange.py
@@ -1,4 +1,4 @@
-"""One HTTP exchange, and what its failure says about the request."""
+"""HTTP exchanges, and the refusals that their failures become."""
 
 import asyncio
 from collections.abc import AsyncGenerator, AsyncIterator
@@ -12,8 +12,8 @@
 from acaciacove.reason import Reason
 from acaciacove.refusal import Refusal
 
-# What the client raises for lost connections and malformed answers: its own
-# exceptions, the sockets', an end of file within a body, a bad chunk length.
+# Exceptions of the client for lost connections and malformed answers: its own
+# classes, socket errors, end of file within a body, a malformed chunk length.
 EXCHANGE_ERRORS = (AiosonicError, OSError, EOFError, ValueError)
 EMPTY_STATUSES = frozenset({204, 304})
 CONTENT_LENGTH = "content-length"
@@ -36,20 +36,21 @@
 
 
 class TooLargeError(ValueError):
-    """An answer longer than the limit."""
+    """An answer that is larger than the limit."""
 
 
 class TruncatedError(ValueError):
-    """An answer that ended too early."""
+    """An answer that ended before it was complete."""
 
 
 @asynccontextmanager
 async def exchange(
     client: Any, sending: Sending, method: str, url: str, **parts: Any
 ) -> AsyncIterator[Any]:
-    """Send a request and yield its response, body unread.
+    """Send a request and yield its response with the body unread.
 
-    The connection is closed on leaving unless the body was read to its end.
+    When the block ends, the connection is closed unless the body was read to its
+    end.
     """
     response = await open_exchange(client, sending, method, url, **parts)
     try:
@@ -61,58 +62,60 @@
 async def open_exchange(
     client: Any, sending: Sending, method: str, url: str, **parts: Any
 ) -> Any:
-    """Send a request and return its response, which the caller has to close."""
+    """Send a request and return its response, which the caller must close."""
     current_sending.set(sending)
     response = await client.request(url, method, stream=True, **parts)
     try:
-        _check_has_length(response, method)
+        _check_is_delimited(response, method)
     except TruncatedError:
         await response.aclose()
         raise
     return response
 
 
-async def read_body(response: Any, limit_bytes: int) -> bytes:
-    """Read a whole body; raises TooLargeError beyond the limit."""
-    pieces: list[bytes] = []
+async def read_body(response: Any, max_bytes: int) -> bytes:
+    """Read a complete body; raises TooLargeError above ``max_bytes``."""
+    received: list[bytes] = []
     size = 0
     async with aclosing(body_chunks(response)) as chunks:
         async for chunk in chunks:
             size += len(chunk)
-            if size > limit_bytes:
-                raise TooLargeError(f"answer larger than {limit_bytes} bytes")
-            pieces.append(chunk)
-    return b"".join(pieces)
+            if size > max_bytes:
+                raise TooLargeError(f"answer larger than {max_bytes} bytes")
+            received.append(chunk)
+    return b"".join(received)
 
 
 async def body_chunks(response: Any) -> AsyncGenerator[bytes, None]:
-    """Yield the pieces of a body as they come in; nothing for an empty one."""
+    """Yield the chunks of a body as they arrive; none for an empty body."""
     if not response._has_pending_body():
         return
     async for chunk in response.read_chunks():
         yield chunk
 
 
-def end_to_end_headers(pairs: Any) -> tuple[Header, ...]:
-    """Keep the headers that are meant for the far end."""
+def end_to_end_headers(raw_headers: Any) -> tuple[Header, ...]:
+    """Return the end-to-end headers, without the hop-by-hop ones."""
     return tuple(
-        Header(name, value) for name, value in pairs if name.lower() not in HOP_BY_HOP
+        Header(name, value)
+        for name, value in raw_headers
+        if name.lower() not in HOP_BY_HOP
     )
 
 
-def refusal_of(error: BaseException, sending: Sending) -> Refusal:
-    """Say what a failed exchange means for the request.
+def refusal_from_error(error: BaseException, sending: Sending) -> Refusal:
+    """Build the refusal for a failed exchange.
 
-    Only when no byte has left is the request known not to have run.
+    The request is known not to have run only if no byte of it was sent.
     """
     return Refusal(
-        reason=_reason_of(error),
-        not_run=not sending.begun,
+        reason=_reason_for_error(error),
+        not_run=not sending.has_started,
         detail=f"{type(error).__name__}: {error}".removesuffix(": "),
     )
 
 
-def _reason_of(error: BaseException) -> Reason:
+def _reason_for_error(error: BaseException) -> Reason:
     reasons: list[tuple[type[BaseException], Reason]] = [
         (TimeoutError, Reason.DEADLINE_EXCEEDED),
         (TooLargeError, Reason.TOO_LARGE),
@@ -125,12 +128,12 @@
     return Reason.CONNECTION_LOST
 
 
-def _check_has_length(response: Any, method: str) -> None:
-    """Refuse an answer whose end cannot be told.
+def _check_is_delimited(response: Any, method: str) -> None:
+    """Reject an answer that has neither a length nor chunked encoding.
 
-    The client takes a connection lost amid the headers for their end, and the
-    answer for an empty one: a caller would read success without a body. An answer
-    that states neither a length nor chunks is therefore taken as truncated.
+    When the connection is lost within the headers, the client takes that for their
+    end and returns an empty answer: a caller would read success without a body. An
+    answer with neither header therefore counts as truncated.
     """
     if method == "HEAD" or response.status_code in EMPTY_STATUSES:
         return
--- a/acaciacove/daemon/append_share.py
+++ b/acaciacove/daemon/append_share.py
@@ -1,4 +1,4 @@
-"""One process's share of the fleet's log appends, by who is in the fleet."""
+"""Share of the log's append rate that one process of the fleet may use."""
 
 from collections.abc import Iterable
 
@@ -11,16 +11,17 @@
 
 
 def append_share(instances: Iterable[Instance], fleet: FleetState) -> LogWriterSettings:
-    """Return the settings of a log writer in a fleet of these instances.
+    """Return the log writer settings of one process in a fleet of these instances.
 
-    Rates that each process chose for itself would add up with the fleet, until the
-    log refuses operators' notes as well. Entries bill; endpoints of plain services
-    claim, or every endpoint while nothing is known of what they serve.
+    With a fixed rate per process, the total would grow with the fleet until the log
+    also refuses the operators' release notes. Entries append billing records and
+    endpoints of plain services append claims. While it is unknown what the
+    endpoints serve, all of them count as owners of claims.
     """
     listed = list(instances)
     entries = sum(instance.role is Role.ENTRY for instance in listed)
     endpoints = [i for i in listed if i.role is Role.ENDPOINT]
-    services = sum(_serves_service(endpoint, fleet) for endpoint in endpoints)
+    services = sum(_serves_plain_service(endpoint, fleet) for endpoint in endpoints)
     return split_append_rates(
         LogWriterSettings(),
         claim_owners=services or len(endpoints),
@@ -28,11 +29,11 @@
     )
 
 
-def _serves_service(endpoint: Instance, fleet: FleetState) -> bool:
-    """Tell whether an endpoint stands for a plain service."""
+def _serves_plain_service(endpoint: Instance, fleet: FleetState) -> bool:
+    """Return whether an endpoint serves a plain service."""
     for version in endpoint.versions:
-        known = fleet.versions.get(version)
-        api = fleet.apis.get(known.api) if known else None
+        declared = fleet.versions.get(version)
+        api = fleet.apis.get(declared.api) if declared else None
         if api is not None and api.kind is ApiKind.SERVICE:
             return True
     return False
--- a/acaciacove/daemon/peer_network.py
+++ b/acaciacove/daemon/peer_network.py
@@ -1,6 +1,7 @@
-"""One process among its peers: digests over UDP, records over TCP.
+"""Transport between a process and its peers: digests over UDP, records over TCP.
 
-ReleaseGossip and Membership decide; this class owns the socket and the clock.
+``ReleaseGossip`` and ``Membership`` make the decisions. ``PeerNetwork`` owns the socket
+and the clock.
 """
 
 import asyncio
@@ -23,32 +24,33 @@
 from acaciacove.wire.codec import decode, encode
 from acaciacove.wire.connection import connect
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 PULL_TIMEOUT_S = 1.0
-LEAVING_PEERS = 8
+SHUTDOWN_FANOUT = 8
 
 Address = tuple[str, int]
-EvidenceHandler = Callable[[Evidence], Evidence | None]
+OnEvidence = Callable[[Evidence], Evidence | None]
 
 
 class PeerNetwork:
-    """Owns the UDP socket of a process and its conversations with peers.
+    """Sends and receives the messages between a process and its peers.
 
-    ``control_bytes`` counts what was sent for control, UDP payloads and pulls.
-    ``on_evidence`` takes evidence in and may return an answer to its sender.
+    ``control_bytes`` counts the bytes sent as UDP payloads and as pulls.
+    ``on_evidence`` is called with received evidence and may return an answer to its
+    sender.
     """
 
     def __init__(
         self,
-        me: Instance,
+        local_instance: Instance,
         release_gossip: ReleaseGossip,
         membership: Membership,
         fleet_store: FleetStore,
     ) -> None:
-        """Take what the network serves; nothing is open before ``opened``."""
+        """Initialise without a socket; ``opened`` opens it."""
         self.control_bytes = 0
-        self.on_evidence: EvidenceHandler = _no_answer
-        self._me = me
+        self.on_evidence: OnEvidence = _ignore_evidence
+        self._local_instance = local_instance
         self._fleet_store = fleet_store
         self._release_gossip = release_gossip
         self._membership = membership
@@ -57,11 +59,11 @@
         self._pulls: set[asyncio.Task[None]] = set()
 
     @asynccontextmanager
-    async def opened(self, datagrams: socket) -> AsyncIterator[None]:
-        """Serve a bound UDP socket while the block runs, then close it."""
+    async def opened(self, udp_socket: socket) -> AsyncIterator[None]:
+        """Receive from a bound UDP socket while the block runs, then close it."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: _Receiver(self._receive), sock=datagrams
+            lambda: _DatagramReceiver(self._receive), sock=udp_socket
         )
         self._transport = transport
         try:
@@ -73,13 +75,13 @@
             self._transport = None
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Call ``tick`` every ``TICK_INTERVAL_S`` until cancelled."""
         while True:
             self.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def tick(self) -> None:
-        """Look for silence, probe, and tell peers what is new."""
+        """Check members for silence, send due probes, and gossip to peers."""
         now_s = _now_s()
         self._membership.check_timeouts(now_s)
         for instance in self._membership.due_probes(now_s):
@@ -89,22 +91,22 @@
         self._send(self._release_gossip.tick(now_s, self._membership.peers()))
 
     def announce_leaving(self) -> None:
-        """Tell some peers at once that this process leaves."""
+        """Inform a subset of peers at once that this process is shutting down."""
         self._send(
             self._release_gossip.announce_status(
-                self._membership.peers(), LEAVING_PEERS
+                self._membership.peers(), SHUTDOWN_FANOUT
             )
         )
 
     def answer(self, sender: str, message: Message) -> list[Message]:
-        """Take a message in that came on a connection; return the replies to it."""
+        """Process a message from a connection and return the replies."""
         if isinstance(message, Digest):
             self._membership.on_digest(message, _now_s())
         replies = self._release_gossip.on_message(sender, message, _now_s())
         return [reply.message for reply in replies]
 
     def _receive(self, data: bytes, address: Address) -> None:
-        """Take in a datagram; junk is dropped."""
+        """Process a datagram; a malformed one is ignored."""
         try:
             message = decode(data)
         except MalformedMessageError:
@@ -132,7 +134,7 @@
                     self._start_pull(item.instance, item.message)
 
     def send_datagram(self, name: str, message: Digest | Evidence) -> None:
-        """Send a message that may be lost to an instance, if it is known."""
+        """Send an unreliable message to an instance if its address is known."""
         address = self._address_of(name)
         if address is not None:
             self._send_datagram(message, address)
@@ -153,7 +155,7 @@
         task.add_done_callback(self._pulls.discard)
 
     async def _pull(self, name: str, address: Address, pull: Pull) -> None:
-        """Fetch records from a peer; another peer is asked if this one is lost."""
+        """Fetch records from a peer; on failure a later tick asks another peer."""
         try:
             async with asyncio.timeout(PULL_TIMEOUT_S):
                 connection = await connect(*address)
@@ -171,19 +173,25 @@
             self._send(self._release_gossip.on_message(name, message, _now_s()))
 
     def _hello(self) -> Hello:
-        me = self._me
+        local_instance = self._local_instance
         revision = self._fleet_store.revision
-        zone = me.availability_zone
-        return Hello(me.name, me.incarnation, me.role, zone, revision)
+        zone = local_instance.availability_zone
+        return Hello(
+            local_instance.name,
+            local_instance.incarnation,
+            local_instance.role,
+            zone,
+            revision,
+        )
 
     def _address_of(self, name: str) -> Address | None:
-        """Return where a peer listens: as it is listed, or as it last spoke."""
+        """Return a peer's listed address, or else that of its last datagram."""
         peer = self._membership.find(name)
         return (peer.host, peer.port) if peer else self._addresses.get(name)
 
 
-class _Receiver(asyncio.DatagramProtocol):
-    """Hands datagrams on; errors of single sends are not this process's."""
+class _DatagramReceiver(asyncio.DatagramProtocol):
+    """Passes datagrams to a callback; ignores errors of single sends."""
 
     def __init__(self, receive: Callable[[bytes, Address], None]) -> None:
         self._receive = receive
@@ -192,8 +200,8 @@
         self._receive(data, addr)
 
 
-def _no_answer(_: Evidence) -> None:
-    """Ignore evidence, as a process does that judges nothing."""
+def _ignore_evidence(_: Evidence) -> None:
+    """Ignore evidence; for processes that do not judge roll-outs."""
 
 
 def _now_s() -> float:
--- a/acaciacove/daemon/peer_sockets.py
+++ b/acaciacove/daemon/peer_sockets.py
@@ -1,40 +1,42 @@
-"""The two sockets of a process towards its peers, on one port number."""
+"""The TCP and UDP sockets of a process for its peers, on one port number."""
 
 import socket
 
 from attrs import frozen
 
-TRIES = 50
+MAX_BIND_ATTEMPTS = 50
 BACKLOG = 1024
 
 
 @frozen
 class PeerSockets:
-    """A listening TCP socket and a UDP socket, bound to the same number."""
+    """A listening TCP socket and a UDP socket, bound to the same port number."""
 
-    messages: socket.socket
-    datagrams: socket.socket
+    tcp_listener: socket.socket
+    udp_socket: socket.socket
     port: int
 
 
 def bind_peer_sockets(host: str, port: int) -> PeerSockets:
-    """Bind both; port 0 looks for a number that is free for both.
+    """Bind both sockets; port 0 selects a port that is free for both.
 
-    Raises OSError when the address is taken.
+    Raises OSError when the address is in use.
     """
-    for _ in range(TRIES):
-        messages = socket.create_server((host, port), backlog=BACKLOG)
-        messages.setblocking(False)
-        bound = messages.getsockname()[1]
-        datagrams = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        datagrams.setblocking(False)
+    for _ in range(MAX_BIND_ATTEMPTS):
+        tcp_listener = socket.create_server((host, port), backlog=BACKLOG)
+        tcp_listener.setblocking(False)
+        bound_port = tcp_listener.getsockname()[1]
+        udp_socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+        udp_socket.setblocking(False)
         try:
-            datagrams.bind((host, bound))
+            udp_socket.bind((host, bound_port))
         except OSError:
-            messages.close()
-            datagrams.close()
+            tcp_listener.close()
+            udp_socket.close()
             if port:
                 raise
             continue
-        return PeerSockets(messages, datagrams, bound)
-    raise OSError(f"no port of {host} is free for both TCP and UDP")
+        return PeerSockets(tcp_listener, udp_socket, bound_port)
+    raise OSError(
+        f"{host}: no port free for both TCP and UDP in {MAX_BIND_ATTEMPTS} attempts"
+    )
--- a/acaciacove/daemon/shared_state.py
+++ b/acaciacove/daemon/shared_state.py
@@ -1,4 +1,4 @@
-"""What every process keeps of the shared state, and the tasks that keep it current."""
+"""Local copy of the shared state in every process, and the tasks that update it."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -36,20 +36,20 @@
 from acaciacove.state.snapshot_schedule import SnapshotSchedule
 
 NS_PER_MS = 1_000_000
-SNAPSHOT_CHECK_S = 5.0
-READY_CHECK_S = 0.05
+SNAPSHOT_CHECK_INTERVAL_S = 5.0
+READY_POLL_INTERVAL_S = 0.05
 
 
 @define(eq=False)
 class SharedState:
     """Release stream, membership and log of one process.
 
-    ``listed`` is set once the instance list has been read. ``on_change`` of
-    ``build_shared_state`` is called after each new revision and
-    each change of who is usable.
+    ``list_received`` is set once the instance list has been fetched. The callback
+    ``on_change`` of ``build_shared_state`` is called after each new revision and each
+    change of the usable instances.
     """
 
-    me: Instance
+    local_instance: Instance
     fleet_store: FleetStore
     membership: Membership
     release_gossip: ReleaseGossip
@@ -60,16 +60,16 @@
     listing: HttpInstanceList
     snapshots: SnapshotSchedule
     health: LogHealth
-    listed: asyncio.Event = field(factory=asyncio.Event)
+    list_received: asyncio.Event = field(factory=asyncio.Event)
 
     @asynccontextmanager
-    async def running(self, datagrams: socket) -> AsyncIterator[None]:
-        """Keep the state current while the block runs; takes over the UDP socket."""
+    async def running(self, udp_socket: socket) -> AsyncIterator[None]:
+        """Update the state while the block runs; takes ownership of the UDP socket."""
         async with (
-            self.network.opened(datagrams),
+            self.network.opened(udp_socket),
             background(
                 self.tail.run(),
-                self._note_caught_up(),
+                self._report_catch_up(),
                 self.writer.run(),
                 self.network.run(),
                 self._append_snapshots(),
@@ -79,26 +79,26 @@
             yield
 
     def hello(self) -> Hello:
-        """Write the message that opens a connection."""
+        """Build the first message of a connection."""
         return Hello(
-            self.me.name,
-            self.me.incarnation,
-            self.me.role,
-            self.me.availability_zone,
+            self.local_instance.name,
+            self.local_instance.incarnation,
+            self.local_instance.role,
+            self.local_instance.availability_zone,
             self.fleet_store.revision,
         )
 
     def record_message(self, peer: Hello | None) -> None:
-        """Take in a sign of life of whoever is at the end of a connection."""
+        """Record that a message arrived from the peer of a connection."""
         if peer is not None:
             self.membership.record_message(peer.instance, peer.incarnation, _now_s())
 
     def connection_lost(self, name: str) -> None:
-        """Take in that an instance cannot be reached, or was lost half-way."""
+        """Record that connecting to an instance failed or its connection was lost."""
         self.membership.record_connect_failure(name, _now_s())
 
     def record_refusal(self, peer: Hello | None, name: str, refused: Refused) -> None:
-        """Take in what a refusal says about its instance."""
+        """Update the membership with a refusal by an instance."""
         if refused.reason == Reason.CONNECTION_LOST:
             self.connection_lost(name)
         elif peer is not None:
@@ -107,62 +107,69 @@
 
     @property
     def is_listed(self) -> bool:
-        """Tell whether the platform's list has shown this instance itself.
+        """Return whether the platform's list has contained this instance.
 
-        Until then the list may be older than the fleet that this process is part of.
+        Until then the list may be older than the fleet that this process belongs to.
         """
-        return self.membership.find(self.me.name) is not None
+        return self.membership.find(self.local_instance.name) is not None
 
     @property
     def may_decide(self) -> bool:
-        """Tell whether the state held is current: it is not right after a pause."""
+        """Return whether the local state is current; it is not right after a pause."""
         return self.release_gossip.pause_detector.may_decide(_now_s())
 
     async def ready(self) -> None:
-        """Wait until this process knows enough to decide."""
+        """Wait until the state is caught up and a release note is in force."""
         while (
             not self.release_gossip.ready or self.fleet_store.state.release_revision < 0
         ):
-            await asyncio.sleep(READY_CHECK_S)
+            await asyncio.sleep(READY_POLL_INTERVAL_S)
 
-    async def knows_endpoints(self) -> None:
-        """Wait until the instance list has been read once.
+    async def wait_for_instance_list(self) -> None:
+        """Wait until the instance list has been fetched once.
 
-        The log may be read to its end before the list arrives. An entry that took
-        callers then would know every release and no endpoint: it would refuse them
-        with "no endpoint" while the whole fleet stands ready.
+        The log may be read to its end before the list arrives. An entry that accepted
+        callers then would know every release but no endpoint. It would refuse them
+        with "no endpoint" although the complete fleet is ready.
         """
-        await self.listed.wait()
+        await self.list_received.wait()
 
     def _on_list(self, listed: list[Instance]) -> None:
-        self.listed.set()
+        self.list_received.set()
         self.membership.on_list(listed, asyncio.get_running_loop().time())
 
-    async def _note_caught_up(self) -> None:
+    async def _report_catch_up(self) -> None:
         await self.tail.caught_up.wait()
         self.release_gossip.mark_log_caught_up()
 
     async def _append_snapshots(self) -> None:
-        """Append the state again before the records that it stands for expire."""
+        """Append a snapshot of the state before the records that it covers expire."""
         while True:
-            await asyncio.sleep(SNAPSHOT_CHECK_S)
+            await asyncio.sleep(SNAPSHOT_CHECK_INTERVAL_S)
             payload = self.snapshots.snapshot_if_due(asyncio.get_running_loop().time())
             if payload is not None:
                 self.writer.submit(RELEASE_STREAM, payload, Priority.DECISION)
 
 
 def build_shared_state(
-    me: Instance,
+    local_instance: Instance,
     lifecycle: ProcessLifecycle,
     log: HttpLog,
     listing: HttpInstanceList,
     rng: Random,
     on_change: Callable[[], None],
 ) -> SharedState:
-    """Put the parts together; nothing runs before ``running``."""
+    """Build the parts of the shared state; ``running`` starts its tasks."""
     fleet_store = FleetStore()
     health = LogHealth()
-    writer = LogWriter(log, me.name, me.incarnation, LogWriterSettings(), rng, health)
+    writer = LogWriter(
+        log,
+        local_instance.name,
+        local_instance.incarnation,
+        LogWriterSettings(),
+        rng,
+        health,
+    )
 
     def changed() -> None:
         writer.configure(append_share(membership.usable(), fleet_store.state))
@@ -175,13 +182,13 @@
         return membership.evidence(asyncio.get_running_loop().time())
 
     def status() -> InstanceStatus:
-        if lifecycle.is_leaving:
+        if lifecycle.is_shutting_down:
             return InstanceStatus.LEAVING
         ready = lifecycle.accepts_callers
         return InstanceStatus.LIVE if ready else InstanceStatus.STARTING
 
     release_gossip = ReleaseGossip(
-        me, fleet_store, ReleaseGossipSettings(), rng, status, evidence
+        local_instance, fleet_store, ReleaseGossipSettings(), rng, status, evidence
     )
     tail = LogTail(
         log,
@@ -195,16 +202,16 @@
     )
     fleet_store.add_listener(lambda _: tail.advance_to(fleet_store.next_offset))
     return SharedState(
-        me=me,
+        local_instance=local_instance,
         fleet_store=fleet_store,
         membership=membership,
         release_gossip=release_gossip,
-        network=PeerNetwork(me, release_gossip, membership, fleet_store),
+        network=PeerNetwork(local_instance, release_gossip, membership, fleet_store),
         log=log,
         writer=writer,
         tail=tail,
         listing=listing,
-        snapshots=SnapshotSchedule(fleet_store, me.name, rng),
+        snapshots=SnapshotSchedule(fleet_store, local_instance.name, rng),
         health=health,
     )
 
@@ -214,11 +221,11 @@
 
 
 def new_incarnation() -> int:
-    """Return a number that grows with each start of a process under one name."""
+    """Return a number that increases with each start of a process of one name."""
     return time_ns() // NS_PER_MS
 
 
-def describe(shared: SharedState) -> dict[str, Any]:
+def describe_shared_state(shared: SharedState) -> dict[str, Any]:
     """Return the shared part of ``/status``."""
     return {
         "revision": shared.fleet_store.revision,
--- a/acaciacove/entry/read_request.py
+++ b/acaciacove/entry/read_request.py
@@ -68,7 +68,7 @@
 
 def _check_preconditions(request: Request, entry: EntryState) -> Refusal | None:
     """Return the refusal of a request that can be refused without its body."""
-    if entry.lifecycle.is_leaving and not entry.lifecycle.takes_work:
+    if entry.lifecycle.is_shutting_down and not entry.lifecycle.takes_work:
         return DRAINING
     if not entry.lifecycle.takes_work:
         return NOT_READY
--- a/acaciacove/entry/running_entry.py
+++ b/acaciacove/entry/running_entry.py
@@ -25,7 +25,7 @@
 from acaciacove.daemon.shared_state import (
     SharedState,
     build_shared_state,
-    describe,
+    describe_shared_state,
     new_incarnation,
 )
 from acaciacove.decisions.budget import Budget
@@ -97,7 +97,7 @@
 
     async def become_ready() -> None:
         await shared.ready()
-        await shared.knows_endpoints()
+        await shared.wait_for_instance_list()
         entry.lifecycle.become_ready()
 
     shared.network.on_evidence = lambda evidence: apply_evidence(entry, evidence)
@@ -112,8 +112,8 @@
         entry, answer, probe_routes(entry.lifecycle, registry, status)
     )
     async with (
-        message_server(sockets.messages, handle),
-        shared.running(sockets.datagrams),
+        message_server(sockets.tcp_listener, handle),
+        shared.running(sockets.udp_socket),
         background(
             become_ready(),
             monitor_quality(entry, entry.rater.service),
@@ -165,7 +165,7 @@
         shared.membership.set_watched(router.views)
 
     shared = build_shared_state(
-        me=_local_instance(settings, peer_port),
+        local_instance=_local_instance(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
@@ -220,5 +220,5 @@
         "in_flight": entry.in_flight,
         "endpoints": len(entry.router.views),
         "links": len(entry.links),
-        **describe(entry.shared),
+        **describe_shared_state(entry.shared),
     }
--- a/acaciacove/sidecar/claimed_call.py
+++ b/acaciacove/sidecar/claimed_call.py
@@ -67,21 +67,25 @@
     """Yield the claim partitions of which this sidecar is the preferred owner."""
     if not _serves_non_idempotent_calls(shared):
         return
-    local_versions = set(shared.me.versions)
+    local_versions = set(shared.local_instance.versions)
     candidates = {
         instance.name
         for instance in shared.membership.usable()
         if instance.role is Role.ENDPOINT
         and local_versions.intersection(instance.versions)
     }
-    candidates.add(shared.me.name)
+    candidates.add(shared.local_instance.name)
     for partition in range(CLAIM_PARTITIONS):
-        if preferred_owner(partition, candidates) == shared.me.name:
+        if preferred_owner(partition, candidates) == shared.local_instance.name:
             yield partition
 
 
 def _serves_non_idempotent_calls(shared: SharedState) -> bool:
     """Return whether this endpoint serves an API with non-idempotent calls."""
     fleet = shared.fleet_store.state
-    apis = {fleet.versions[v].api for v in shared.me.versions if v in fleet.versions}
+    apis = {
+        fleet.versions[v].api
+        for v in shared.local_instance.versions
+        if v in fleet.versions
+    }
     return any(fleet.apis[api].non_idempotent for api in apis if api in fleet.apis)
--- a/acaciacove/sidecar/run_attempt.py
+++ b/acaciacove/sidecar/run_attempt.py
@@ -5,9 +5,9 @@
 from contextlib import aclosing
 
 from acaciacove.adapters.engine_call import EngineCall
+from acaciacove.adapters.engine_chunk import EngineChunk
 from acaciacove.adapters.engine_finish import EngineFinish
 from acaciacove.adapters.engine_head import EngineHead
-from acaciacove.adapters.engine_piece import EnginePiece
 from acaciacove.adapters.service_answer import ServiceAnswer
 from acaciacove.adapters.service_call import ServiceCall
 from acaciacove.daemon.decision_log import log_event
@@ -115,7 +115,7 @@
                 case EngineHead():
                     # Sent with the first chunk, which saves a write and a wake-up.
                     head = event
-                case EnginePiece():
+                case EngineChunk():
                     ticket.last_chunk_at_s = loop.time()
                     if chunks == 0:
                         await send(_build_head(run, head))
--- a/acaciacove/sidecar/running_sidecar.py
+++ b/acaciacove/sidecar/running_sidecar.py
@@ -29,7 +29,7 @@
 from acaciacove.daemon.shared_state import (
     SharedState,
     build_shared_state,
-    describe,
+    describe_shared_state,
     new_incarnation,
 )
 from acaciacove.decisions.admission import AdmissionQueue
@@ -114,8 +114,8 @@
     reconciler = _build_version_reconciler(settings, sidecar)
     probes = probe_routes(sidecar.lifecycle, registry, status)
     async with (
-        message_server(sockets.messages, handle),
-        shared.running(sockets.datagrams),
+        message_server(sockets.tcp_listener, handle),
+        shared.running(sockets.udp_socket),
         background(
             become_ready(),
             sidecar.evidence.run(shared, lambda: sidecar.served),
@@ -163,7 +163,7 @@
         admission.update(shared.fleet_store.state, state.served)
 
     shared = build_shared_state(
-        me=_local_instance(settings, peer_port),
+        local_instance=_local_instance(settings, peer_port),
         lifecycle=lifecycle,
         log=HttpLog(settings.log_url, client),
         listing=HttpInstanceList(settings.instance_list_url, client),
@@ -206,7 +206,7 @@
 
     return ClaimOwner(
         name=settings.name,
-        incarnation=shared.me.incarnation,
+        incarnation=shared.local_instance.incarnation,
         log=shared.log,
         writer=shared.writer,
         settings=ClaimSettings(
@@ -266,5 +266,5 @@
         "limit": load.limit,
         "cold": load.cold,
         "versions": [str(version) for version in sorted(sidecar.served)],
-        **describe(sidecar.shared),
+        **describe_shared_state(sidecar.shared),
     }
--- a/acaciacove/sidecar/version_reconciler.py
+++ b/acaciacove/sidecar/version_reconciler.py
@@ -79,7 +79,7 @@
         never route to it, and it fills the engine's memory.
         """
         now_s = asyncio.get_running_loop().time()
-        listed_versions = self.sidecar.shared.me.versions
+        listed_versions = self.sidecar.shared.local_instance.versions
         surplus = {
             version
             for version in self.sidecar.served - planned
@@ -100,9 +100,9 @@
             return frozenset()
         shared = self.sidecar.shared
         peers = {i.name: i for i in shared.membership.usable()}
-        peers[shared.me.name] = shared.me
+        peers[shared.local_instance.name] = shared.local_instance
         endpoints = [i for i in peers.values() if i.role is Role.ENDPOINT]
-        return planned_versions(fleet, endpoints)[shared.me.name]
+        return planned_versions(fleet, endpoints)[shared.local_instance.name]
 
     def _is_idle(self, version: VersionId) -> bool:
         return self.sidecar.running_by_version[version] == 0
--- a/tests/embedded.py
+++ b/tests/embedded.py
@@ -46,11 +46,11 @@
 TOKEN = "guides-token"
 SECRET = "a-secret-for-tests-only-0123456789abcdef"
 ZONES = ("ozark", "piedmont", "cumberland", "gulfcoast")
-WAIT_LIMIT_S = 20.0
+WAIT_TIMEOUT_S = 20.0
 
 
 def release_note() -> ReleaseNote:
-    """One model API with a cheap and a dear version, and one plain service."""
+    """Build a note with a model API of two versions and one plain service."""
     digest = sha256(TOKEN.encode()).hexdigest()
     allowed = {"guide-small": ("*",), "guide-large": ("*",), "bookings": ("*",)}
     return ReleaseNote(
@@ -70,8 +70,8 @@
 
 
 @define(eq=False)
-class Embedded:
-    """The parts of a running fleet, for tests to look into and to break."""
+class EmbeddedFleet:
+    """Parts of a running fleet that tests inspect and inject faults into."""
 
     log: LogState
     listing: InstanceListState
@@ -96,12 +96,12 @@
         return stream.append(encode_record(record), self.log.faults.keep_records)
 
     def list_instances(self) -> None:
-        """Let the platform's list show the instances as they are now."""
+        """Publish the current instances in the platform's instance list."""
         now_s = asyncio.get_running_loop().time()
         self.listing.publish(now_s, tuple(self.instances.values()))
 
     def mark(self, name: str, status: InstanceStatus) -> None:
-        """Change what the platform's list says of an instance."""
+        """Set the status of an instance in the platform's instance list."""
         self.instances[name] = evolve(self.instances[name], status=status)
         self.list_instances()
 
@@ -129,15 +129,15 @@
     rated: bool = False,
     weights: bool = False,
     extra: tuple[VersionId, ...] = (),
-) -> AsyncIterator[Embedded]:
+) -> AsyncIterator[EmbeddedFleet]:
     """Run a fleet until its entries are ready.
 
-    With ``rated`` a rating service stands by and gets every answer, with ``weights``
-    loads wait for a weight store. ``extra`` versions are served by the model
-    endpoints besides the usual ones.
+    With ``rated``, a rating service gets every answer. With ``weights``, loads wait
+    for permits of a weight store. The model endpoints serve the ``extra`` versions in
+    addition to the default ones.
     """
     rating = RatingState(Random(1))
-    fleet = Embedded(LogState(), InstanceListState(), rating)
+    fleet = EmbeddedFleet(LogState(), InstanceListState(), rating)
     for number in range(models):
         served = {str(version) for version in (SMALL, LARGE, *extra)}
         fleet.engines[f"guide-{number}"] = EngineState(served)
@@ -159,11 +159,11 @@
         fleet.client = open_client()
         fleet.publish(release_note())
         names = [*fleet.engines, *fleet.services]
-        for place, (name, port) in enumerate(zip(names, ports[4:], strict=True)):
+        for index, (name, port) in enumerate(zip(names, ports[4:], strict=True)):
             versions = (BOOKINGS,)
             if name in fleet.engines:
                 versions = (SMALL, LARGE, *extra)
-            number = place if name in fleet.engines else place - models
+            number = index if name in fleet.engines else index - models
             await add_sidecar(fleet, stack, name, ZONES[number % 4], port, versions)
         fleet.list_instances()
         for number in range(entries):
@@ -173,19 +173,19 @@
         finally:
             fleet.log.faults.outage = False
             stacks = [*fleet.entry_stacks, *fleet.sidecar_stacks.values()]
-            await asyncio.gather(*(own.aclose() for own in stacks))
+            await asyncio.gather(*(own_stack.aclose() for own_stack in stacks))
             await fleet.client.aclose()
 
 
 async def add_sidecar(
-    fleet: Embedded,
+    fleet: EmbeddedFleet,
     stack: AsyncExitStack,
     name: str,
     zone: str,
     endpoint_port: int,
     versions: tuple[VersionId, ...],
 ) -> RunningSidecar:
-    """Start a sidecar beside an endpoint; its own stack can stop it alone."""
+    """Start the sidecar of an endpoint, with an exit stack that stops only it."""
     settings = SidecarSettings(
         name=name,
         region="south",
@@ -202,10 +202,10 @@
         drain_limit_s=5.0,
         seed=1,
     )
-    own = await stack.enter_async_context(AsyncExitStack())
-    sidecar = await own.enter_async_context(running_sidecar(settings))
+    own_stack = await stack.enter_async_context(AsyncExitStack())
+    sidecar = await own_stack.enter_async_context(running_sidecar(settings))
     fleet.sidecars[name] = sidecar
-    fleet.sidecar_stacks[name] = own
+    fleet.sidecar_stacks[name] = own_stack
     fleet.instances[name] = Instance(
         name,
         Role.ENDPOINT,
@@ -219,7 +219,9 @@
     return sidecar
 
 
-async def add_entry(fleet: Embedded, stack: AsyncExitStack, name: str) -> RunningEntry:
+async def add_entry(
+    fleet: EmbeddedFleet, stack: AsyncExitStack, name: str
+) -> RunningEntry:
     """Start an entry and wait until it is ready."""
     settings = EntrySettings(
         name=name,
@@ -237,10 +239,10 @@
         drain_limit_s=5.0,
         seed=7 + len(fleet.entries),
     )
-    own = await stack.enter_async_context(AsyncExitStack())
-    entry = await own.enter_async_context(running_entry(settings))
+    own_stack = await stack.enter_async_context(AsyncExitStack())
+    entry = await own_stack.enter_async_context(running_entry(settings))
     fleet.entries.append(entry)
-    fleet.entry_stacks.append(own)
+    fleet.entry_stacks.append(own_stack)
     fleet.instances[name] = Instance(
         name,
         Role.ENTRY,
@@ -255,8 +257,8 @@
 
 
 async def until(condition: Any) -> None:
-    """Wait for a condition; a bound only keeps a broken test from hanging."""
-    async with asyncio.timeout(WAIT_LIMIT_S):
+    """Wait for a condition; the timeout only prevents a broken test from hanging."""
+    async with asyncio.timeout(WAIT_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(0.01)
 
--- a/tests/processes.py
+++ b/tests/processes.py
@@ -1,4 +1,4 @@
-"""Daemons as processes of their own, over stand-ins in the test's process."""
+"""Fleet of daemons in separate processes, with stand-ins in the test process."""
 
 import asyncio
 import os
@@ -26,12 +26,12 @@
 from tests.embedded import BOOKINGS, TOKEN, ZONES, release_note
 
 ROOT = Path(__file__).parent.parent
-START_LIMIT_S = 60.0
+START_TIMEOUT_S = 60.0
 
 
 @define(eq=False)
-class Processes:
-    """A fleet of processes; ``services`` count what took effect."""
+class ProcessFleet:
+    """A fleet of processes; ``services`` count the effects of bookings."""
 
     log: LogState
     services: dict[str, ServiceState]
@@ -48,7 +48,7 @@
         return total
 
     async def book(self, entry, key):
-        """Send one booking; None when the entry gave no answer."""
+        """Send one booking; None when the entry did not answer."""
         url = f"http://127.0.0.1:{self.http_ports[entry]}/services/rides/shuttles"
         headers = {
             "Authorization": f"Bearer {TOKEN}",
@@ -61,7 +61,7 @@
                     url, method="POST", headers=headers, data=b'{"reference": "b"}'
                 )
                 return response.status_code, await response.content()
-        except Exception:  # noqa: BLE001 - the entry was killed, as the test wants
+        except Exception:  # noqa: BLE001 - the test may have killed the entry
             return None
 
     def kill(self, name):
@@ -77,10 +77,10 @@
 @asynccontextmanager
 async def running_processes(
     sidecars: int = 3, entries: int = 2
-) -> AsyncIterator[Processes]:
+) -> AsyncIterator[ProcessFleet]:
     """Start processes and wait until the entries are ready."""
     names = [f"bookings-{n}" for n in range(sidecars)]
-    fleet = Processes(LogState(), {name: ServiceState() for name in names})
+    fleet = ProcessFleet(LogState(), {name: ServiceState() for name in names})
     listing = InstanceListState()
     apps = [build_log_app(fleet.log), build_instance_list_app(listing)]
     apps += [build_service_app(state) for state in fleet.services.values()]
@@ -89,14 +89,14 @@
         stream = fleet.log.stream(RELEASE_STREAM)
         stream.append(encode_record(release_note()), fleet.log.faults.keep_records)
         entry_names = [f"entry-{n}" for n in range(entries)]
-        numbers = iter(free_ports(2 * (sidecars + entries)))
+        free_port_iterator = iter(free_ports(2 * (sidecars + entries)))
         instances = []
         commands = {}
-        for place, name in enumerate(names + entry_names):
+        for index, name in enumerate(names + entry_names):
             role = "entry" if name in entry_names else "sidecar"
-            http_port, peer_port = next(numbers), next(numbers)
+            http_port, peer_port = next(free_port_iterator), next(free_port_iterator)
             fleet.http_ports[name] = http_port
-            zone = ZONES[place % len(ZONES)]
+            zone = ZONES[index % len(ZONES)]
             flags = {
                 "name": name,
                 "region": "south",
@@ -109,7 +109,7 @@
                 "drain_notice_s": 0,
             }
             if role == "sidecar":
-                flags["endpoint_url"] = urls[2 + place]
+                flags["endpoint_url"] = urls[2 + index]
                 flags["versions"] = str(BOOKINGS)
             commands[name] = [role, *(f"--{key}={v}" for key, v in flags.items())]
             instances.append(
@@ -125,15 +125,15 @@
             )
         listing.publish(asyncio.get_running_loop().time(), tuple(instances))
         for name, command in commands.items():
-            fleet.daemons[name] = await _started(stack, command)
+            fleet.daemons[name] = await _start_process(stack, command)
         fleet.client = await stack.enter_async_context(open_client())
         for name in fleet.daemons:
-            await _until_ready(fleet, name)
+            await _wait_until_ready(fleet, name)
         yield fleet
 
 
-async def _started(stack, command):
-    """Start a process that ends, by its own handle, with the test."""
+async def _start_process(stack, command):
+    """Start a process that is killed by its process object when the test ends."""
     process = await asyncio.create_subprocess_exec(
         sys.executable,
         "-m",
@@ -144,26 +144,26 @@
         stdout=asyncio.subprocess.DEVNULL,
         stderr=asyncio.subprocess.DEVNULL,
     )
-    stack.push_async_callback(_ended, process)
+    stack.push_async_callback(_end_process, process)
     return process
 
 
-async def _ended(process):
+async def _end_process(process):
     if process.returncode is None:
         process.send_signal(signal.SIGCONT)
         process.kill()
     await process.wait()
 
 
-async def _until_ready(fleet, name):
+async def _wait_until_ready(fleet, name):
     url = f"http://127.0.0.1:{fleet.http_ports[name]}/ready"
-    async with asyncio.timeout(START_LIMIT_S):
+    async with asyncio.timeout(START_TIMEOUT_S):
         while True:
             try:
                 response = await fleet.client.request(url, method="GET")
                 await response.content()
                 if response.status_code == 200:
                     return
-            except Exception:  # noqa: BLE001 - not listening yet
+            except Exception:  # noqa: BLE001 - the process does not listen yet
                 pass
             await asyncio.sleep(0.05)
--- a/tests/hand_started.py
+++ b/tests/readme_session.py
@@ -1,4 +1,4 @@
-"""Runs the commands that README shows, in one process and on free ports."""
+"""Runs the commands in README in one process and on free ports."""
 
 import asyncio
 import re
@@ -33,82 +33,85 @@
 
 
 @define(eq=False)
-class HandStarted:
-    """``ports`` maps a port on the page to the free one that stands for it."""
+class ReadmeSession:
+    """Runs commands of a page and keeps the daemons that they start.
+
+    ``ports`` maps a port on the page to the free port that replaces it.
+    """
 
     stack: AsyncExitStack
     ports: dict[int, int] = field(factory=dict)
     instances: dict[str, object] = field(factory=dict)
-    listed: object = None
+    instance_list: object = None
 
-    def moved(self, text):
-        """Put the free ports in place of those on the page."""
+    def with_free_ports(self, text):
+        """Replace the ports on the page by the free ports."""
 
         def port(match):
-            written = int(match.group(1))
-            return f"127.0.0.1:{self.ports.get(written, written)}"
+            on_page = int(match.group(1))
+            return f"127.0.0.1:{self.ports.get(on_page, on_page)}"
 
         return PORT.sub(port, text)
 
     async def run(self, command):
-        """Run one command line of the page and return what it prints."""
+        """Run one command line of the page and return its output."""
         program, *args = shlex.split(command)
         if program == "curl":
-            return await self._curl(args)
+            return await self._run_curl(args)
         assert program == "acaciacove"
         if args[0] == "standins":
-            return await self._standins(Path(args[1]))
+            return await self._start_standins(Path(args[1]))
         if args[0] in ("entry", "sidecar"):
-            return await self._daemon(args)
+            return await self._start_daemon(args)
         out = StringIO()
-        env = {name: self.moved(value) for name, value in ENV.items()}
+        env = {name: self.with_free_ports(value) for name, value in ENV.items()}
         await asyncio.to_thread(main, args, Environment(StringIO(), out, out, env))
         return out.getvalue()
 
-    async def _standins(self, file):
+    async def _start_standins(self, file):
         fleet = read_fleet_file(file.read_bytes())
         self.instances = {instance.name: instance for instance in fleet.instances}
-        applications, self.listed = standin_applications(fleet, seed=1)
+        applications, self.instance_list = standin_applications(fleet, seed=1)
         for port, app in applications:
             self.ports[port] = await self.stack.enter_async_context(serve(app))
         return ""
 
-    async def _daemon(self, args):
+    async def _start_daemon(self, args):
         command, rest = find_command(COMMANDS, args)
-        written = read_settings(command, rest, ENV)
+        on_page = read_settings(command, rest, ENV)
         settings = evolve(
-            written,
+            on_page,
             http_port=0,
             peer_port=0,
-            log_url=self.moved(written.log_url),
-            instance_list_url=self.moved(written.instance_list_url),
+            log_url=self.with_free_ports(on_page.log_url),
+            instance_list_url=self.with_free_ports(on_page.instance_list_url),
             drain_notice_s=0.0,
             seed=1,
         )
         if isinstance(settings, SidecarSettings):
-            url = self.moved(settings.endpoint_url)
+            url = self.with_free_ports(settings.endpoint_url)
             running = running_sidecar(evolve(settings, endpoint_url=url))
         else:
             assert isinstance(settings, EntrySettings)
             running = running_entry(settings)
         daemon = await self.stack.enter_async_context(running)
-        self.ports[written.http_port] = daemon.http_port
-        self._list(written, daemon)
+        self.ports[on_page.http_port] = daemon.http_port
+        self._publish_ports(on_page, daemon)
         await until(lambda: daemon.state.lifecycle.accepts_callers)
         return ""
 
-    def _list(self, written, daemon):
-        """Let the instance list tell where a daemon really listens."""
-        listed = self.instances[written.name]
-        assert (listed.port, listed.http_port) == (written.peer_port, written.http_port)
+    def _publish_ports(self, on_page, daemon):
+        """Publish the actual ports of a daemon in the instance list."""
+        listed = self.instances[on_page.name]
+        assert (listed.port, listed.http_port) == (on_page.peer_port, on_page.http_port)
         port = getattr(daemon, "peer_port", listed.port)
-        moved = evolve(listed, port=port, http_port=daemon.http_port)
-        self.instances[written.name] = moved
+        relisted = evolve(listed, port=port, http_port=daemon.http_port)
+        self.instances[on_page.name] = relisted
         now_s = asyncio.get_running_loop().time()
-        self.listed.publish(now_s, tuple(self.instances.values()))
+        self.instance_list.publish(now_s, tuple(self.instances.values()))
 
-    async def _curl(self, args):
-        """Send what a curl command sends: -H, -d and the URL."""
+    async def _run_curl(self, args):
+        """Send the request of a curl command with the options -H, -d, -i and -N."""
         headers, body, url, show_headers = {}, None, "", False
         words = iter(args)
         for word in words:
@@ -123,7 +126,7 @@
                 case "-N":
                     continue
                 case _:
-                    url = self.moved(word)
+                    url = self.with_free_ports(word)
         async with open_http_client() as client:
             method = "GET" if body is None else "POST"
             answer = await client.request(url, method, headers=headers, data=body)
@@ -135,7 +138,7 @@
 
 
 @asynccontextmanager
-async def hand_started():
-    """Give a place to run commands in; whatever they start ends with the block."""
+async def readme_session():
+    """Open a session for commands; what they start ends with the block."""
     async with AsyncExitStack() as stack:
-        yield HandStarted(stack)
+        yield ReadmeSession(stack)
--- a/tests/test_path_spread.py
+++ b/tests/test_path_spread.py
@@ -6,7 +6,7 @@
 import orjson
 
 from acaciacove.adapters.log_entry import LogEntry
-from acaciacove.daemon.shared_state import READY_CHECK_S
+from acaciacove.daemon.shared_state import READY_POLL_INTERVAL_S
 from acaciacove.fleet.instance_status import InstanceStatus
 from acaciacove.state.record_codec import encode_record
 from acaciacove.state.release_note import ReleaseNote
@@ -97,7 +97,7 @@
             await until(lambda: len(fleet.entries) == 2)
             late = fleet.entries[1]
             await until(lambda: late.shared.release_gossip.ready)
-            await asyncio.sleep(READY_CHECK_ROUNDS * READY_CHECK_S)
+            await asyncio.sleep(READY_CHECK_ROUNDS * READY_POLL_INTERVAL_S)
             assert not late.state.lifecycle.accepts_callers
             fleet.listing.faults.outage = False
             await started
@@ -115,7 +115,7 @@
         async with embedded_fleet() as fleet:
             membership = fleet.entries[0].shared.membership
             for name in fleet.services:
-                incarnation = fleet.sidecars[name].shared.me.incarnation
+                incarnation = fleet.sidecars[name].shared.local_instance.incarnation
                 now_s = asyncio.get_running_loop().time()
                 membership.record_message(
                     name, incarnation + 1, now_s, InstanceStatus.STARTING
--- a/tests/test_sidecar_version_reconciler.py
+++ b/tests/test_sidecar_version_reconciler.py
@@ -64,7 +64,7 @@
         engine=FakeEngine(),
         admission=SimpleNamespace(update=lambda fleet, versions: None),
         shared=SimpleNamespace(
-            me=me, membership=membership, is_listed=bool(known_names)
+            local_instance=me, membership=membership, is_listed=bool(known_names)
         ),
     )
     gate = FenceGate(lambda: fleet_store.state.release_revision)
@@ -131,7 +131,7 @@
         holders = [
             reconciler for reconciler in fleet if NEW in reconciler.sidecar.served
         ]
-        silent_name = holders[0].sidecar.shared.me.name
+        silent_name = holders[0].sidecar.shared.local_instance.name
         for reconciler in fleet:
             reconciler.sidecar.shared.membership.known_names.discard(silent_name)
         await asyncio.sleep(0)
