--- a/acaciacove/release_format/fault_list.py
+++ b/acaciacove/release_format/fault_list.py
@@ -8,7 +8,7 @@
 FIRST_LINE = 1
 
 
-def line_of(node: Node) -> int:
+def line_number(node: Node) -> int:
     """Return the line, from 1, at which a node begins."""
     return int(node.start_mark.line) + FIRST_LINE
 
@@ -21,4 +21,4 @@
 
     def add(self, node: Node, path: str, message: str) -> None:
         """Add a fault at the place of a node."""
-        self.faults.append(NoteFault(line_of(node), path, message))
+        self.faults.append(NoteFault(line_number(node), path, message))
--- a/acaciacove/release_format/load_nodes.py
+++ b/acaciacove/release_format/load_nodes.py
@@ -23,11 +23,13 @@
         node = yaml.compose(text, Loader=_Loader)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + FIRST_LINE if error.problem_mark else 0
-        raise _invalid(line, f"not valid YAML: {error.problem}") from error
+        raise _note_error(line, f"not valid YAML: {error.problem}") from error
     except yaml.YAMLError as error:
-        raise _invalid(0, f"not valid YAML: {' '.join(str(error).split())}") from error
+        raise _note_error(
+            0, f"not valid YAML: {' '.join(str(error).split())}"
+        ) from error
     if node is None:
-        raise _invalid(0, "the release note is empty")
+        raise _note_error(0, "the release note is empty")
     return node
 
 
@@ -35,12 +37,12 @@
     """Refuse text that is too large before anything looks into it."""
     if len(data) > max_bytes:
         message = f"the release note has {len(data)} bytes, the limit is {max_bytes}"
-        raise _invalid(0, message)
+        raise _note_error(0, message)
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + FIRST_LINE
-        raise _invalid(line, "not UTF-8 text") from error
+        raise _note_error(line, "not UTF-8 text") from error
 
 
 def _check_events(text: str) -> None:
@@ -75,5 +77,5 @@
     return event.start_mark.line + FIRST_LINE if event.start_mark else 0
 
 
-def _invalid(line: int, message: str) -> InvalidNoteError:
+def _note_error(line: int, message: str) -> InvalidNoteError:
     return InvalidNoteError([NoteFault(line, "", message)])
--- a/acaciacove/release_format/node_readers.py
+++ b/acaciacove/release_format/node_readers.py
@@ -17,17 +17,17 @@
 from acaciacove.fleet.version_id import parse_version_id
 from acaciacove.release_format.fault_list import FaultList
 
-TAG = "tag:yaml.org,2002:"
-NOT_TEXT = {f"{TAG}null": "nothing", f"{TAG}bool": "a boolean"}
-SCALAR_TAGS = {f"{TAG}{name}" for name in ("str", "int", "float", "timestamp")}
-NAME = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
-INTEGER = re.compile(r"[-+]?(0|[1-9][0-9]{0,17})")
-NUMBER = re.compile(r"[-+]?[0-9]+(\.[0-9]*)?([eE][-+]?[0-9]+)?")
-KEY = re.compile(r"[A-Za-z0-9._-]{1,100}")
-DIGEST = re.compile(r"[0-9a-f]{64}")
-CALL = re.compile(r"(GET|PUT|POST|PATCH|DELETE) (/\S*)")
-CONTROL = re.compile(r"[\x00-\x08\x0b-\x1f\x7f-\x9f]")
-MAX_SHOWN = 80
+TAG_PREFIX = "tag:yaml.org,2002:"
+NON_TEXT_TAGS = {f"{TAG_PREFIX}null": "nothing", f"{TAG_PREFIX}bool": "a boolean"}
+TEXT_TAGS = {f"{TAG_PREFIX}{name}" for name in ("str", "int", "float", "timestamp")}
+NAME_PATTERN = re.compile(r"[A-Za-z0-9][A-Za-z0-9._-]{0,99}")
+INTEGER_PATTERN = re.compile(r"[-+]?(0|[1-9][0-9]{0,17})")
+NUMBER_PATTERN = re.compile(r"[-+]?[0-9]+(\.[0-9]*)?([eE][-+]?[0-9]+)?")
+KEY_PATTERN = re.compile(r"[A-Za-z0-9._-]{1,100}")
+DIGEST_PATTERN = re.compile(r"[0-9a-f]{64}")
+CALL_PATTERN = re.compile(r"(GET|PUT|POST|PATCH|DELETE) (/\S*)")
+CONTROL_CHARACTERS = re.compile(r"[\x00-\x08\x0b-\x1f\x7f-\x9f]")
+MAX_QUOTED_LENGTH = 80
 BOOLEANS = {"true": True, "false": False}
 
 
@@ -49,51 +49,57 @@
     required: bool = False
 
 
-def kind_of(node: Node) -> str:
+def describe_node(node: Node) -> str:
     """Name what a node is, for messages."""
     if isinstance(node, MappingNode):
         return "a mapping"
     if isinstance(node, SequenceNode):
         return "a list"
-    if node.tag in NOT_TEXT:
-        return NOT_TEXT[node.tag]
-    return shown(node.value)
+    if node.tag in NON_TEXT_TAGS:
+        return NON_TEXT_TAGS[node.tag]
+    return quote_value(node.value)
 
 
-def shown(text: str) -> str:
+def quote_value(text: str) -> str:
     """Quote text for a message, control characters escaped and cut to a line."""
     quoted = repr(text)
-    return quoted if len(quoted) <= MAX_SHOWN else f"{quoted[:MAX_SHOWN]}..."
+    return (
+        quoted
+        if len(quoted) <= MAX_QUOTED_LENGTH
+        else f"{quoted[:MAX_QUOTED_LENGTH]}..."
+    )
 
 
 def read_text(node: Node, path: str, faults: FaultList) -> Any:
     """Read text; numbers and dates count as the text that was written."""
-    if isinstance(node, ScalarNode) and node.tag in SCALAR_TAGS:
-        if CONTROL.search(node.value):
+    if isinstance(node, ScalarNode) and node.tag in TEXT_TAGS:
+        if CONTROL_CHARACTERS.search(node.value):
             # Text goes to the terminals of other operators, where an escape
             # sequence could hide or forge what they are shown.
             faults.add(node, path, "control characters are not taken")
             return UNREADABLE
         return node.value
     hint = "; put it in quotes" if isinstance(node, ScalarNode) else ""
-    faults.add(node, path, f"expected text, found {kind_of(node)}{hint}")
+    faults.add(node, path, f"expected text, found {describe_node(node)}{hint}")
     return UNREADABLE
 
 
-def matching(pattern: re.Pattern[str], expected: str) -> Reader:
+def text_matching(pattern: re.Pattern[str], expected: str) -> Reader:
     """Make a reader for text of one form."""
 
     def read_matching(node: Node, path: str, faults: FaultList) -> Any:
         text = read_text(node, path, faults)
         if text is UNREADABLE or pattern.fullmatch(text):
             return text
-        faults.add(node, path, f"expected {expected}, found {shown(text)}")
+        faults.add(node, path, f"expected {expected}, found {quote_value(text)}")
         return UNREADABLE
 
     return read_matching
 
 
-read_name = matching(NAME, "a name of letters, digits, dots, underscores and hyphens")
+read_name = text_matching(
+    NAME_PATTERN, "a name of letters, digits, dots, underscores and hyphens"
+)
 
 
 def read_digest(node: Node, path: str, faults: FaultList) -> Any:
@@ -102,7 +108,7 @@
     Somebody may have pasted the token itself; quoting it in the message would
     carry a live credential into terminals and logs.
     """
-    if isinstance(node, ScalarNode) and DIGEST.fullmatch(node.value):
+    if isinstance(node, ScalarNode) and DIGEST_PATTERN.fullmatch(node.value):
         return node.value
     expected = "a SHA-256 digest (64 hexadecimal digits, lower case)"
     faults.add(node, path, f"expected {expected}; the value is not shown")
@@ -122,9 +128,13 @@
     if text is UNREADABLE:
         return UNREADABLE
     version = parse_version_id(text)
-    if version and NAME.fullmatch(version.model) and NAME.fullmatch(version.version):
+    if (
+        version
+        and NAME_PATTERN.fullmatch(version.model)
+        and NAME_PATTERN.fullmatch(version.version)
+    ):
         return version
-    faults.add(node, path, f"expected model@version, found {shown(text)}")
+    faults.add(node, path, f"expected model@version, found {quote_value(text)}")
     return UNREADABLE
 
 
@@ -133,20 +143,22 @@
     text = read_text(node, path, faults)
     if text is UNREADABLE:
         return UNREADABLE
-    match = CALL.fullmatch(text)
+    match = CALL_PATTERN.fullmatch(text)
     if match:
         return CallRule(match.group(1), match.group(2))
-    faults.add(node, path, f"expected a call such as 'POST /path', found {shown(text)}")
+    faults.add(
+        node, path, f"expected a call such as 'POST /path', found {quote_value(text)}"
+    )
     return UNREADABLE
 
 
 def read_boolean(node: Node, path: str, faults: FaultList) -> Any:
     """Read ``true`` or ``false``."""
-    if isinstance(node, ScalarNode) and node.tag == f"{TAG}bool":
+    if isinstance(node, ScalarNode) and node.tag == f"{TAG_PREFIX}bool":
         value = BOOLEANS.get(node.value.lower())
         if value is not None:
             return value
-    faults.add(node, path, f"expected true or false, found {kind_of(node)}")
+    faults.add(node, path, f"expected true or false, found {describe_node(node)}")
     return UNREADABLE
 
 
@@ -154,11 +166,15 @@
     """Make a reader for whole numbers from a minimum on."""
 
     def read_integer(node: Node, path: str, faults: FaultList) -> Any:
-        text = _plain(node)
-        if text is not None and INTEGER.fullmatch(text) and int(text) >= minimum:
+        text = _unquoted_text(node)
+        if (
+            text is not None
+            and INTEGER_PATTERN.fullmatch(text)
+            and int(text) >= minimum
+        ):
             return int(text)
         expected = f"a whole number, {minimum} or more"
-        faults.add(node, path, f"expected {expected}, found {kind_of(node)}")
+        faults.add(node, path, f"expected {expected}, found {describe_node(node)}")
         return UNREADABLE
 
     return read_integer
@@ -168,14 +184,14 @@
     """Make a reader for numbers in a range; ``above`` leaves out the minimum."""
 
     def read_number(node: Node, path: str, faults: FaultList) -> Any:
-        text = _plain(node)
-        if text is not None and NUMBER.fullmatch(text):
+        text = _unquoted_text(node)
+        if text is not None and NUMBER_PATTERN.fullmatch(text):
             value = float(text)
-            low = value > minimum if above else value >= minimum
-            if low and value <= maximum and math.isfinite(value):
+            above_minimum = value > minimum if above else value >= minimum
+            if above_minimum and value <= maximum and math.isfinite(value):
                 return value
-        expected = _range_text(minimum, maximum, above)
-        faults.add(node, path, f"expected {expected}, found {kind_of(node)}")
+        expected = _describe_range(minimum, maximum, above)
+        faults.add(node, path, f"expected {expected}, found {describe_node(node)}")
         return UNREADABLE
 
     return read_number
@@ -188,7 +204,7 @@
         if isinstance(node, ScalarNode) and node.value in choices:
             return choices[node.value]
         listed = " or ".join(choices)
-        faults.add(node, path, f"expected {listed}, found {kind_of(node)}")
+        faults.add(node, path, f"expected {listed}, found {describe_node(node)}")
         return UNREADABLE
 
     return read_choice
@@ -199,7 +215,7 @@
 
     def read_list(node: Node, path: str, faults: FaultList) -> Any:
         if not isinstance(node, SequenceNode):
-            faults.add(node, path, f"expected a list, found {kind_of(node)}")
+            faults.add(node, path, f"expected a list, found {describe_node(node)}")
             return UNREADABLE
         values = []
         for index, item in enumerate(node.value):
@@ -215,9 +231,9 @@
     def read_mapping(node: Node, path: str, faults: FaultList) -> Any:
         values = {}
         for name, key_node, value_node in pairs(node, path, faults):
-            place = join(path, name)
-            read_name(key_node, place, faults)
-            value = reader(value_node, place, faults)
+            key_path = join(path, name)
+            read_name(key_node, key_path, faults)
+            value = reader(value_node, key_path, faults)
             if value is not UNREADABLE:
                 values[name] = value
         return values
@@ -231,12 +247,12 @@
     """Read a mapping with known keys; None when a required one is unreadable."""
     values = {}
     for name, key_node, value_node in pairs(node, path, faults):
-        place = join(path, name)
+        key_path = join(path, name)
         if name not in keys:
             listed = ", ".join(keys)
-            faults.add(key_node, place, f"unknown key; known here: {listed}")
+            faults.add(key_node, key_path, f"unknown key; known here: {listed}")
             continue
-        values[name] = keys[name].reader(value_node, place, faults)
+        values[name] = keys[name].reader(value_node, key_path, faults)
     complete = True
     for name, key in keys.items():
         if key.required and name not in values and isinstance(node, MappingNode):
@@ -250,7 +266,7 @@
 def pairs(node: Node, path: str, faults: FaultList) -> list[tuple[str, Node, Node]]:
     """List a mapping's keys with their nodes; a key twice is a fault."""
     if not isinstance(node, MappingNode):
-        faults.add(node, path, f"expected a mapping, found {kind_of(node)}")
+        faults.add(node, path, f"expected a mapping, found {describe_node(node)}")
         return []
     seen: dict[str, tuple[str, Node, Node]] = {}
     for key_node, value_node in node.value:
@@ -266,18 +282,18 @@
 
 def join(path: str, name: str) -> str:
     """Write the path of a key below another."""
-    name = name if KEY.fullmatch(name) else shown(name)
+    name = name if KEY_PATTERN.fullmatch(name) else quote_value(name)
     return f"{path}.{name}" if path else name
 
 
-def _plain(node: Node) -> str | None:
+def _unquoted_text(node: Node) -> str | None:
     """Return the text of a scalar without quotes, else None."""
     if isinstance(node, ScalarNode) and node.style not in ("'", '"', "|", ">"):
         return str(node.value)
     return None
 
 
-def _range_text(minimum: float, maximum: float, above: bool) -> str:
+def _describe_range(minimum: float, maximum: float, above: bool) -> str:
     if math.isfinite(maximum):
         return f"a number from {minimum:g} to {maximum:g}"
     return (
--- a/acaciacove/release_format/note_fault.py
+++ b/acaciacove/release_format/note_fault.py
@@ -20,6 +20,6 @@
         return f"line {self.line}: {place}{self.message}"
 
 
-def place_of(fault: NoteFault) -> tuple[int, str]:
+def text_position(fault: NoteFault) -> tuple[int, str]:
     """Order faults as they stand in the text."""
     return fault.line, fault.path
--- a/acaciacove/release_format/read_note.py
+++ b/acaciacove/release_format/read_note.py
@@ -10,7 +10,7 @@
 from acaciacove.fleet.organisation import Organisation
 from acaciacove.fleet.version import Version
 from acaciacove.release_format.declarations import Declarations
-from acaciacove.release_format.fault_list import FaultList, line_of
+from acaciacove.release_format.fault_list import FaultList, line_number
 from acaciacove.release_format.invalid_note_error import InvalidNoteError
 from acaciacove.release_format.load_nodes import load_nodes
 from acaciacove.release_format.node_readers import (
@@ -32,7 +32,7 @@
     read_version_name,
 )
 from acaciacove.release_format.note_document import NoteDocument
-from acaciacove.release_format.note_fault import place_of
+from acaciacove.release_format.note_fault import text_position
 
 API_KEYS = {
     "name": Key(read_name, required=True),
@@ -113,7 +113,7 @@
 }
 
 
-HALVES = ("added", "changed", "withdrawn")
+SECTIONS = ("added", "changed", "withdrawn")
 
 
 def read_note(data: bytes, max_bytes: int) -> NoteDocument:
@@ -123,7 +123,7 @@
     values = read_keys(root, "", faults, NOTE_KEYS)
     _find_duplicates(root, faults)
     if values is None or faults.faults:
-        raise InvalidNoteError(sorted(faults.faults, key=place_of))
+        raise InvalidNoteError(sorted(faults.faults, key=text_position))
     withdrawn = values.get("withdrawn", {})
     return NoteDocument(
         note_id=values.get("note", ""),
@@ -134,7 +134,7 @@
         changed=values.get("changed", Declarations()),
         withdrawn_versions=withdrawn.get("versions", ()),
         withdrawn_organisations=withdrawn.get("organisations", ()),
-        lines=_lines(root, ""),
+        lines=_lines_by_path(root, ""),
     )
 
 
@@ -144,46 +144,46 @@
     A version that is both added and withdrawn would run or not by the order in
     which a reader takes the two lists.
     """
-    places: dict[tuple[str, str], list[str]] = {}
-    for half, half_node in _items(root):
-        for group, list_node in _items(half_node):
-            if half not in HALVES or not isinstance(list_node, SequenceNode):
+    paths: dict[tuple[str, str], list[str]] = {}
+    for section, section_node in _key_values(root):
+        for group, list_node in _key_values(section_node):
+            if section not in SECTIONS or not isinstance(list_node, SequenceNode):
                 continue
             for index, item in enumerate(list_node.value):
-                name = _own_name(item)
+                name = _item_name(item)
                 if name is None:
                     continue
-                path = f"{half}.{group}[{index}]"
-                found = places.setdefault((group, name), [])
-                if found:
-                    message = f"{name} stands already at {found[0]}"
+                path = f"{section}.{group}[{index}]"
+                earlier_paths = paths.setdefault((group, name), [])
+                if earlier_paths:
+                    message = f"{name} stands already at {earlier_paths[0]}"
                     faults.add(item, path, message)
-                found.append(path)
+                earlier_paths.append(path)
 
 
-def _own_name(node: Node) -> str | None:
+def _item_name(node: Node) -> str | None:
     """Return the name of a withdrawal, or the ``name`` or ``id`` of a declaration."""
     if isinstance(node, ScalarNode):
         return str(node.value)
-    for key, value in _items(node):
+    for key, value in _key_values(node):
         if key in ("name", "id") and isinstance(value, ScalarNode):
             return str(value.value)
     return None
 
 
-def _items(node: Node) -> list[tuple[str, Node]]:
+def _key_values(node: Node) -> list[tuple[str, Node]]:
     """List the pairs of a mapping; nothing for other nodes."""
     if not isinstance(node, MappingNode):
         return []
     return [(str(key.value), value) for key, value in node.value]
 
 
-def _lines(node: Node, path: str) -> dict[str, int]:
+def _lines_by_path(node: Node, path: str) -> dict[str, int]:
     """Map each path of keys to its line."""
-    lines = {path: line_of(node)}
-    for key, value in _items(node):
-        lines.update(_lines(value, join(path, key)))
+    lines = {path: line_number(node)}
+    for key, value in _key_values(node):
+        lines.update(_lines_by_path(value, join(path, key)))
     if isinstance(node, SequenceNode):
         for index, item in enumerate(node.value):
-            lines.update(_lines(item, f"{path}[{index}]"))
+            lines.update(_lines_by_path(item, f"{path}[{index}]"))
     return lines
--- a/acaciacove/release_format/write_note.py
+++ b/acaciacove/release_format/write_note.py
@@ -15,8 +15,8 @@
 from acaciacove.release_format.note_document import NoteDocument
 from acaciacove.state.release_note import ReleaseNote
 
-WIDTH = 88
-NOT_WRITTEN = frozenset({"withdrawn"})
+MAX_LINE_LENGTH = 88
+OMITTED_FIELDS = frozenset({"withdrawn"})
 
 
 def write_document(document: NoteDocument) -> str:
@@ -28,21 +28,29 @@
         tree["operator"] = document.operator
     if document.summary:
         tree["summary"] = document.summary
-    _put(tree, "added", _declarations(document.added))
-    _put(tree, "changed", _declarations(document.changed))
+    _set_if_not_empty(tree, "added", _declarations_tree(document.added))
+    _set_if_not_empty(tree, "changed", _declarations_tree(document.changed))
     withdrawn: dict[str, Any] = {}
-    _put(withdrawn, "versions", [str(v) for v in document.withdrawn_versions])
-    _put(withdrawn, "organisations", list(document.withdrawn_organisations))
-    _put(tree, "withdrawn", withdrawn)
-    return yaml.safe_dump(tree, sort_keys=False, allow_unicode=True, width=WIDTH)
+    _set_if_not_empty(
+        withdrawn, "versions", [str(v) for v in document.withdrawn_versions]
+    )
+    _set_if_not_empty(
+        withdrawn, "organisations", list(document.withdrawn_organisations)
+    )
+    _set_if_not_empty(tree, "withdrawn", withdrawn)
+    return yaml.safe_dump(
+        tree, sort_keys=False, allow_unicode=True, width=MAX_LINE_LENGTH
+    )
 
 
-def document_of(note: ReleaseNote, state: FleetState) -> NoteDocument:
+def document_from_note(note: ReleaseNote, state: FleetState) -> NoteDocument:
     """Tell added from changed by what was in force before the note."""
     live = [v.id for v in state.versions.values() if not v.withdrawn]
-    apis = _split(note.apis, lambda api: api.name in state.apis)
-    versions = _split(note.versions, lambda version: version.id in live)
-    organisations = _split(note.organisations, lambda o: o.name in state.organisations)
+    apis = _partition(note.apis, lambda api: api.name in state.apis)
+    versions = _partition(note.versions, lambda version: version.id in live)
+    organisations = _partition(
+        note.organisations, lambda o: o.name in state.organisations
+    )
     return NoteDocument(
         note_id=note.note_id,
         based_on=note.based_on,
@@ -66,38 +74,42 @@
     )
 
 
-def _split(items: Iterable[Any], known: Any) -> tuple[tuple[Any, ...], ...]:
+def _partition(items: Iterable[Any], is_known: Any) -> tuple[tuple[Any, ...], ...]:
     """Part items into unknown and known ones."""
     listed = list(items)
-    unknown_items = tuple(item for item in listed if not known(item))
-    return unknown_items, tuple(item for item in listed if known(item))
+    unknown_items = tuple(item for item in listed if not is_known(item))
+    return unknown_items, tuple(item for item in listed if is_known(item))
 
 
-def _put(tree: dict[str, Any], key: str, value: Any) -> None:
+def _set_if_not_empty(tree: dict[str, Any], key: str, value: Any) -> None:
     if value:
         tree[key] = value
 
 
-def _declarations(half: Declarations) -> dict[str, Any]:
+def _declarations_tree(section: Declarations) -> dict[str, Any]:
     tree: dict[str, Any] = {}
-    _put(tree, "apis", [_attributes(api) for api in half.apis])
-    _put(tree, "versions", [_attributes(version) for version in half.versions])
-    _put(tree, "organisations", [_attributes(o) for o in half.organisations])
+    _set_if_not_empty(tree, "apis", [_declaration_fields(api) for api in section.apis])
+    _set_if_not_empty(
+        tree, "versions", [_declaration_fields(version) for version in section.versions]
+    )
+    _set_if_not_empty(
+        tree, "organisations", [_declaration_fields(o) for o in section.organisations]
+    )
     return tree
 
 
-ALWAYS_WRITTEN = frozenset({"token_sha256", "allowed"})
+REQUIRED_FIELDS = frozenset({"token_sha256", "allowed"})
 
 
-def _attributes(item: Api | Version | Organisation) -> dict[str, Any]:
+def _declaration_fields(item: Api | Version | Organisation) -> dict[str, Any]:
     """Write the fields of one declaration."""
     tree: dict[str, Any] = {}
     for attribute in fields(type(item)):
         value = getattr(item, attribute.name)
-        if attribute.name in NOT_WRITTEN:
+        if attribute.name in OMITTED_FIELDS:
             continue
         is_default = attribute.default is not NOTHING and value == attribute.default
-        if attribute.name in ALWAYS_WRITTEN or not is_default:
+        if attribute.name in REQUIRED_FIELDS or not is_default:
             tree[attribute.name] = plain_value(value)
     return tree
 
--- a/acaciacove/settings/checked_settings.py
+++ b/acaciacove/settings/checked_settings.py
@@ -30,10 +30,10 @@
     def __attrs_post_init__(self) -> None:
         """Check every field, then what holds between them."""
         values = {a.name: getattr(self, a.name) for a in fields(type(self))}
-        faults = field_faults(type(self), values) + self.relation_faults()
+        faults = field_faults(type(self), values) + self.cross_field_faults()
         if faults:
             raise InvalidSettingsError(faults)
 
-    def relation_faults(self) -> list[str]:
+    def cross_field_faults(self) -> list[str]:
         """List what is wrong between fields; none unless a class says so."""
         return []
--- a/acaciacove/settings/checks.py
+++ b/acaciacove/settings/checks.py
@@ -14,9 +14,9 @@
 URL_SCHEMES = ("http", "https")
 
 
-def check(function: Check) -> dict[str, Check]:
+def check(value_check: Check) -> dict[str, Check]:
     """Make field metadata that names the check of the field."""
-    return {CHECK: function}
+    return {CHECK: value_check}
 
 
 def is_name(value: str) -> str | None:
@@ -28,7 +28,7 @@
     return None
 
 
-def is_ip_number(value: str) -> str | None:
+def is_ip_address(value: str) -> str | None:
     """Accept an IPv4 or IPv6 number; processes look up no names."""
     try:
         ip_address(value)
@@ -91,11 +91,11 @@
     return check_minimum
 
 
-def optional(inner: Check) -> Check:
+def optional(value_check: Check) -> Check:
     """Make a check that takes None, or what another check takes."""
 
     def check_optional(value: Any) -> str | None:
-        return None if value is None else inner(value)
+        return None if value is None else value_check(value)
 
     return check_optional
 
--- a/acaciacove/settings/entry_settings.py
+++ b/acaciacove/settings/entry_settings.py
@@ -6,7 +6,7 @@
 from acaciacove.settings.checks import (
     at_least,
     check,
-    is_ip_number,
+    is_ip_address,
     is_name,
     is_port,
     is_positive,
@@ -28,7 +28,7 @@
     name: str = field(metadata=check(is_name))
     region: str = field(metadata=check(is_name))
     availability_zone: str = field(metadata=check(is_name))
-    host: str = field(metadata=check(is_ip_number))
+    host: str = field(metadata=check(is_ip_address))
     http_port: int = field(metadata=check(is_port))
     peer_port: int = field(metadata=check(is_port))
     log_url: str = field(metadata=check(is_url_or_empty))
@@ -46,7 +46,7 @@
     session_secret: str = field(default="", repr=False, metadata=check(is_secret))
     seed: int = 0
 
-    def relation_faults(self) -> list[str]:
+    def cross_field_faults(self) -> list[str]:
         """List what is wrong between fields."""
         return port_faults(self.http_port, self.peer_port)
 
--- a/acaciacove/settings/explain_settings.py
+++ b/acaciacove/settings/explain_settings.py
@@ -18,18 +18,20 @@
     summary: bool = False
     losses: bool = False
 
-    def relation_faults(self) -> list[str]:
+    def cross_field_faults(self) -> list[str]:
         """Ask for a file."""
-        if not self.is_table and not self.files:
+        if not self.covers_all_requests and not self.files:
             return ["FILE is missing: name files of log lines, or -"]
         return []
 
     @property
     def all_files(self) -> tuple[str, ...]:
         """The files to read."""
-        return (self.request_id, *self.files) if self.is_table else self.files
+        return (
+            (self.request_id, *self.files) if self.covers_all_requests else self.files
+        )
 
     @property
-    def is_table(self) -> bool:
+    def covers_all_requests(self) -> bool:
         """Tell whether all requests are summed instead of one told about."""
         return self.summary or self.losses
--- a/acaciacove/settings/gateway_settings.py
+++ b/acaciacove/settings/gateway_settings.py
@@ -6,7 +6,7 @@
 from acaciacove.settings.checks import (
     at_least,
     check,
-    is_ip_number,
+    is_ip_address,
     is_name,
     is_port,
     is_positive,
@@ -14,12 +14,12 @@
 )
 
 
-def is_address(value: str) -> str | None:
+def is_ip_and_port(value: str) -> str | None:
     """Accept an IP number and a port."""
     host, _, port = value.rpartition(":")
     if not port.isdigit():
         return f"must be written IP:PORT, not {value!r}"
-    return is_ip_number(host) or is_port(int(port))
+    return is_ip_address(host) or is_port(int(port))
 
 
 @frozen
@@ -41,11 +41,11 @@
     name: str = field(metadata=check(is_name))
     availability_zone: str = field(metadata=check(is_name))
     region: str = field(metadata=check(is_name))
-    host: str = field(metadata=check(is_ip_number))
-    front_address: str = field(metadata=check(is_address))
-    readiness_address: str = field(metadata=check(is_address))
+    host: str = field(metadata=check(is_ip_address))
+    front_address: str = field(metadata=check(is_ip_and_port))
+    readiness_address: str = field(metadata=check(is_ip_and_port))
     peer_port: int = field(metadata=check(is_port))
-    log_address: str = field(metadata=check(is_address))
+    log_address: str = field(metadata=check(is_ip_and_port))
     metrics_port: int = field(default=9464, metadata=check(is_port))
     region_of_zone: dict[str, str] = {}
     grace_s: float = field(default=8.0, metadata=check(is_positive))
--- a/acaciacove/settings/sidecar_settings.py
+++ b/acaciacove/settings/sidecar_settings.py
@@ -7,7 +7,7 @@
 from acaciacove.settings.checks import (
     at_least,
     check,
-    is_ip_number,
+    is_ip_address,
     is_name,
     is_port,
     is_positive,
@@ -28,7 +28,7 @@
     name: str = field(metadata=check(is_name))
     region: str = field(metadata=check(is_name))
     availability_zone: str = field(metadata=check(is_name))
-    host: str = field(metadata=check(is_ip_number))
+    host: str = field(metadata=check(is_ip_address))
     http_port: int = field(metadata=check(is_port))
     peer_port: int = field(metadata=check(is_port))
     endpoint_url: str = field(metadata=check(is_url))
@@ -43,6 +43,6 @@
     claim_window_s: float = field(default=86_400.0, metadata=check(is_positive))
     seed: int = 0
 
-    def relation_faults(self) -> list[str]:
+    def cross_field_faults(self) -> list[str]:
         """List what is wrong between fields."""
         return port_faults(self.http_port, self.peer_port)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -32,7 +32,7 @@
         others = asyncio.all_tasks() - {asyncio.current_task()}
         assert all(task.done() or "stubborn" not in repr(task) for task in others)
 
-    run_virtual(main, limit_s=30.0)
+    run_virtual(main, timeout_s=30.0)
 
 
 def test_a_fault_of_a_task_ends_the_block_with_it():
@@ -45,4 +45,4 @@
             async with background(faulty()):
                 await asyncio.sleep(60.0)
 
-    run_virtual(main, limit_s=30.0)
+    run_virtual(main, timeout_s=30.0)
--- a/tests/test_release_format.py
+++ b/tests/test_release_format.py
@@ -16,7 +16,7 @@
 from acaciacove.release_format.check_note import check_note
 from acaciacove.release_format.invalid_note_error import InvalidNoteError
 from acaciacove.release_format.read_note import read_note
-from acaciacove.release_format.write_note import document_of, write_document
+from acaciacove.release_format.write_note import document_from_note, write_document
 from acaciacove.standins.souk import SOUK
 from acaciacove.standins.swimhole import SWIMHOLE
 from acaciacove.state.reducer import fold
@@ -67,34 +67,38 @@
 
 @st.composite
 def notes(draw):
-    declared = draw(unique(versions | version_ids, lambda v: getattr(v, "id", v)))
-    kept = draw(unique(organisations | names, lambda o: getattr(o, "name", o)))
+    declared_versions = draw(
+        unique(versions | version_ids, lambda v: getattr(v, "id", v))
+    )
+    declared_organisations = draw(
+        unique(organisations | names, lambda o: getattr(o, "name", o))
+    )
     return ReleaseNote(
         draw(names),
         draw(st.integers(-1, 2**40)),
         draw(texts),
         draw(texts),
         draw(unique(apis, lambda api: api.name)),
-        tuple(v for v in declared if isinstance(v, Version)),
-        tuple(v for v in declared if isinstance(v, VersionId)),
-        tuple(o for o in kept if isinstance(o, Organisation)),
-        tuple(o for o in kept if isinstance(o, str)),
+        tuple(v for v in declared_versions if isinstance(v, Version)),
+        tuple(v for v in declared_versions if isinstance(v, VersionId)),
+        tuple(o for o in declared_organisations if isinstance(o, Organisation)),
+        tuple(o for o in declared_organisations if isinstance(o, str)),
     )
 
 
 @given(notes())
 @settings(derandomize=True, deadline=None, max_examples=100)
-def test_a_note_reads_back_from_yaml_as_it_was(note):
-    text = write_document(document_of(note, FleetState()))
+def test_note_round_trips_through_yaml(note):
+    text = write_document(document_from_note(note, FleetState()))
     document = read_note(text.encode(), MAX_BYTES)
     assert document.release_note(based_on=0) == note
 
 
 @given(notes(), notes())
 @settings(derandomize=True, deadline=None, max_examples=50)
-def test_added_is_told_from_changed_by_what_was_in_force(first, second):
+def test_added_and_changed_depend_on_the_state_in_force(first, second):
     state = fold(FleetState(), 0, ReleaseNote("n", -1, apis=first.apis)).state
-    document = document_of(second, state)
+    document = document_from_note(second, state)
     assert read_note(write_document(document).encode(), MAX_BYTES) == document
     assert all(api.name in state.apis for api in document.changed.apis)
     assert not any(api.name in state.apis for api in document.added.apis)
@@ -102,16 +106,16 @@
 
 @given(st.binary(max_size=200) | st.text(max_size=200).map(str.encode))
 @settings(derandomize=True, deadline=None, max_examples=200)
-def test_junk_is_refused_with_a_type(data):
+def test_arbitrary_bytes_raise_invalid_note_error(data):
     with pytest.raises(InvalidNoteError):
         read_note(data, MAX_BYTES)
 
 
 def faults_of(text, max_bytes=MAX_BYTES):
     data = text if isinstance(text, bytes) else text.encode()
-    with pytest.raises(InvalidNoteError) as caught:
+    with pytest.raises(InvalidNoteError) as raised:
         read_note(data, max_bytes)
-    return [(fault.line, fault.path, fault.message) for fault in caught.value.faults]
+    return [(fault.line, fault.path, fault.message) for fault in raised.value.faults]
 
 
 def test_every_fault_is_listed_with_its_line_and_path():
@@ -187,7 +191,7 @@
     assert faults == [(0, "", "the release note has 110 bytes, the limit is 50")]
 
 
-def test_aliases_of_aliases_are_refused_before_they_unfold():
+def test_nested_aliases_are_refused_before_expansion():
     # Nine lines of aliases stand for a billion elements. A reader that follows
     # them eats all memory, on the machine of the operator who only validates it.
     lines = ["a0: &a0 [x, x, x, x, x, x, x, x, x, x]"]
@@ -198,7 +202,7 @@
     assert faults[0] == (2, "", "aliases are not taken; write the value out")
 
 
-def test_endless_nesting_is_refused():
+def test_deep_nesting_is_refused():
     # Deep nesting exhausts the stack of a recursive reader and ends the command
     # without a word on what is wrong.
     assert faults_of("[" * 50) == [(1, "", "nested deeper than 12")]
@@ -206,7 +210,7 @@
     assert fault[0] == 1
 
 
-def test_a_token_pasted_in_place_of_its_digest_is_not_repeated_in_the_message():
+def test_token_in_place_of_its_digest_is_not_quoted():
     # An operator pastes the token itself. A message that quotes it would carry a
     # live credential into terminals and the logs of CI.
     text = "note: n\nadded:\n  organisations:\n    - name: a\n"
@@ -216,13 +220,13 @@
     assert "secret-token" not in message
 
 
-def test_numbers_and_dates_may_stand_for_text_but_booleans_may_not():
+def test_numbers_and_dates_are_accepted_as_text_but_booleans_are_not():
     document = read_note(b"note: 2026-12-03\nsummary: 1.10\n", MAX_BYTES)
     assert (document.note_id, document.summary) == ("2026-12-03", "1.10")
     assert faults_of("note: n\nsummary: off")[0][2].endswith("put it in quotes")
 
 
-def in_force():
+def state_in_force():
     note = ReleaseNote(
         "first",
         -1,
@@ -233,7 +237,7 @@
     return fold(FleetState(), 0, note).state
 
 
-def test_escape_sequences_do_not_reach_the_terminals_of_others():
+def test_escape_sequences_are_refused_and_not_repeated():
     # A summary that moves the cursor could hide a withdrawal from whoever looks at
     # the history.
     faults = faults_of('note: n\nsummary: "a\\e[2Jb"\n"\\e[1A": 1\n')
@@ -241,7 +245,7 @@
     assert not any("\x1b" in "".join(map(str, fault)) for fault in faults)
 
 
-def test_names_that_are_not_in_force_are_refused_with_their_place():
+def test_unknown_names_are_refused_with_line_and_path():
     # A note allows a model that nobody serves, or changes a version that was
     # never released. Callers would meet it as refusals; its operator must first.
     text = b"""\
@@ -265,7 +269,7 @@
   versions: [small@3]
   organisations: [b]
 """
-    faults = check_note(read_note(text, MAX_BYTES), in_force())
+    faults = check_note(read_note(text, MAX_BYTES), state_in_force())
     assert [(fault.line, fault.path) for fault in faults] == [
         (2, "based_on"),
         (5, "added.apis[0]"),
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -24,22 +24,22 @@
 
 
 def faults_of(command, args, env=None):
-    with pytest.raises(InvalidSettingsError) as caught:
+    with pytest.raises(InvalidSettingsError) as raised:
         read_settings(command, args, env or {})
-    return caught.value.faults
+    return raised.value.faults
 
 
-def test_a_flag_wins_over_its_environment_variable_and_that_over_the_default():
+def test_flags_override_environment_variables_and_defaults():
     env = {"ACACIACOVE_SEED": "7", "ACACIACOVE_SUBSET_SIZE": "9"}
     read = read_settings(ENTRY, [*ENTRY_ARGS, "--seed=8"], env)
     assert (read.seed, read.subset_size, read.retry_share) == (8, 9, 0.1)
 
 
-def test_an_empty_environment_variable_counts_as_not_set():
+def test_empty_environment_variable_counts_as_unset():
     assert read_settings(ENTRY, ENTRY_ARGS, {"ACACIACOVE_SEED": ""}).seed == 0
 
 
-def test_every_fault_is_listed_at_once_under_the_name_that_was_written():
+def test_all_faults_are_listed_under_their_flag_or_variable():
     # An operator mends one setting, restarts a daemon, and meets the next fault;
     # with a dozen instances to start that is an evening. All come together.
     args = [
@@ -66,7 +66,7 @@
     assert "short" not in faults
 
 
-def test_a_wrong_boolean_or_a_missing_value_hides_no_other_fault():
+def test_invalid_boolean_or_missing_value_does_not_hide_other_faults():
     faults = faults_of(STATUS, ["--json=maybe", "--timeout_s=0"])
     assert "--json must be true or false, not 'maybe'" in faults
     assert "--timeout_s must be above 0, not 0.0" in faults
@@ -97,13 +97,13 @@
     assert faults == ["http_port and peer_port must differ, both are 8080"]
 
 
-def test_settings_made_by_a_library_user_are_checked_alike():
-    with pytest.raises(InvalidSettingsError) as caught:
+def test_settings_constructed_directly_are_checked():
+    with pytest.raises(InvalidSettingsError) as raised:
         EntrySettings("", "r", "z", "host", 1, 2, "log", "")
-    assert len(caught.value.faults) == 3
+    assert len(raised.value.faults) == 3
 
 
-def test_versions_of_a_sidecar_are_a_list():
+def test_sidecar_versions_are_a_comma_separated_list():
     args = [*ENTRY_ARGS, "--endpoint_url=http://127.0.0.1:9000"]
     read = read_settings(SIDECAR, [*args, "--versions=guide@1, guide@2"], {})
     assert read.versions == (VersionId("guide", "1"), VersionId("guide", "2"))
@@ -112,7 +112,7 @@
     ]
 
 
-def test_a_secret_is_not_shown_when_settings_are_printed():
+def test_repr_of_settings_omits_the_secret():
     args = [*ENTRY_ARGS, "--session_secret=0123456789abcdef"]
     assert "0123456789abcdef" not in repr(read_settings(ENTRY, args, {}))
 
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -3,14 +3,14 @@
 import async_solipsism
 
 
-def run_virtual(main, limit_s=100_000.0):
+def run_virtual(main, timeout_s=100_000.0):
     """Run a coroutine function to its end; its time passes without waiting."""
     import asyncio
 
     loop = async_solipsism.EventLoop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(asyncio.wait_for(main(), limit_s))
+        return loop.run_until_complete(asyncio.wait_for(main(), timeout_s))
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
