--- a/acaciacove/errors.py
+++ b/acaciacove/errors.py
@@ -1,4 +1,7 @@
-"""Exceptions that cross module boundaries; failures of requests are values."""
+"""Exceptions shared by several modules.
+
+A failed request is no exception: it returns a Refusal.
+"""
 
 
 class AcaciacoveError(Exception):
@@ -6,42 +9,42 @@
 
 
 class PlatformUnavailableError(AcaciacoveError):
-    """A platform service did not answer, or refused; its effect is unknown."""
+    """A platform service did not answer or refused; the effect is unknown."""
 
 
 class PlatformRefusedError(PlatformUnavailableError):
-    """A call that a platform service is known not to have carried out.
+    """A platform service certainly did not execute the call.
 
-    It never reached the service, or the service's rate limit refused it.
+    The call never reached the service, or the service's rate limit refused it.
     """
 
 
 class OffsetExpiredError(AcaciacoveError):
-    """Records from the asked offset on are no longer kept by the log."""
+    """The log no longer retains the records at the requested offset."""
 
     def __init__(self, earliest_offset: int) -> None:
-        """Keep the first offset that can still be read."""
+        """Store the first offset that can still be read."""
         super().__init__(f"records before offset {earliest_offset} have expired")
         self.earliest_offset = earliest_offset
 
 
 class MalformedMessageError(AcaciacoveError):
-    """Bytes from a peer or the log that no message can be read from."""
+    """Bytes from a peer or the log could not be decoded as a message."""
 
 
 class InvalidSettingsError(AcaciacoveError):
-    """Settings with faults, all of them listed."""
+    """Settings have faults; lists all of them."""
 
     def __init__(self, faults: list[str]) -> None:
-        """Keep every fault, one sentence each."""
+        """Store the faults, one sentence each."""
         super().__init__("; ".join(faults))
         self.faults = faults
 
 
 class LogQueueFullError(AcaciacoveError):
-    """The log writer's queue has no room for an item of this class."""
+    """The log writer's queue has no room for an item of this priority."""
 
     def __init__(self, queued: int) -> None:
-        """Keep how many items wait already."""
+        """Store how many items are queued."""
         super().__init__(f"{queued} items wait for the log already")
         self.queued = queued
--- a/acaciacove/reason.py
+++ b/acaciacove/reason.py
@@ -1,10 +1,10 @@
-"""Reason codes: why a request was refused or an answer failed."""
+"""Reason codes of refused requests and failed responses."""
 
 from enum import StrEnum
 
 
 class Reason(StrEnum):
-    """Stable codes that callers and operators may rely on."""
+    """Stable reason codes, part of the interface to callers and operators."""
 
     NOT_READY = "not_ready"
     DRAINING = "draining"
--- a/acaciacove/refusal.py
+++ b/acaciacove/refusal.py
@@ -1,4 +1,4 @@
-"""The one value that stands for every failure of a request."""
+"""The result of a request that failed or was refused."""
 
 from attrs import frozen
 
@@ -7,11 +7,12 @@
 
 @frozen
 class Refusal:
-    """Why there is no answer, returned in its place.
+    """The reason why there is no response, returned in its place.
 
-    ``not_run`` is a promise: true only if no endpoint has seen the request and
-    none will. ``retry_after_s`` tells when a retry may do better, if ever.
-    ``detail`` is one sentence for a person; programs read ``reason``.
+    ``not_run`` is a guarantee: it is true only if no endpoint has received the
+    request and none will. ``retry_after_s`` is the time after which a retry may
+    succeed, or None if no such time is known. ``detail`` is one sentence for people;
+    programs use ``reason``.
     """
 
     reason: Reason
--- a/acaciacove/release_format/__init__.py
+++ b/acaciacove/release_format/__init__.py
@@ -1,1 +1,1 @@
-"""Release notes as YAML: the form in which operators write them."""
+"""Reading, checking and writing of release notes in YAML."""
--- a/acaciacove/release_format/check_note.py
+++ b/acaciacove/release_format/check_note.py
@@ -1,4 +1,4 @@
-"""Whether a release note fits what is in force."""
+"""Checks a release note against the release in force."""
 
 from collections.abc import Iterable, Iterator, Mapping
 
@@ -15,10 +15,12 @@
 
 
 def check_note(document: NoteDocument, state: FleetState) -> list[NoteFault]:
-    """List every name that the release in force and the note do not know.
+    """List the conflicts between a note and the release in force.
 
-    The reducer alone would take a note that allows a model nobody serves, and
-    callers would meet it as refusals; here the operator meets it first.
+    These are a stale base revision, names that are unknown, and names that are
+    declared in the wrong section. The reducer alone would accept a note that allows
+    a model which no version serves, and callers would be refused. This check reports
+    such faults to the operator before publishing.
     """
     path_messages = [
         *_base_revision_faults(document, state),
@@ -91,7 +93,7 @@
 
 
 def _reference_faults(document: NoteDocument, state: FleetState) -> PathMessages:
-    """Check names that declarations refer to."""
+    """Check the APIs, models and versions that declarations refer to."""
     apis = set(state.apis)
     versions = set(state.versions)
     for section in (document.added, document.changed):
@@ -134,7 +136,7 @@
 
 
 def _find_line(document: NoteDocument, path: str) -> int:
-    """Find the line of a path, or of the nearest key above it."""
+    """Return the line of a path, or of its nearest parent that has one."""
     lines: Mapping[str, int] = document.lines
     while path and path not in lines:
         path = path.rpartition(".")[0]
--- a/acaciacove/release_format/declarations.py
+++ b/acaciacove/release_format/declarations.py
@@ -1,4 +1,4 @@
-"""What one half of a release note declares."""
+"""The declarations in one section of a release note."""
 
 from attrs import frozen
 
--- a/acaciacove/release_format/load_nodes.py
+++ b/acaciacove/release_format/load_nodes.py
@@ -1,4 +1,4 @@
-"""From bytes to a tree of YAML nodes, safe against hostile text."""
+"""Parses bytes into a tree of YAML nodes, safely for untrusted input."""
 
 import yaml
 
@@ -12,7 +12,7 @@
 
 
 def load_nodes(data: bytes, max_bytes: int) -> yaml.Node:
-    """Read one YAML document without building objects.
+    """Parse one YAML document into nodes, without constructing Python objects.
 
     Raises InvalidNoteError when the text is too large, not UTF-8, not one YAML
     document, nested too deep, or uses aliases.
@@ -34,7 +34,7 @@
 
 
 def _decode(data: bytes, max_bytes: int) -> str:
-    """Refuse text that is too large before anything looks into it."""
+    """Decode UTF-8; refuses text that is too large before it is parsed."""
     if len(data) > max_bytes:
         message = f"the release note has {len(data)} bytes, the limit is {max_bytes}"
         raise _note_error(0, message)
@@ -48,9 +48,9 @@
 def _check_events(text: str) -> None:
     """Refuse aliases and deep nesting.
 
-    A few hundred bytes of aliases of aliases stand for billions of nodes, and
-    nesting without end exhausts the stack: the command would eat all memory or
-    die without naming a line. Events come one by one, before any tree is built.
+    A few hundred bytes of nested aliases expand to billions of nodes, and very deep
+    nesting exhausts the stack. The command would run out of memory or crash without
+    naming a line. Events are parsed one by one, before any tree is built.
     """
     faults: list[NoteFault] = []
     depth = 0
--- a/acaciacove/release_format/node_readers.py
+++ b/acaciacove/release_format/node_readers.py
@@ -1,7 +1,8 @@
-"""Readers of single YAML values; each notes its faults and goes on.
+"""Readers of single YAML values, which collect faults instead of raising.
 
-A reader takes a node, the path of keys to it and the list of faults, and
-returns the value, or UNREADABLE after a fault.
+A reader takes a node, the path of keys to it and the list of faults. It returns
+the value; if the value has a fault, it adds the fault to the list and returns
+UNREADABLE.
 """
 
 import math
@@ -32,7 +33,7 @@
 
 
 class Unreadable(Enum):
-    """The type of the sentinel that stands for a value with a fault."""
+    """The type of the sentinel returned for a value with a fault."""
 
     UNREADABLE = "unreadable"
 
@@ -43,14 +44,14 @@
 
 @frozen
 class Key:
-    """How the value of a key is read, and whether the key must be there."""
+    """How the value of a key is read, and whether the key is required."""
 
     reader: Reader
     required: bool = False
 
 
 def describe_node(node: Node) -> str:
-    """Name what a node is, for messages."""
+    """Describe the value of a node for a fault message."""
     if isinstance(node, MappingNode):
         return "a mapping"
     if isinstance(node, SequenceNode):
@@ -61,7 +62,7 @@
 
 
 def quote_value(text: str) -> str:
-    """Quote text for a message, control characters escaped and cut to a line."""
+    """Quote text for a message: escapes control characters, cuts long text."""
     quoted = repr(text)
     return (
         quoted
@@ -71,11 +72,11 @@
 
 
 def read_text(node: Node, path: str, faults: FaultList) -> Any:
-    """Read text; numbers and dates count as the text that was written."""
+    """Read text; numbers and dates are read as the text that was written."""
     if isinstance(node, ScalarNode) and node.tag in TEXT_TAGS:
         if CONTROL_CHARACTERS.search(node.value):
-            # Text goes to the terminals of other operators, where an escape
-            # sequence could hide or forge what they are shown.
+            # The text is printed on the terminals of other operators, where an
+            # escape sequence could hide or forge output.
             faults.add(node, path, "control characters are not taken")
             return UNREADABLE
         return node.value
@@ -85,7 +86,7 @@
 
 
 def text_matching(pattern: re.Pattern[str], expected: str) -> Reader:
-    """Make a reader for text of one form."""
+    """Make a reader for text that matches a pattern."""
 
     def read_matching(node: Node, path: str, faults: FaultList) -> Any:
         text = read_text(node, path, faults)
@@ -105,8 +106,8 @@
 def read_digest(node: Node, path: str, faults: FaultList) -> Any:
     """Read a SHA-256 digest.
 
-    Somebody may have pasted the token itself; quoting it in the message would
-    carry a live credential into terminals and logs.
+    The fault message does not quote the value: if an operator pastes the token
+    itself, a valid credential would get into terminals and logs.
     """
     if isinstance(node, ScalarNode) and DIGEST_PATTERN.fullmatch(node.value):
         return node.value
@@ -139,7 +140,7 @@
 
 
 def read_call(node: Node, path: str, faults: FaultList) -> Any:
-    """Read a non-idempotent call such as ``POST /shuttles``."""
+    """Read a rule for non-idempotent calls such as ``POST /shuttles``."""
     text = read_text(node, path, faults)
     if text is UNREADABLE:
         return UNREADABLE
@@ -163,7 +164,7 @@
 
 
 def integer(minimum: int) -> Reader:
-    """Make a reader for whole numbers from a minimum on."""
+    """Make a reader for integers that are not below a minimum."""
 
     def read_integer(node: Node, path: str, faults: FaultList) -> Any:
         text = _unquoted_text(node)
@@ -181,7 +182,7 @@
 
 
 def number(minimum: float, maximum: float = math.inf, above: bool = False) -> Reader:
-    """Make a reader for numbers in a range; ``above`` leaves out the minimum."""
+    """Make a reader for numbers in a range; ``above`` excludes the minimum."""
 
     def read_number(node: Node, path: str, faults: FaultList) -> Any:
         text = _unquoted_text(node)
@@ -198,7 +199,7 @@
 
 
 def one_of(choices: Mapping[str, Any]) -> Reader:
-    """Make a reader for a closed list of words."""
+    """Make a reader for one of a fixed set of words."""
 
     def read_choice(node: Node, path: str, faults: FaultList) -> Any:
         if isinstance(node, ScalarNode) and node.value in choices:
@@ -211,7 +212,7 @@
 
 
 def list_of(reader: Reader) -> Reader:
-    """Make a reader for lists; elements with a fault are left out."""
+    """Make a reader for lists; the result omits elements with a fault."""
 
     def read_list(node: Node, path: str, faults: FaultList) -> Any:
         if not isinstance(node, SequenceNode):
@@ -226,7 +227,7 @@
 
 
 def mapping_of(reader: Reader) -> Reader:
-    """Make a reader for mappings from names to values of one kind."""
+    """Make a reader for mappings from names to values of one type."""
 
     def read_mapping(node: Node, path: str, faults: FaultList) -> Any:
         values = {}
@@ -244,7 +245,10 @@
 def read_keys(
     node: Node, path: str, faults: FaultList, keys: Mapping[str, Key]
 ) -> dict[str, Any] | None:
-    """Read a mapping with known keys; None when a required one is unreadable."""
+    """Read a mapping with known keys.
+
+    Returns None if a required key is missing or unreadable.
+    """
     values = {}
     for name, key_node, value_node in pairs(node, path, faults):
         key_path = join(path, name)
@@ -264,7 +268,7 @@
 
 
 def pairs(node: Node, path: str, faults: FaultList) -> list[tuple[str, Node, Node]]:
-    """List a mapping's keys with their nodes; a key twice is a fault."""
+    """List a mapping's keys with key and value nodes; duplicates are faults."""
     if not isinstance(node, MappingNode):
         faults.add(node, path, f"expected a mapping, found {describe_node(node)}")
         return []
@@ -281,13 +285,13 @@
 
 
 def join(path: str, name: str) -> str:
-    """Write the path of a key below another."""
+    """Append a key to a path of keys; quotes a key with unusual characters."""
     name = name if KEY_PATTERN.fullmatch(name) else quote_value(name)
     return f"{path}.{name}" if path else name
 
 
 def _unquoted_text(node: Node) -> str | None:
-    """Return the text of a scalar without quotes, else None."""
+    """Return the text of a scalar that is written without quotes, else None."""
     if isinstance(node, ScalarNode) and node.style not in ("'", '"', "|", ">"):
         return str(node.value)
     return None
--- a/acaciacove/release_format/note_document.py
+++ b/acaciacove/release_format/note_document.py
@@ -1,4 +1,4 @@
-"""A release note as it is written, before it has a base."""
+"""A release note as an operator writes it."""
 
 from attrs import field, frozen
 
@@ -9,11 +9,11 @@
 
 @frozen
 class NoteDocument:
-    """A release note that tells added from changed.
+    """A release note with separate sections for added and changed declarations.
 
-    ``based_on`` is None when the operator leaves it to the moment of publishing.
-    ``lines`` maps a path of keys to the line where it stands; it tells where a
-    fault is and is no part of the note.
+    If the operator gives no ``based_on``, it is None and is set at publishing.
+    ``lines`` maps a path of keys to its line in the text. It serves to locate
+    faults and is not part of the note.
     """
 
     note_id: str
@@ -27,7 +27,7 @@
     lines: dict[str, int] = field(factory=dict, eq=False, repr=False)
 
     def release_note(self, based_on: int, operator: str = "") -> ReleaseNote:
-        """Make the record; what the document itself says goes first."""
+        """Convert to a record; values of the document override the arguments."""
         return ReleaseNote(
             note_id=self.note_id,
             based_on=based_on if self.based_on is None else self.based_on,
--- a/acaciacove/release_format/note_fault.py
+++ b/acaciacove/release_format/note_fault.py
@@ -1,13 +1,13 @@
-"""One fault in a release note, and its place."""
+"""One fault in a release note, with its line and path."""
 
 from attrs import frozen
 
 
 @frozen
 class NoteFault:
-    """What is wrong, at which line (from 1) and under which path of keys.
+    """A fault message with its line, counted from 1, and its path of keys.
 
-    Line 0 stands for a fault that the text as a whole has.
+    Line 0 means that the fault concerns the entire text.
     """
 
     line: int
@@ -15,11 +15,11 @@
     message: str
 
     def __str__(self) -> str:
-        """Write the fault as one line."""
+        """Format the fault as one line."""
         place = f"{self.path}: " if self.path else ""
         return f"line {self.line}: {place}{self.message}"
 
 
 def text_position(fault: NoteFault) -> tuple[int, str]:
-    """Order faults as they stand in the text."""
+    """Return a key that sorts faults by their position in the text."""
     return fault.line, fault.path
--- a/acaciacove/release_format/read_note.py
+++ b/acaciacove/release_format/read_note.py
@@ -1,4 +1,4 @@
-"""From YAML to a release note, or to the list of all its faults."""
+"""Reads a release note from YAML and reports all of its faults."""
 
 from typing import Any
 
@@ -139,10 +139,10 @@
 
 
 def _find_duplicates(root: Node, faults: FaultList) -> None:
-    """Refuse names that stand twice, be it as added, changed or withdrawn.
+    """Add a fault for each name that is declared or withdrawn more than once.
 
-    A version that is both added and withdrawn would run or not by the order in
-    which a reader takes the two lists.
+    For a version that is both added and withdrawn, the result would depend on the
+    order in which the two lists are processed.
     """
     paths: dict[tuple[str, str], list[str]] = {}
     for section, section_node in _key_values(root):
@@ -162,7 +162,7 @@
 
 
 def _item_name(node: Node) -> str | None:
-    """Return the name of a withdrawal, or the ``name`` or ``id`` of a declaration."""
+    """Return the withdrawn name, or the ``name`` or ``id`` of a declaration."""
     if isinstance(node, ScalarNode):
         return str(node.value)
     for key, value in _key_values(node):
@@ -172,7 +172,7 @@
 
 
 def _key_values(node: Node) -> list[tuple[str, Node]]:
-    """List the pairs of a mapping; nothing for other nodes."""
+    """List the keys and value nodes of a mapping; empty for other nodes."""
     if not isinstance(node, MappingNode):
         return []
     return [(str(key.value), value) for key, value in node.value]
--- a/acaciacove/release_format/write_note.py
+++ b/acaciacove/release_format/write_note.py
@@ -1,4 +1,4 @@
-"""From a release note, or from what is in force, to YAML."""
+"""Writes a release note, or the state in force, as YAML."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -20,7 +20,7 @@
 
 
 def write_document(document: NoteDocument) -> str:
-    """Write a release note as YAML; values that equal their default are left out."""
+    """Write a release note as YAML; omits optional values equal to the default."""
     tree: dict[str, Any] = {"note": document.note_id}
     if document.based_on is not None:
         tree["based_on"] = document.based_on
@@ -44,7 +44,11 @@
 
 
 def document_from_note(note: ReleaseNote, state: FleetState) -> NoteDocument:
-    """Tell added from changed by what was in force before the note."""
+    """Convert a record to a document.
+
+    ``state`` is the state in force before the note. A declaration whose name is in
+    force there is listed as changed, any other as added.
+    """
     live = [v.id for v in state.versions.values() if not v.withdrawn]
     apis = _partition(note.apis, lambda api: api.name in state.apis)
     versions = _partition(note.versions, lambda version: version.id in live)
@@ -64,7 +68,7 @@
 
 
 def document_in_force(state: FleetState) -> NoteDocument:
-    """Write what is in force as the one note that would declare it."""
+    """Return a single note that declares the entire state in force."""
     versions = tuple(v for v in state.versions.values() if not v.withdrawn)
     return NoteDocument(
         note_id=f"in-force-{max(state.release_revision, 0)}",
@@ -75,7 +79,7 @@
 
 
 def _partition(items: Iterable[Any], is_known: Any) -> tuple[tuple[Any, ...], ...]:
-    """Part items into unknown and known ones."""
+    """Split items into those that are not known and those that are."""
     listed = list(items)
     unknown_items = tuple(item for item in listed if not is_known(item))
     return unknown_items, tuple(item for item in listed if is_known(item))
@@ -102,7 +106,7 @@
 
 
 def _declaration_fields(item: Api | Version | Organisation) -> dict[str, Any]:
-    """Write the fields of one declaration."""
+    """Return the fields of one declaration as plain values."""
     tree: dict[str, Any] = {}
     for attribute in fields(type(item)):
         value = getattr(item, attribute.name)
@@ -115,7 +119,7 @@
 
 
 def plain_value(value: Any) -> Any:
-    """Write a value in the words of the format."""
+    """Convert a value to plain values that YAML can represent."""
     if isinstance(value, VersionId):
         return str(value)
     if isinstance(value, tuple):
--- a/acaciacove/settings/__init__.py
+++ b/acaciacove/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Checked settings objects, passed whole."""
+"""Settings of commands and processes, checked on construction."""
--- a/acaciacove/settings/bench_settings.py
+++ b/acaciacove/settings/bench_settings.py
@@ -15,9 +15,9 @@
 
 @frozen
 class BenchSettings(CheckedSettings):
-    """Which bench to run, and its load; None takes the bench's own default.
+    """Which benchmark to run, and its load; None means the benchmark's default.
 
-    ``rounds`` and ``break_promise`` are for ``promises`` alone.
+    ``rounds`` and ``break_promise`` apply to the benchmark ``promises`` only.
     """
 
     bench: str = field(metadata=check(is_name))
--- a/acaciacove/settings/checked_settings.py
+++ b/acaciacove/settings/checked_settings.py
@@ -1,4 +1,4 @@
-"""The base of all settings: checked whole when they are made."""
+"""The base class of all settings, which checks them on construction."""
 
 from attrs import fields, frozen
 
@@ -7,7 +7,7 @@
 
 
 def field_faults(cls: type, values: dict[str, object]) -> list[str]:
-    """List what is wrong with single values, one sentence each."""
+    """List the faults of single values, one sentence each."""
     faults = []
     for attribute in fields(cls):
         check: Check | None = attribute.metadata.get(CHECK)
@@ -21,19 +21,19 @@
 
 @frozen
 class CheckedSettings:
-    """Settings that cannot be made with a fault in them.
+    """Settings that are valid once constructed.
 
-    Raises InvalidSettingsError with every fault at once, so that nobody mends
-    one setting, restarts, and finds the next.
+    Construction raises InvalidSettingsError with all faults, so that an operator
+    need not correct one setting and restart to find the next fault.
     """
 
     def __attrs_post_init__(self) -> None:
-        """Check every field, then what holds between them."""
+        """Check each field, then the constraints between fields."""
         values = {a.name: getattr(self, a.name) for a in fields(type(self))}
         faults = field_faults(type(self), values) + self.cross_field_faults()
         if faults:
             raise InvalidSettingsError(faults)
 
     def cross_field_faults(self) -> list[str]:
-        """List what is wrong between fields; none unless a class says so."""
+        """List violated constraints between fields; subclasses override this."""
         return []
--- a/acaciacove/settings/checks.py
+++ b/acaciacove/settings/checks.py
@@ -1,4 +1,4 @@
-"""Checks of single values; each returns what is wrong, or None."""
+"""Checks of single values; each returns a fault message or None."""
 
 import math
 from collections.abc import Callable
@@ -15,12 +15,12 @@
 
 
 def check(value_check: Check) -> dict[str, Check]:
-    """Make field metadata that names the check of the field."""
+    """Make the field metadata that holds the check of a field."""
     return {CHECK: value_check}
 
 
 def is_name(value: str) -> str | None:
-    """Accept text without blanks."""
+    """Accept text that is not empty and contains no white space."""
     if not value:
         return "must not be empty"
     if any(c.isspace() for c in value):
@@ -29,7 +29,7 @@
 
 
 def is_ip_address(value: str) -> str | None:
-    """Accept an IPv4 or IPv6 number; processes look up no names."""
+    """Accept an IPv4 or IPv6 address; processes do not resolve host names."""
     try:
         ip_address(value)
     except ValueError:
@@ -45,12 +45,12 @@
 
 
 def is_url_or_empty(value: str) -> str | None:
-    """Accept an HTTP URL with a host, or nothing."""
+    """Accept an HTTP URL with a host, or empty text."""
     if not value:
         return None
     try:
         parts = urlsplit(value)
-        parts.port  # noqa: B018  # raises when the port is no number
+        parts.port  # noqa: B018  # raises if the port is invalid
     except ValueError as error:
         return f"must be an HTTP URL, not {value!r} ({error})"
     if parts.scheme in URL_SCHEMES and parts.hostname:
@@ -76,14 +76,14 @@
 
 
 def is_secret(value: str) -> str | None:
-    """Accept no secret, or one that cannot be guessed; never prints it."""
+    """Accept empty text, or a secret too long to guess; never quotes it."""
     if not value or len(value) >= MIN_SECRET_LENGTH:
         return None
     return f"must have at least {MIN_SECRET_LENGTH} characters"
 
 
 def at_least(minimum: int) -> Check:
-    """Make a check for numbers from a minimum on."""
+    """Make a check for numbers that are not below a minimum."""
 
     def check_minimum(value: float) -> str | None:
         return None if value >= minimum else f"must be {minimum} or more, not {value}"
@@ -92,7 +92,7 @@
 
 
 def optional(value_check: Check) -> Check:
-    """Make a check that takes None, or what another check takes."""
+    """Make a check that accepts None, or what another check accepts."""
 
     def check_optional(value: Any) -> str | None:
         return None if value is None else value_check(value)
@@ -101,7 +101,7 @@
 
 
 def one_of(*choices: str) -> Check:
-    """Make a check for a closed list of words."""
+    """Make a check for one of a fixed set of words."""
 
     def check_choice(value: str) -> str | None:
         listed = ", ".join(choices)
--- a/acaciacove/settings/decision_settings.py
+++ b/acaciacove/settings/decision_settings.py
@@ -8,10 +8,10 @@
 
 @frozen
 class DecisionSettings(CheckedSettings):
-    """The zone or instance that is taken out or in, and the log to say it in.
+    """The zone or instance to take out of or back into service, and the log.
 
-    ``decision_id`` makes a repeat harmless: a decision whose id is in the log
-    is not appended again. Empty means a fresh one.
+    ``decision_id`` makes the command idempotent: a decision whose id is already in
+    the log is not appended again. If it is empty, a new id is generated.
     """
 
     name: str = field(metadata=check(is_name))
--- a/acaciacove/settings/diff_settings.py
+++ b/acaciacove/settings/diff_settings.py
@@ -9,7 +9,7 @@
 
 @frozen
 class DiffSettings(CheckedSettings):
-    """A release note's file, and the log that tells what is in force."""
+    """The file of a release note, and the log that holds the release in force."""
 
     file: str = field()
     log_url: str = field(metadata=check(is_url))
--- a/acaciacove/settings/entry_settings.py
+++ b/acaciacove/settings/entry_settings.py
@@ -18,11 +18,11 @@
 
 @frozen
 class EntrySettings(CheckedSettings):
-    """Everything an entry knows before it starts.
+    """The configuration of an entry at start.
 
-    Callers speak HTTP to ``host:http_port``, other processes of the system speak
-    to ``host:peer_port`` (TCP for messages, UDP for digests). The URLs name
-    platform services; an empty one switches that service off.
+    The entry serves HTTP for callers on ``host:http_port``, and other processes of
+    the system on ``host:peer_port`` (TCP for messages, UDP for digests). The URLs
+    are those of platform services; an empty URL disables the service.
     """
 
     name: str = field(metadata=check(is_name))
@@ -47,12 +47,12 @@
     seed: int = 0
 
     def cross_field_faults(self) -> list[str]:
-        """List what is wrong between fields."""
+        """List violated constraints between fields."""
         return port_faults(self.http_port, self.peer_port)
 
 
 def port_faults(http_port: int, peer_port: int) -> list[str]:
-    """Refuse one port for two listeners, of which the second would not start."""
+    """Refuse the same port for two listeners: the second could not bind to it."""
     if http_port and http_port == peer_port:
         return [f"http_port and peer_port must differ, both are {http_port}"]
     return []
--- a/acaciacove/settings/explain_settings.py
+++ b/acaciacove/settings/explain_settings.py
@@ -7,10 +7,10 @@
 
 @frozen
 class ExplainSettings(CheckedSettings):
-    """The request to tell about, and files of log lines (``-`` is standard input).
+    """The request to explain, and files of log lines (``-`` is standard input).
 
-    With ``summary`` or ``losses`` no request is named, and the first word is a file as
-    well.
+    With ``summary`` or ``losses`` there is no request: the first argument, stored in
+    ``request_id``, is a file as well.
     """
 
     request_id: str = field()
@@ -19,7 +19,7 @@
     losses: bool = False
 
     def cross_field_faults(self) -> list[str]:
-        """Ask for a file."""
+        """Require a file."""
         if not self.covers_all_requests and not self.files:
             return ["FILE is missing: name files of log lines, or -"]
         return []
@@ -33,5 +33,5 @@
 
     @property
     def covers_all_requests(self) -> bool:
-        """Tell whether all requests are summed instead of one told about."""
+        """Return whether to summarise all requests instead of explaining one."""
         return self.summary or self.losses
--- a/acaciacove/settings/file_settings.py
+++ b/acaciacove/settings/file_settings.py
@@ -10,7 +10,7 @@
 
 @frozen
 class FileSettings(CheckedSettings):
-    """A release note's file, ``-`` for standard input, and its size limit.
+    """The file of a release note (``-`` is standard input) and its size limit.
 
     With a ``log_url`` the note is also checked against the release in force.
     """
--- a/acaciacove/settings/gateway_settings.py
+++ b/acaciacove/settings/gateway_settings.py
@@ -15,7 +15,7 @@
 
 
 def is_ip_and_port(value: str) -> str | None:
-    """Accept an IP number and a port."""
+    """Accept an IP address and a port, written IP:PORT."""
     host, _, port = value.rpartition(":")
     if not port.isdigit():
         return f"must be written IP:PORT, not {value!r}"
@@ -24,18 +24,22 @@
 
 @frozen
 class GatewaySettings(CheckedSettings):
-    """Everything a gateway knows before it starts.
+    """The configuration of a gateway at start.
 
-    The promises to operators (``revocation_s`` and those below) are bounds that
-    hold over all gateways together; what one gateway does within them is decided
-    in ``acaciacove.gateway``. ``propagation_s`` is the time within which a decision is
-    in force everywhere, ``drain_s`` that after which a leaving endpoint is sent nothing
-    more. Endpoints send a heartbeat each ``heartbeat_s``; their entries lapse after
-    three that are missing. ``answer_value_per_1k_tokens`` is what a good answer is
-    worth for each 1,000 tokens that it is charged for, in the unit of the catalogue's
-    prices: what a model's price is weighed against. ``region_of_zone`` maps
-    availability zones. Metrics are served on ``host:metrics_port``, the port that
-    Prometheus exporters commonly use.
+    The guarantees to operators (``revocation_s`` and the fields below it) are bounds
+    on all gateways together. How a single gateway stays within them is decided in
+    ``acaciacove.gateway``.
+
+    ``propagation_s`` is the time within which a decision is in force everywhere.
+    ``drain_s`` is the time after which a draining endpoint is sent no more requests.
+    Endpoints send a heartbeat every ``heartbeat_s``; their entries expire after three
+    missed heartbeats.
+
+    ``answer_value_per_1k_tokens`` is the value of a good answer per 1,000 tokens that
+    it is charged for, in the unit of the catalogue's prices. A model's price is
+    weighed against it. ``region_of_zone`` maps each availability zone to its region.
+    Metrics are served on ``host:metrics_port``; the default is a port that Prometheus
+    exporters commonly use.
     """
 
     name: str = field(metadata=check(is_name))
@@ -66,5 +70,5 @@
 
     @property
     def metrics_address(self) -> str:
-        """Where metrics are served, as IP:PORT."""
+        """The address at which metrics are served, as IP:PORT."""
         return f"{self.host}:{self.metrics_port}"
--- a/acaciacove/settings/help_settings.py
+++ b/acaciacove/settings/help_settings.py
@@ -7,6 +7,6 @@
 
 @frozen
 class HelpSettings(CheckedSettings):
-    """The page whose tables are brought up to date; empty prints them."""
+    """The page whose tables are updated; if empty, the tables are printed."""
 
     page: str = ""
--- a/acaciacove/settings/load_settings.py
+++ b/acaciacove/settings/load_settings.py
@@ -14,13 +14,14 @@
 
 @frozen
 class LoadSettings(CheckedSettings):
-    """What callers send, to whom, and for how long.
+    """The requests of a load run, their target and their duration.
 
-    ``entry_url`` is one entry or the balancer. ``callers`` send one request after
-    another until ``requests`` were sent in all or ``seconds`` are over. A
-    ``chat_share`` of them goes to ``chat_api`` (an API or ``model@version``), the
-    rest are calls of ``service_path`` of ``service_api`` with a fresh key each.
-    ``check_text`` compares answers with the text that stand-ins generate.
+    ``entry_url`` is the URL of an entry or of the load balancer. Each of ``callers``
+    sends one request at a time, until ``requests`` have been sent in total or
+    ``seconds`` have passed. A share ``chat_share`` of the requests goes to
+    ``chat_api`` (an API or ``model@version``). The others call ``service_path`` of
+    ``service_api``, each with a new idempotency key. ``check_text`` compares the
+    answers with the text that stand-ins generate.
     """
 
     entry_url: str = field(metadata=check(is_url))
--- a/acaciacove/settings/no_settings.py
+++ b/acaciacove/settings/no_settings.py
@@ -1,4 +1,4 @@
-"""Settings of commands that have none."""
+"""Settings of commands without options."""
 
 from attrs import frozen
 
@@ -7,4 +7,4 @@
 
 @frozen
 class NoSettings(CheckedSettings):
-    """Nothing to set: the command brings all that it needs."""
+    """Empty settings, for a command that has no options."""
--- a/acaciacove/settings/publish_settings.py
+++ b/acaciacove/settings/publish_settings.py
@@ -9,9 +9,10 @@
 
 @frozen
 class PublishSettings(CheckedSettings):
-    """A release note's file, the log that takes it, and how long to try.
+    """The file of a release note, the log to append it to, and the time-out.
 
-    ``timeout_s`` bounds how long the log is tried before the outcome is unknown.
+    ``timeout_s`` limits how long the command tries to append the note. After that the
+    outcome may be unknown.
     """
 
     file: str = field()
--- a/acaciacove/settings/show_settings.py
+++ b/acaciacove/settings/show_settings.py
@@ -8,7 +8,7 @@
 
 @frozen
 class ShowSettings(CheckedSettings):
-    """The log to read, how many past records to list, and the form."""
+    """The log to read, how many past records to list, and the output format."""
 
     log_url: str = field(metadata=check(is_url))
     history: int = field(default=10, metadata=check(at_least(0)))
--- a/acaciacove/settings/sidecar_settings.py
+++ b/acaciacove/settings/sidecar_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one sidecar, which stands beside one endpoint instance."""
+"""Settings of one sidecar, which runs next to one endpoint instance."""
 
 from attrs import field, frozen
 
@@ -19,10 +19,11 @@
 
 @frozen
 class SidecarSettings(CheckedSettings):
-    """Everything a sidecar knows before it starts.
+    """The configuration of a sidecar at start.
 
-    ``endpoint_url`` is the only endpoint it speaks to; ``versions`` are those the
-    endpoint serves at the start. ``http_port`` serves metrics and probes only.
+    ``endpoint_url`` is the only endpoint that the sidecar sends requests to, and
+    ``versions`` are those that this endpoint serves at start. ``http_port`` serves
+    metrics and probes only.
     """
 
     name: str = field(metadata=check(is_name))
@@ -44,5 +45,5 @@
     seed: int = 0
 
     def cross_field_faults(self) -> list[str]:
-        """List what is wrong between fields."""
+        """List violated constraints between fields."""
         return port_faults(self.http_port, self.peer_port)
--- a/acaciacove/settings/soak_settings.py
+++ b/acaciacove/settings/soak_settings.py
@@ -7,7 +7,7 @@
 
 
 def is_number_list(value: str) -> str | None:
-    """Accept nothing, or whole numbers joined by commas."""
+    """Accept empty text, or non-negative integers separated by commas."""
     if not value or all(part.isdigit() for part in value.split(",")):
         return None
     return f"must be numbers joined by commas, not {value!r}"
@@ -15,11 +15,12 @@
 
 @frozen
 class SoakSettings(CheckedSettings):
-    """How long a soak runs, with how many processes, and under which faults.
+    """The duration, processes and faults of a soak test.
 
-    The plan of faults depends on ``seed`` and ``seconds`` alone. ``only`` plays the
-    faults with these numbers of the plan and leaves out the others; ``shorten`` looks
-    for few that still break a promise, once the whole plan did.
+    The schedule of faults depends on ``seed`` and ``seconds`` only. ``only`` limits
+    the run to the faults with these numbers in the schedule. If the complete schedule
+    violates a guarantee, ``shorten`` searches for a small subset of its faults that
+    still does.
     """
 
     seed: int = 1
--- a/acaciacove/settings/status_settings.py
+++ b/acaciacove/settings/status_settings.py
@@ -8,7 +8,7 @@
 
 @frozen
 class StatusSettings(CheckedSettings):
-    """Where to read the fleet, and how long one instance may take to answer."""
+    """The platform services to read, and the time-out per instance."""
 
     log_url: str = field(metadata=check(is_url))
     instance_list_url: str = field(metadata=check(is_url))
--- a/tests/test_release_format.py
+++ b/tests/test_release_format.py
@@ -1,4 +1,4 @@
-"""Release notes in YAML: what is written is what is read, and faults have places."""
+"""Tests of release notes in YAML: round trips, and faults with line and path."""
 
 from pathlib import Path
 
@@ -119,8 +119,8 @@
 
 
 def test_every_fault_is_listed_with_its_line_and_path():
-    # An operator writes a note by hand at short notice and gets several things
-    # wrong. A first fault alone would cost him a round for each of the others.
+    # A note written by hand may have several faults. If only the first were reported,
+    # the operator would need one more attempt for each of the others.
     text = """\
 note: yes
 colour: red
@@ -163,8 +163,8 @@
 
 
 def test_a_version_that_is_added_and_withdrawn_is_refused():
-    # Two people edit one note, one adds a version, the other withdraws it. Which
-    # of the two holds would depend on the order in which a reader takes the lists.
+    # Two people edit one note: one adds a version, the other withdraws it. The result
+    # would depend on the order in which the two lists are processed.
     text = """\
 note: n
 added:
@@ -192,8 +192,8 @@
 
 
 def test_nested_aliases_are_refused_before_expansion():
-    # Nine lines of aliases stand for a billion elements. A reader that follows
-    # them eats all memory, on the machine of the operator who only validates it.
+    # Nine lines of aliases expand to ten billion elements. A reader that follows them
+    # exhausts the memory of the operator's machine, even if the note is only validated.
     lines = ["a0: &a0 [x, x, x, x, x, x, x, x, x, x]"]
     for level in range(1, 10):
         items = ", ".join([f"*a{level - 1}"] * 10)
@@ -203,16 +203,16 @@
 
 
 def test_deep_nesting_is_refused():
-    # Deep nesting exhausts the stack of a recursive reader and ends the command
-    # without a word on what is wrong.
+    # Deep nesting exhausts the stack of a recursive reader and crashes the command
+    # without an error message.
     assert faults_of("[" * 50) == [(1, "", "nested deeper than 12")]
     (fault,) = faults_of("[" * 50_000)
     assert fault[0] == 1
 
 
 def test_token_in_place_of_its_digest_is_not_quoted():
-    # An operator pastes the token itself. A message that quotes it would carry a
-    # live credential into terminals and the logs of CI.
+    # An operator pastes the token itself instead of its digest. A message that quotes
+    # it would put a valid credential into terminals and CI logs.
     text = "note: n\nadded:\n  organisations:\n    - name: a\n"
     text += "      allowed: {}\n      token_sha256: [secret-token]\n"
     ((line, _, message),) = faults_of(text)
@@ -238,16 +238,17 @@
 
 
 def test_escape_sequences_are_refused_and_not_repeated():
-    # A summary that moves the cursor could hide a withdrawal from whoever looks at
-    # the history.
+    # A summary that moves the cursor could hide a withdrawal from an operator who
+    # lists the history.
     faults = faults_of('note: n\nsummary: "a\\e[2Jb"\n"\\e[1A": 1\n')
     assert [fault[:2] for fault in faults] == [(2, "summary"), (3, "")]
     assert not any("\x1b" in "".join(map(str, fault)) for fault in faults)
 
 
 def test_unknown_names_are_refused_with_line_and_path():
-    # A note allows a model that nobody serves, or changes a version that was
-    # never released. Callers would meet it as refusals; its operator must first.
+    # A note allows a model that no version serves, or changes a version that was never
+    # released. Without this check callers would be refused; the operator must see the
+    # faults before publishing.
     text = b"""\
 note: n
 based_on: 7
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are read from flags and environment variables and checked whole."""
+"""Tests of settings read from flags and environment variables."""
 
 from pathlib import Path
 
@@ -40,8 +40,8 @@
 
 
 def test_all_faults_are_listed_under_their_flag_or_variable():
-    # An operator mends one setting, restarts a daemon, and meets the next fault;
-    # with a dozen instances to start that is an evening. All come together.
+    # If only the first fault were reported, an operator would have to correct one
+    # setting and restart the daemon to see the next, on each of a dozen instances.
     args = [
         *ENTRY_ARGS[:-3],
         "--http_port=x",
--- a/tests/virtual.py
+++ b/tests/virtual.py
@@ -1,10 +1,10 @@
-"""Runs coroutines of tests under a virtual clock."""
+"""Runs coroutines of tests on an event loop with a virtual clock."""
 
 import async_solipsism
 
 
 def run_virtual(main, timeout_s=100_000.0):
-    """Run a coroutine function to its end; its time passes without waiting."""
+    """Run a coroutine function until it returns; its sleeps take no real time."""
     import asyncio
 
     loop = async_solipsism.EventLoop()
