--- a/acaciacove/release_format/load_nodes.py
+++ b/acaciacove/release_format/load_nodes.py
@@ -1,4 +1,4 @@
-"""From bytes to a tree of YAML nodes, safe against hostile text."""
+"""Parses bytes into a tree of YAML nodes, safely for untrusted input."""
 
 import yaml
 
@@ -12,7 +12,7 @@
 
 
 def load_nodes(data: bytes, max_bytes: int) -> yaml.Node:
-    """Read one YAML document without building objects.
+    """Parse one YAML document into nodes, without constructing Python objects.
 
     Raises InvalidNoteError when the text is too large, not UTF-8, not one YAML
     document, nested too deep, or uses aliases.
@@ -23,32 +23,34 @@
         node = yaml.compose(text, Loader=_Loader)
     except yaml.MarkedYAMLError as error:
         line = error.problem_mark.line + FIRST_LINE if error.problem_mark else 0
-        raise _invalid(line, f"not valid YAML: {error.problem}") from error
+        raise _note_error(line, f"not valid YAML: {error.problem}") from error
     except yaml.YAMLError as error:
-        raise _invalid(0, f"not valid YAML: {' '.join(str(error).split())}") from error
+        raise _note_error(
+            0, f"not valid YAML: {' '.join(str(error).split())}"
+        ) from error
     if node is None:
-        raise _invalid(0, "the release note is empty")
+        raise _note_error(0, "the release note is empty")
     return node
 
 
 def _decode(data: bytes, max_bytes: int) -> str:
-    """Refuse text that is too large before anything looks into it."""
+    """Decode UTF-8; refuses text that is too large before it is parsed."""
     if len(data) > max_bytes:
         message = f"the release note has {len(data)} bytes, the limit is {max_bytes}"
-        raise _invalid(0, message)
+        raise _note_error(0, message)
     try:
         return data.decode("utf-8")
     except UnicodeDecodeError as error:
         line = data.count(b"\n", 0, error.start) + FIRST_LINE
-        raise _invalid(line, "not UTF-8 text") from error
+        raise _note_error(line, "not UTF-8 text") from error
 
 
 def _check_events(text: str) -> None:
     """Refuse aliases and deep nesting.
 
-    A few hundred bytes of aliases of aliases stand for billions of nodes, and
-    nesting without end exhausts the stack: the command would eat all memory or
-    die without naming a line. Events come one by one, before any tree is built.
+    A few hundred bytes of nested aliases expand to billions of nodes, and very deep
+    nesting exhausts the stack. The command would run out of memory or crash without
+    naming a line. Events are parsed one by one, before any tree is built.
     """
     faults: list[NoteFault] = []
     depth = 0
@@ -75,5 +77,5 @@
     return event.start_mark.line + FIRST_LINE if event.start_mark else 0
 
 
-def _invalid(line: int, message: str) -> InvalidNoteError:
+def _note_error(line: int, message: str) -> InvalidNoteError:
     return InvalidNoteError([NoteFault(line, "", message)])
--- a/acaciacove/settings/explain_settings.py
+++ b/acaciacove/settings/explain_settings.py
@@ -7,10 +7,10 @@
 
 @frozen
 class ExplainSettings(CheckedSettings):
-    """The request to tell about, and files of log lines (``-`` is standard input).
+    """The request to explain, and files of log lines (``-`` is standard input).
 
-    With ``summary`` or ``losses`` no request is named, and the first word is a file as
-    well.
+    With ``summary`` or ``losses`` there is no request: the first argument, stored in
+    ``request_id``, is a file as well.
     """
 
     request_id: str = field()
@@ -18,18 +18,20 @@
     summary: bool = False
     losses: bool = False
 
-    def relation_faults(self) -> list[str]:
-        """Ask for a file."""
-        if not self.is_table and not self.files:
+    def cross_field_faults(self) -> list[str]:
+        """Require a file."""
+        if not self.covers_all_requests and not self.files:
             return ["FILE is missing: name files of log lines, or -"]
         return []
 
     @property
     def all_files(self) -> tuple[str, ...]:
         """The files to read."""
-        return (self.request_id, *self.files) if self.is_table else self.files
+        return (
+            (self.request_id, *self.files) if self.covers_all_requests else self.files
+        )
 
     @property
-    def is_table(self) -> bool:
-        """Tell whether all requests are summed instead of one told about."""
+    def covers_all_requests(self) -> bool:
+        """Return whether to summarise all requests instead of explaining one."""
         return self.summary or self.losses
--- a/acaciacove/settings/sidecar_settings.py
+++ b/acaciacove/settings/sidecar_settings.py
@@ -1,4 +1,4 @@
-"""Settings of one sidecar, which stands beside one endpoint instance."""
+"""Settings of one sidecar, which runs next to one endpoint instance."""
 
 from attrs import field, frozen
 
@@ -7,7 +7,7 @@
 from acaciacove.settings.checks import (
     at_least,
     check,
-    is_ip_number,
+    is_ip_address,
     is_name,
     is_port,
     is_positive,
@@ -19,16 +19,17 @@
 
 @frozen
 class SidecarSettings(CheckedSettings):
-    """Everything a sidecar knows before it starts.
+    """The configuration of a sidecar at start.
 
-    ``endpoint_url`` is the only endpoint it speaks to; ``versions`` are those the
-    endpoint serves at the start. ``http_port`` serves metrics and probes only.
+    ``endpoint_url`` is the only endpoint that the sidecar sends requests to, and
+    ``versions`` are those that this endpoint serves at start. ``http_port`` serves
+    metrics and probes only.
     """
 
     name: str = field(metadata=check(is_name))
     region: str = field(metadata=check(is_name))
     availability_zone: str = field(metadata=check(is_name))
-    host: str = field(metadata=check(is_ip_number))
+    host: str = field(metadata=check(is_ip_address))
     http_port: int = field(metadata=check(is_port))
     peer_port: int = field(metadata=check(is_port))
     endpoint_url: str = field(metadata=check(is_url))
@@ -43,6 +44,6 @@
     claim_window_s: float = field(default=86_400.0, metadata=check(is_positive))
     seed: int = 0
 
-    def relation_faults(self) -> list[str]:
-        """List what is wrong between fields."""
+    def cross_field_faults(self) -> list[str]:
+        """List violated constraints between fields."""
         return port_faults(self.http_port, self.peer_port)
--- a/tests/test_background.py
+++ b/tests/test_background.py
@@ -34,7 +34,7 @@
             task.done() or "swallow_cancellations" not in repr(task) for task in others
         )
 
-    run_virtual(main, limit_s=30.0)
+    run_virtual(main, timeout_s=30.0)
 
 
 def test_exception_in_a_task_ends_the_block():
@@ -47,4 +47,4 @@
             async with background(faulty()):
                 await asyncio.sleep(60.0)
 
-    run_virtual(main, limit_s=30.0)
+    run_virtual(main, timeout_s=30.0)
