--- a/acaciacove/cli/append_once.py
+++ b/acaciacove/cli/append_once.py
@@ -42,7 +42,7 @@
         raise PlatformUnavailableError("nothing was appended")
     with suppress(TimeoutError):
         async with asyncio.timeout(READ_BACK_S):
-            await _catch_up_at_last(history, log)
+            await _catch_up_with_retries(history, log)
     return AppendOutcome(history.find(record_id(record)))
 
 
@@ -62,7 +62,7 @@
         )
 
 
-async def _catch_up_at_last(history: History, log: PlatformLog) -> None:
+async def _catch_up_with_retries(history: History, log: PlatformLog) -> None:
     """Read to the end of the stream, however often the log fails meanwhile."""
     while True:
         try:
--- a/acaciacove/cli/argument.py
+++ b/acaciacove/cli/argument.py
@@ -7,10 +7,10 @@
 class Argument:
     """An argument's name, which is that of a settings field, and its help.
 
-    ``many`` arguments, always the last, take every word that is left.
+    ``variadic`` arguments, always the last, take every word that is left.
     """
 
     name: str
     metavar: str
     help: str
-    many: bool = False
+    variadic: bool = False
--- a/acaciacove/cli/decide.py
+++ b/acaciacove/cli/decision_command.py
@@ -29,28 +29,28 @@
 def zone_decision(out: bool) -> MakeDecision:
     """Make availability zone decisions of one kind."""
 
-    def make(decision_id: str, settings: DecisionSettings) -> Decision:
+    def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return ZoneDecision(decision_id, settings.name, out, settings.operator)
 
-    return make
+    return make_decision
 
 
 def instance_decision(out: bool) -> MakeDecision:
     """Make instance decisions of one kind."""
 
-    def make(decision_id: str, settings: DecisionSettings) -> Decision:
+    def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return InstanceDecision(decision_id, settings.name, out, settings.operator)
 
-    return make
+    return make_decision
 
 
-def decide(
-    make: MakeDecision,
+def decision_command(
+    make_decision: MakeDecision,
 ) -> Callable[[DecisionSettings, Environment], ExitStatus]:
     """Make the command that appends one kind of decision."""
 
     def run(settings: DecisionSettings, env: Environment) -> ExitStatus:
-        decision = make(settings.decision_id or new_id(env.random), settings)
+        decision = make_decision(settings.decision_id or new_id(env.random), settings)
         outcome = asyncio.run(_append(decision, settings, env))
         _print(decision, outcome, settings, env)
         if outcome.found is None:
@@ -84,7 +84,7 @@
     env: Environment,
 ) -> None:
     found = outcome.found
-    way = "out" if decision.out else "in"
+    direction = "out" if decision.out else "in"
     if settings.json:
         print_json(
             {
@@ -99,8 +99,8 @@
         )
     elif found is None:
         env.print(
-            f"{settings.name} {way}: outcome unknown; repeat the command with "
+            f"{settings.name} {direction}: outcome unknown; repeat the command with "
             f"--decision_id={decision.decision_id}"
         )
     else:
-        env.print(f"{settings.name} {way} from revision {found.offset}")
+        env.print(f"{settings.name} {direction} from revision {found.offset}")
--- a/acaciacove/cli/explain.py
+++ b/acaciacove/cli/explain.py
@@ -8,7 +8,7 @@
 from acaciacove.exit_status import ExitStatus
 from acaciacove.explain.losses import sum_losses
 from acaciacove.explain.read_lines import read_lines
-from acaciacove.explain.story import tell_story
+from acaciacove.explain.request_report import report_request
 from acaciacove.explain.summary import summarise
 from acaciacove.settings.explain_settings import ExplainSettings
 
@@ -17,25 +17,25 @@
     """Print one request's story, or counts over time."""
     text: list[str] = []
     for file in settings.all_files:
-        text += _lines_of(file, env)
+        text += _read_lines(file, env)
     read = read_lines(text)
     if read.unreadable:
         env.log_error(f"{read.unreadable} lines could not be read")
     if settings.losses:
-        told = sum_losses(read.lines)
+        report = sum_losses(read.lines)
     elif settings.summary:
-        told = summarise(read.lines)
+        report = summarise(read.lines)
     else:
-        told = tell_story(settings.request_id, read.lines)
-    for line in told:
+        report = report_request(settings.request_id, read.lines)
+    for line in report:
         env.print(line)
-    if told:
+    if report:
         return ExitStatus.SUCCESS
     env.log_error("no line tells about it")
     return ExitStatus.ERROR
 
 
-def _lines_of(file: str, env: Environment) -> list[str]:
+def _read_lines(file: str, env: Environment) -> list[str]:
     if file == STANDARD_INPUT:
         return env.stdin.read().splitlines()
     try:
--- a/acaciacove/cli/explain_command.py
+++ b/acaciacove/cli/explain_command.py
@@ -32,7 +32,10 @@
             "Id of the request; with --summary or --losses, the first FILE.",
         ),
         Argument(
-            "files", "FILE", "Files of log lines, or - for standard input.", many=True
+            "files",
+            "FILE",
+            "Files of log lines, or - for standard input.",
+            variadic=True,
         ),
     ),
     flags=(
--- a/acaciacove/cli/find_command.py
+++ b/acaciacove/cli/find_command.py
@@ -14,10 +14,10 @@
     for command in commands:
         if tuple(args[: len(command.words)]) == command.words:
             return command, args[len(command.words) :]
-    raise InvalidSettingsError([_unknown(commands, args)])
+    raise InvalidSettingsError([_unknown_command_fault(commands, args)])
 
 
-def _unknown(commands: Sequence[Command], args: list[str]) -> str:
+def _unknown_command_fault(commands: Sequence[Command], args: list[str]) -> str:
     """Say which commands were probably meant."""
     group = [command.name for command in commands if command.words[0] == args[0]]
     if group:
--- a/acaciacove/cli/help_settings.py
+++ b/acaciacove/cli/help_settings.py
@@ -10,9 +10,9 @@
 from acaciacove.exit_status import ExitStatus
 from acaciacove.settings.help_settings import HelpSettings
 
-BEGIN = "<!-- settings: begin -->"
-END = "<!-- settings: end -->"
-HEADER = "| Flag | Environment variable | Default | Meaning |\n|---|---|---|---|"
+BEGIN_MARKER = "<!-- settings: begin -->"
+END_MARKER = "<!-- settings: end -->"
+TABLE_HEADER = "| Flag | Environment variable | Default | Meaning |\n|---|---|---|---|"
 
 
 def run(
@@ -21,22 +21,22 @@
     """Print one table for each command that has flags, or write them to a page."""
     tables = settings_tables(commands)
     if settings.page:
-        _write(Path(settings.page), tables)
+        _replace_tables(Path(settings.page), tables)
     else:
         env.print(tables)
     return ExitStatus.SUCCESS
 
 
-def _write(page: Path, tables: str) -> None:
+def _replace_tables(page: Path, tables: str) -> None:
     """Put the tables in place of those on a page; raises InvalidSettingsError."""
     try:
-        before, begin, rest = page.read_text().partition(BEGIN)
-        _, end, after = rest.partition(END)
+        before, begin, rest = page.read_text().partition(BEGIN_MARKER)
+        _, end, after = rest.partition(END_MARKER)
     except OSError as error:
         raise InvalidSettingsError([f"--page {error.strerror}: {page}"]) from error
     if not (begin and end):
         raise InvalidSettingsError([f"--page has no place for settings: {page}"])
-    page.write_text(f"{before}{BEGIN}\n\n{tables}\n\n{END}{after}")
+    page.write_text(f"{before}{BEGIN_MARKER}\n\n{tables}\n\n{END_MARKER}{after}")
 
 
 def settings_tables(commands: tuple[Command, ...]) -> str:
@@ -46,7 +46,7 @@
 
 def _table(command: Command) -> str:
     rows = [_row(command, flag) for flag in command.flags]
-    return "\n".join([f"### `acaciacove {command.name}`", "", HEADER, *rows])
+    return "\n".join([f"### `acaciacove {command.name}`", "", TABLE_HEADER, *rows])
 
 
 def _row(command: Command, flag: Flag) -> str:
--- a/acaciacove/cli/history.py
+++ b/acaciacove/cli/history.py
@@ -39,7 +39,7 @@
     first_offset: int = 0
 
     @property
-    def is_known(self) -> bool:
+    def is_complete(self) -> bool:
         """Tell whether ``state`` is what the fleet holds."""
         return self.state.revision + 1 >= self.first_offset
 
@@ -50,34 +50,34 @@
                 return entry
         return None
 
-    def note_gap(self, earliest_offset: int) -> None:
+    def skip_expired(self, earliest_offset: int) -> None:
         """Learn that records before an offset have expired."""
         self.next_offset = earliest_offset
         self.first_offset = earliest_offset
 
-    def take(self, entry: LogEntry) -> None:
+    def apply(self, entry: LogEntry) -> None:
         """Fold one record, or keep it until it can be folded."""
         record = _read_record(entry.payload)
         self.next_offset = entry.offset + 1
-        if self.is_known:
-            self.entries.append(self._folded(entry.offset, record))
+        if self.is_complete:
+            self.entries.append(self._fold(entry.offset, record))
             return
         self.entries.append(HistoryEntry(entry.offset, record, None))
         if isinstance(record, Snapshot) and self._covers_gap(entry.offset, record):
-            self._adopt(record.state)
+            self._start_from(record.state)
 
     def _covers_gap(self, offset: int, snapshot: Snapshot) -> bool:
         reaches = snapshot.state.revision + 1 >= self.first_offset
         return reaches and can_start_from(self.state, offset, snapshot)
 
-    def _adopt(self, state: FleetState) -> None:
+    def _start_from(self, state: FleetState) -> None:
         """Start from a snapshot, and fold what came after it."""
         self.state = state
-        for place, entry in enumerate(self.entries):
+        for index, entry in enumerate(self.entries):
             if entry.offset > state.revision:
-                self.entries[place] = self._folded(entry.offset, entry.record)
+                self.entries[index] = self._fold(entry.offset, entry.record)
 
-    def _folded(self, offset: int, record: Record | None) -> HistoryEntry:
+    def _fold(self, offset: int, record: Record | None) -> HistoryEntry:
         folded = fold(self.state, offset, record)
         self.state = folded.state
         return HistoryEntry(offset, record, folded.verdict, folded.detail)
@@ -93,12 +93,12 @@
             # ever; the command would hang. It shows as a log that is down.
             if expired.earliest_offset <= history.next_offset:
                 raise PlatformUnavailableError("contradictory offsets") from expired
-            history.note_gap(expired.earliest_offset)
+            history.skip_expired(expired.earliest_offset)
             continue
         if not batch:
             return
         for entry in batch:
-            history.take(entry)
+            history.apply(entry)
 
 
 async def read_history(log: PlatformLog) -> History:
@@ -114,7 +114,7 @@
     except TimeoutError as error:
         message = f"the log was not read within {READ_TIMEOUT_S:g} s"
         raise PlatformUnavailableError(message) from error
-    if not history.is_known:
+    if not history.is_complete:
         raise IncompleteLogError(history.first_offset)
     return history
 
--- a/acaciacove/cli/operator_commands.py
+++ b/acaciacove/cli/operator_commands.py
@@ -5,7 +5,11 @@
 )
 from acaciacove.cli.argument import Argument
 from acaciacove.cli.command import Command
-from acaciacove.cli.decide import decide, instance_decision, zone_decision
+from acaciacove.cli.decision_command import (
+    decision_command,
+    instance_decision,
+    zone_decision,
+)
 from acaciacove.cli.flag import Flag
 from acaciacove.cli.shared_flags import (
     INSTANCE_LIST_URL,
@@ -41,7 +45,7 @@
         Exit status: 0 decided, 5 outcome unknown, 6 the log did not answer.
     """,
     settings=DecisionSettings,
-    run=decide(zone_decision(out=True)),
+    run=decision_command(zone_decision(out=True)),
     arguments=(ZONE,),
     flags=DECISION_FLAGS,
 )
@@ -55,7 +59,7 @@
         Exit status: 0 decided, 5 outcome unknown, 6 the log did not answer.
     """,
     settings=DecisionSettings,
-    run=decide(zone_decision(out=False)),
+    run=decision_command(zone_decision(out=False)),
     arguments=(ZONE,),
     flags=DECISION_FLAGS,
 )
@@ -69,7 +73,7 @@
         Exit status: 0 decided, 5 outcome unknown, 6 the log did not answer.
     """,
     settings=DecisionSettings,
-    run=decide(instance_decision(out=True)),
+    run=decision_command(instance_decision(out=True)),
     arguments=(INSTANCE,),
     flags=DECISION_FLAGS,
 )
@@ -82,7 +86,7 @@
         Exit status: 0 decided, 5 outcome unknown, 6 the log did not answer.
     """,
     settings=DecisionSettings,
-    run=decide(instance_decision(out=False)),
+    run=decision_command(instance_decision(out=False)),
     arguments=(INSTANCE,),
     flags=DECISION_FLAGS,
 )
--- a/acaciacove/cli/ask_instance.py
+++ b/acaciacove/cli/query_instance.py
@@ -15,11 +15,11 @@
 BAD_ANSWER = "answered something else than a status"
 
 
-async def ask_instance(
+async def query_instance(
     client: Any, instance: Instance, fleet: FleetState, timeout_s: float
 ) -> InstanceReport:
     """Return a report, also when the instance is gone or its answer is odd."""
-    listed = _listed(instance, fleet)
+    listed = _report_from_list(instance, fleet)
     if not instance.http_port:
         return evolve(listed, fault=NO_PORT)
     host = f"[{instance.host}]" if ":" in instance.host else instance.host
@@ -30,10 +30,10 @@
         return evolve(listed, fault=NO_ANSWER)
     if not isinstance(answer.document, dict):
         return evolve(listed, fault=BAD_ANSWER)
-    return _with_status(listed, answer.document, fleet)
+    return _add_status(listed, answer.document, fleet)
 
 
-def _listed(instance: Instance, fleet: FleetState) -> InstanceReport:
+def _report_from_list(instance: Instance, fleet: FleetState) -> InstanceReport:
     """Report what the platform's list and the decisions in force tell."""
     out = (
         instance.name in fleet.instances_out
@@ -49,7 +49,7 @@
     )
 
 
-def _with_status(
+def _add_status(
     listed: InstanceReport, document: dict[str, Any], fleet: FleetState
 ) -> InstanceReport:
     """Add what the instance says of itself.
@@ -60,23 +60,23 @@
     name = document.get("name")
     if name != listed.name:
         return evolve(listed, fault=f"answered as {name!r}")
-    revision = _integer(document, "revision")
+    revision = _integer_field(document, "revision")
     return evolve(
         listed,
-        state=_text(document, "state"),
+        state=_text_field(document, "state"),
         revision=revision,
         behind=None if revision is None else max(0, fleet.revision - revision),
-        in_flight=_integer(document, "in_flight"),
-        limit=_integer(document, "limit"),
+        in_flight=_integer_field(document, "in_flight"),
+        limit=_integer_field(document, "limit"),
         cold=document["cold"] if isinstance(document.get("cold"), bool) else None,
     )
 
 
-def _integer(document: dict[str, Any], key: str) -> int | None:
+def _integer_field(document: dict[str, Any], key: str) -> int | None:
     value = document.get(key)
     return value if isinstance(value, int) and not isinstance(value, bool) else None
 
 
-def _text(document: dict[str, Any], key: str) -> str | None:
+def _text_field(document: dict[str, Any], key: str) -> str | None:
     value = document.get(key)
     return value if isinstance(value, str) else None
--- a/acaciacove/cli/read_settings.py
+++ b/acaciacove/cli/read_settings.py
@@ -39,7 +39,7 @@
     return tuple(versions)
 
 
-def _parser(absl_parser: Any, expected: str) -> Callable[[str], Any]:
+def _make_parser(absl_parser: Any, expected: str) -> Callable[[str], Any]:
     """Make a parser whose message names what was expected."""
 
     def parse(text: str) -> Any:
@@ -53,11 +53,11 @@
 
 _PARSERS: dict[Any, Callable[[str], Any]] = {
     str: str,
-    bool: _parser(BooleanParser(), "true or false"),
-    int: _parser(IntegerParser(), "a whole number"),
-    float: _parser(FloatParser(), "a number"),
-    int | None: _parser(IntegerParser(), "a whole number"),
-    float | None: _parser(FloatParser(), "a number"),
+    bool: _make_parser(BooleanParser(), "true or false"),
+    int: _make_parser(IntegerParser(), "a whole number"),
+    float: _make_parser(FloatParser(), "a number"),
+    int | None: _make_parser(IntegerParser(), "a whole number"),
+    float | None: _make_parser(FloatParser(), "a number"),
     tuple[VersionId, ...]: _parse_versions,
     tuple[str, ...]: lambda text: tuple(text.split(WORD_SEPARATOR)),
 }
@@ -71,38 +71,38 @@
     A flag wins over its environment variable, that over the default. An
     environment variable that is empty counts as not set.
     """
-    texts, sources, faults = _given(command, args, env)
-    values, parse_faults = _parsed(command, texts, sources)
+    texts, sources, faults = _collect_texts(command, args, env)
+    values, parse_faults = _parse_texts(command, texts, sources)
     faults += parse_faults
-    faults += _missing(command, texts)
-    faults += [_named(f, sources) for f in field_faults(command.settings, values)]
+    faults += _missing_settings(command, texts)
+    faults += [_with_source(f, sources) for f in field_faults(command.settings, values)]
     if faults:
         raise InvalidSettingsError(faults)
     return command.settings(**values)
 
 
-def _given(
+def _collect_texts(
     command: Command, args: list[str], env: Mapping[str, str]
 ) -> tuple[dict[str, str], dict[str, str], list[str]]:
     """Collect the text of each setting, how its user wrote it, and faults."""
-    flag_values = _define(command)
+    flag_values = _define_flags(command)
     faults: list[str] = []
     rest: list[str] = []
     try:
         rest = flag_values([command.name, *args], known_only=True)[1:]
     except FlagError as error:
         faults.append(str(error))
-    faults += [_unknown_flag(command, word) for word in rest if _is_flag(word)]
+    faults += [_unknown_flag_fault(command, word) for word in rest if _is_flag(word)]
     words = [word for word in rest if not _is_flag(word)]
     texts: dict[str, str] = {}
     sources: dict[str, str] = {}
     for argument in command.arguments:
         if not words:
             break
-        taken = len(words) if argument.many else 1
-        texts[argument.name] = WORD_SEPARATOR.join(words[:taken])
+        count = len(words) if argument.variadic else 1
+        texts[argument.name] = WORD_SEPARATOR.join(words[:count])
         sources[argument.name] = argument.metavar
-        words = words[taken:]
+        words = words[count:]
     faults += [f"unexpected argument {word!r}" for word in words]
     for flag in command.flags:
         if flag_values[flag.name].present:
@@ -114,7 +114,7 @@
     return texts, sources, faults
 
 
-def _define(command: Command) -> FlagValues:
+def _define_flags(command: Command) -> FlagValues:
     """Make a registry of its own, so that commands share no global flags.
 
     Values are taken as text here: absl stops at the first wrong value, and the
@@ -125,7 +125,7 @@
     settings_fields = fields_dict(command.settings)
     for flag in command.flags:
         is_boolean = settings_fields[flag.name].type is bool
-        parser = _TextOfBoolean() if is_boolean else ArgumentParser[str]()
+        parser = _UncheckedBooleanParser() if is_boolean else ArgumentParser[str]()
         defined = AbslFlag(
             parser, None, flag.name, None, flag.help, flag.short, boolean=is_boolean
         )
@@ -133,7 +133,7 @@
     return flag_values
 
 
-class _TextOfBoolean(BooleanParser):
+class _UncheckedBooleanParser(BooleanParser):
     """Lets ``--json`` and ``--nojson`` stand alone, and checks nothing."""
 
     def parse(self, argument: Any) -> Any:
@@ -146,7 +146,7 @@
     return word.startswith("-") and word != STANDARD_INPUT
 
 
-def _parsed(
+def _parse_texts(
     command: Command, texts: dict[str, str], sources: dict[str, str]
 ) -> tuple[dict[str, Any], list[str]]:
     """Turn each text into the type of its settings field."""
@@ -154,15 +154,15 @@
     faults = []
     settings_fields = fields_dict(command.settings)
     for name, text in texts.items():
-        wanted = settings_fields[name].type
+        field_type = settings_fields[name].type
         try:
-            values[name] = _PARSERS[wanted](text)
+            values[name] = _PARSERS[field_type](text)
         except (ValueError, TypeError) as error:
             faults.append(f"{sources[name]} {error}")
     return values, faults
 
 
-def _missing(command: Command, texts: dict[str, str]) -> list[str]:
+def _missing_settings(command: Command, texts: dict[str, str]) -> list[str]:
     """Name each setting that has neither a value nor a default."""
     faults = []
     settings_fields = fields_dict(command.settings)
@@ -180,13 +180,13 @@
     return settings_field.default is NOTHING
 
 
-def _named(fault: str, sources: dict[str, str]) -> str:
+def _with_source(fault: str, sources: dict[str, str]) -> str:
     """Begin a fault with the word that the person wrote."""
     name, _, rest = fault.partition(" ")
     return f"{sources.get(name, name)} {rest}"
 
 
-def _unknown_flag(command: Command, word: str) -> str:
+def _unknown_flag_fault(command: Command, word: str) -> str:
     """Name a flag that the command does not have, and the nearest that it has."""
     name = word.lstrip("-").partition("=")[0]
     known = [flag.name for flag in command.flags]
--- a/acaciacove/cli/record_summary.py
+++ b/acaciacove/cli/record_summary.py
@@ -17,9 +17,11 @@
         case ReleaseNote():
             return f"release note {record.note_id}: {record.summary or 'no summary'}"
         case ZoneDecision():
-            return f"availability zone {record.availability_zone} {_way(record.out)}"
+            return (
+                f"availability zone {record.availability_zone} {_direction(record.out)}"
+            )
         case InstanceDecision():
-            return f"instance {record.instance} {_way(record.out)}"
+            return f"instance {record.instance} {_direction(record.out)}"
         case QuarantineRecord():
             return f"quarantine of {record.version}: {record.reason}"
         case ExposureRecord():
@@ -39,5 +41,5 @@
     return ""
 
 
-def _way(out: bool) -> str:
+def _direction(out: bool) -> str:
     return "out" if out else "in"
--- a/acaciacove/cli/release_diff.py
+++ b/acaciacove/cli/release_diff.py
@@ -20,26 +20,26 @@
     faults = check_note(document, state)
     if faults:
         raise InvalidNoteError(faults)
-    found = difference(document, state)
+    comparison = difference(document, state)
     if settings.json:
-        print_json(found.as_json(), env)
+        print_json(comparison.as_json(), env)
     else:
-        _print(found, env)
+        _print(comparison, env)
     return ExitStatus.SUCCESS
 
 
-def _print(found: StateDifference, env: Environment) -> None:
+def _print(comparison: StateDifference, env: Environment) -> None:
     """Print one line for each name and each field."""
-    env.print(f"against release revision {found.release_revision}")
-    for name in found.added:
+    env.print(f"against release revision {comparison.release_revision}")
+    for name in comparison.added:
         env.print(f"+ {name}")
-    for name, changes in found.changed.items():
+    for name, changes in comparison.changed.items():
         env.print(f"~ {name}")
         for field_name, (before, after) in changes.items():
             env.print(f"    {field_name}: {before} -> {after}")
-    for name in found.withdrawn:
+    for name in comparison.withdrawn:
         env.print(f"- {name}")
-    for name in found.lifted:
+    for name in comparison.lifted:
         env.print(f"! ends the {name}")
-    for name in found.unchanged:
+    for name in comparison.unchanged:
         env.print(f"= {name} is declared as it is in force")
--- a/acaciacove/cli/release_publish.py
+++ b/acaciacove/cli/release_publish.py
@@ -33,7 +33,7 @@
     if settings.json:
         print_json(asdict(report), env)
     else:
-        env.print(_sentence(report))
+        env.print(_format_report(report))
     return exit_status(report)
 
 
@@ -55,11 +55,11 @@
     history = await read_history(log)
     earlier = history.find(document.note_id)
     if earlier is not None:
-        _refuse_other_content(document, earlier.record, settings)
+        _reject_reused_id(document, earlier.record, settings)
         return _report(document, history, AppendOutcome(earlier, repeated=True))
     if history.state.release_note_id == document.note_id:
         return _expired_report(document, history)
-    faults = check_note(_without_base(document), history.state)
+    faults = check_note(_without_base_revision(document), history.state)
     if faults:
         raise InvalidNoteError(faults)
     note = document.release_note(history.state.release_revision, settings.operator)
@@ -79,12 +79,12 @@
     return ExitStatus.ERROR
 
 
-def _without_base(document: NoteDocument) -> NoteDocument:
+def _without_base_revision(document: NoteDocument) -> NoteDocument:
     """Leave a stale base to the reducer, whose word all readers go by."""
     return evolve(document, based_on=None)
 
 
-def _refuse_other_content(
+def _reject_reused_id(
     document: NoteDocument, found: object, settings: PublishSettings
 ) -> None:
     """Refuse an id that another note carries already.
@@ -110,7 +110,7 @@
         return PublishReport(document.note_id, None, None, detail, in_force)
     beaten_by = ""
     if found.verdict is Verdict.STALE_BASE:
-        beaten_by = _note_before(history, found.offset)
+        beaten_by = _accepted_note_before(history, found.offset)
     return PublishReport(
         document.note_id,
         found.offset,
@@ -131,7 +131,7 @@
     )
 
 
-def _note_before(history: History, offset: int) -> str:
+def _accepted_note_before(history: History, offset: int) -> str:
     """Return the id of the note that was in force when a note was refused."""
     winner = ""
     for entry in history.entries:
@@ -141,7 +141,7 @@
     return winner
 
 
-def _sentence(report: PublishReport) -> str:
+def _format_report(report: PublishReport) -> str:
     """Say the fate of a note to a person."""
     if report.verdict is None:
         return f"{report.note_id}: outcome unknown, {report.detail}"
--- a/acaciacove/cli/release_show.py
+++ b/acaciacove/cli/release_show.py
@@ -85,15 +85,15 @@
     """Show every version, withdrawn ones included."""
     table = new_table("version", "API", "cost/1k tokens", "quality", "state")
     for version in state.versions.values():
-        standing = _standing(state, version)
+        status = _version_status(state, version)
         cost = f"{version.cost_per_1k_tokens:g}"
         table.add_row(
-            str(version.id), version.api, cost, f"{version.quality:g}", standing
+            str(version.id), version.api, cost, f"{version.quality:g}", status
         )
     return table
 
 
-def _standing(state: FleetState, version: Version) -> str:
+def _version_status(state: FleetState, version: Version) -> str:
     """Say how a version stands, and how far its roll-out has come."""
     if version.withdrawn:
         return "withdrawn"
--- a/acaciacove/cli/release_validate.py
+++ b/acaciacove/cli/release_validate.py
@@ -29,7 +29,7 @@
         listed = [asdict(fault) for fault in faults]
         print_json({"valid": not faults, "faults": listed}, env)
         return ExitStatus.INVALID_NOTE if faults else ExitStatus.SUCCESS
-    env.print(f"{document.note_id} has no faults{_extent(settings, document)}")
+    env.print(f"{document.note_id} has no faults{_skipped_checks(settings, document)}")
     return ExitStatus.SUCCESS
 
 
@@ -37,14 +37,14 @@
     """Read a note and check it; raises InvalidNoteError."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
-    state = _state(settings, document, env)
+    state = _state_to_check(settings, document, env)
     faults = check_note(document, state) if state is not None else []
     if faults:
         raise InvalidNoteError(faults)
     return document
 
 
-def _state(
+def _state_to_check(
     settings: FileSettings, document: NoteDocument, env: Environment
 ) -> FleetState | None:
     """Return what is in force, as far as it can be known."""
@@ -55,7 +55,7 @@
     return None
 
 
-def _extent(settings: FileSettings, document: NoteDocument) -> str:
+def _skipped_checks(settings: FileSettings, document: NoteDocument) -> str:
     """Say what could not be checked."""
     if settings.log_url or document.based_on == NO_REVISION:
         return ""
--- a/acaciacove/cli/state_difference.py
+++ b/acaciacove/cli/state_difference.py
@@ -33,25 +33,30 @@
 
 def difference(document: NoteDocument, state: FleetState) -> StateDifference:
     """Compare a note with what is in force."""
-    found = StateDifference(state.release_revision)
-    live = {v.id: v for v in state.versions.values() if not v.withdrawn}
-    for half in (document.added, document.changed):
-        _compare(found, "API", ((a.name, a) for a in half.apis), state.apis)
-        _compare(found, "version", ((v.id, v) for v in half.versions), live)
-        organisations = ((o.name, o) for o in half.organisations)
-        _compare(found, "organisation", organisations, state.organisations)
-        for version in half.versions:
+    comparison = StateDifference(state.release_revision)
+    active_versions = {v.id: v for v in state.versions.values() if not v.withdrawn}
+    for section in (document.added, document.changed):
+        _compare(comparison, "API", ((a.name, a) for a in section.apis), state.apis)
+        _compare(
+            comparison,
+            "version",
+            ((v.id, v) for v in section.versions),
+            active_versions,
+        )
+        organisations = ((o.name, o) for o in section.organisations)
+        _compare(comparison, "organisation", organisations, state.organisations)
+        for version in section.versions:
             if version.id in state.quarantines:
-                found.lifted.append(f"quarantine of {version.id}")
-    found.withdrawn.extend(f"version {v}" for v in document.withdrawn_versions)
-    found.withdrawn.extend(
+                comparison.lifted.append(f"quarantine of {version.id}")
+    comparison.withdrawn.extend(f"version {v}" for v in document.withdrawn_versions)
+    comparison.withdrawn.extend(
         f"organisation {o}" for o in document.withdrawn_organisations
     )
-    return found
+    return comparison
 
 
 def _compare(
-    found: StateDifference,
+    comparison: StateDifference,
     kind: str,
     declared: Iterable[tuple[Any, Any]],
     in_force: dict[Any, Any],
@@ -61,11 +66,11 @@
         label = f"{kind} {name}"
         before = in_force.get(name)
         if before is None:
-            found.added.append(label)
+            comparison.added.append(label)
         elif before == item:
-            found.unchanged.append(label)
+            comparison.unchanged.append(label)
         else:
-            found.changed[label] = _changed_fields(before, item)
+            comparison.changed[label] = _changed_fields(before, item)
 
 
 def _changed_fields(before: Any, after: Any) -> dict[str, tuple[Any, Any]]:
--- a/acaciacove/cli/status.py
+++ b/acaciacove/cli/status.py
@@ -6,11 +6,11 @@
 from rich.table import Table
 
 from acaciacove.adapters.http_instance_list import HttpInstanceList
-from acaciacove.cli.ask_instance import ask_instance
 from acaciacove.cli.fleet_report import FleetReport
 from acaciacove.cli.history import read_history
 from acaciacove.cli.instance_report import InstanceReport
 from acaciacove.cli.output import print_json
+from acaciacove.cli.query_instance import query_instance
 from acaciacove.cli.tables import new_table, open_console
 from acaciacove.context import Environment, open_http_client
 from acaciacove.exit_status import ExitStatus
@@ -19,7 +19,7 @@
 from acaciacove.fleet.instance_status import InstanceStatus
 from acaciacove.settings.status_settings import StatusSettings
 
-ASKED_AT_ONCE = 32
+MAX_CONCURRENT_QUERIES = 32
 UNKNOWN = "?"
 LIVE = InstanceStatus.LIVE.value
 
@@ -41,20 +41,20 @@
     async with open_http_client() as client:
         url = settings.instance_list_url.rstrip("/")
         listed = await HttpInstanceList(url, client).fetch()
-        slots = asyncio.Semaphore(ASKED_AT_ONCE)
+        slots = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
 
-        async def ask(instance: Instance) -> InstanceReport:
+        async def query(instance: Instance) -> InstanceReport:
             async with slots:
-                return await ask_instance(client, instance, fleet, settings.timeout_s)
+                return await query_instance(client, instance, fleet, settings.timeout_s)
 
-        instances = await asyncio.gather(*map(ask, listed))
+        instances = await asyncio.gather(*map(query, listed))
     return _fleet_report(fleet, instances, env)
 
 
 def _fleet_report(
     fleet: FleetState, instances: list[InstanceReport], env: Environment
 ) -> FleetReport:
-    in_order = sorted(instances, key=lambda i: (i.role, i.availability_zone, i.name))
+    ordered = sorted(instances, key=lambda i: (i.role, i.availability_zone, i.name))
     return FleetReport(
         env.now().isoformat(timespec="seconds"),
         fleet.revision,
@@ -62,7 +62,7 @@
         tuple(sorted(fleet.availability_zones_out)),
         tuple(sorted(fleet.instances_out)),
         tuple(sorted(str(version) for version in fleet.quarantines)),
-        tuple(in_order),
+        tuple(ordered),
     )
 
 
@@ -91,31 +91,31 @@
             instance.role,
             instance.availability_zone,
             instance.state or UNKNOWN,
-            _shown(instance.revision),
-            _load(instance),
-            _yes(instance.cold),
+            _format_number(instance.revision),
+            _format_load(instance),
+            _format_boolean(instance.cold),
             " ".join(instance.versions),
-            _notes(instance),
+            _format_notes(instance),
         )
     return table
 
 
-def _shown(value: int | None) -> str:
+def _format_number(value: int | None) -> str:
     return UNKNOWN if value is None else str(value)
 
 
-def _yes(value: bool | None) -> str:
+def _format_boolean(value: bool | None) -> str:
     return UNKNOWN if value is None else ("yes" if value else "no")
 
 
-def _load(instance: InstanceReport) -> str:
+def _format_load(instance: InstanceReport) -> str:
     """Show requests in flight, of how many where there is a limit."""
     if instance.limit is None:
-        return _shown(instance.in_flight)
-    return f"{_shown(instance.in_flight)}/{instance.limit}"
+        return _format_number(instance.in_flight)
+    return f"{_format_number(instance.in_flight)}/{instance.limit}"
 
 
-def _notes(instance: InstanceReport) -> str:
+def _format_notes(instance: InstanceReport) -> str:
     notes = []
     if instance.listed != LIVE:
         notes.append(f"listed as {instance.listed}")
--- a/acaciacove/core.py
+++ b/acaciacove/core.py
@@ -24,15 +24,15 @@
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
     """Run one command; every failure ends as a message and an exit status."""
     try:
-        return program(list(args), env)
+        return run_command(list(args), env)
     except InvalidSettingsError as error:
         for fault in error.faults:
             env.log_error(fault)
         env.log_error("nothing was done; --help lists every setting")
         return ExitStatus.USAGE
     except InvalidNoteError as error:
-        for place in error.faults:
-            env.stderr.write(f"{place}\n")
+        for note_fault in error.faults:
+            env.stderr.write(f"{note_fault}\n")
         env.log_error(f"{len(error.faults)} fault(s); nothing was done")
         return ExitStatus.INVALID_NOTE
     except PlatformUnavailableError as error:
@@ -48,7 +48,7 @@
         return ExitStatus.INTERRUPTED
 
 
-def program(args: list[str], env: Environment) -> ExitStatus:
+def run_command(args: list[str], env: Environment) -> ExitStatus:
     """Find the command, read its settings whole, and run it."""
     if not args or args[0] in HELP_FLAGS or args[0] == HELP_WORD:
         env.print(program_help(COMMANDS))
--- a/acaciacove/explain/losses.py
+++ b/acaciacove/explain/losses.py
@@ -11,8 +11,8 @@
 from acaciacove.explain.log_line import LogLine
 from acaciacove.gateway.log_events import Event
 
-STEP_S = 10.0
-SERVED = "served"
+INTERVAL_S = 10.0
+SERVED_STATUS = "served"
 # How long after its predicted moment a first piece counts as held up by a queue.
 QUEUED_RATIO = 2.0
 
@@ -60,31 +60,31 @@
     for line in lines:
         if line.event not in (Event.REQUEST, Event.CALLER_REFUSED):
             continue
-        row = rows[line.at_s // STEP_S * STEP_S]
+        row = rows[line.at_s // INTERVAL_S * INTERVAL_S]
         row.clock = row.clock or line.clock[:8]
         row.requests += 1
         if line.event == Event.CALLER_REFUSED:
             row.losses[Loss.REFUSED] += 1
         else:
-            _count(row, line.fields)
+            _count_request(row, line.fields)
     if not rows:
         return []
-    whole = LossRow(clock="all")
+    total = LossRow(clock="all")
     for row in rows.values():
-        whole.merge(row)
+        total.merge(row)
     header = ["from", "requests", *(loss.value for loss in Loss), "poor", "kept"]
-    told = ["\t".join([*header, "dropped"])]
-    told += [_told(rows[step]) for step in sorted(rows)]
-    return [*told, _told(whole)]
+    table = ["\t".join([*header, "dropped"])]
+    table += [_format_row(rows[interval_start_s]) for interval_start_s in sorted(rows)]
+    return [*table, _format_row(total)]
 
 
-def _count(row: LossRow, fields: dict[str, Any]) -> None:
-    loss = _loss(fields)
+def _count_request(row: LossRow, fields: dict[str, Any]) -> None:
+    loss = _classify_loss(fields)
     if loss is not None:
         row.losses[loss] += 1
     heads = fields.get("heads") or []
     tokens = fields.get("input_tokens") or 0
-    is_served = fields.get("status") == SERVED
+    is_served = fields.get("status") == SERVED_STATUS
     for place, (_, _, confidence, _, _) in enumerate(heads):
         is_kept = is_served and place == len(heads) - 1
         row.tokens_kept += tokens if is_kept else 0
@@ -93,7 +93,7 @@
             row.poor += 1.0 - ConfidenceCalibration().good_probability(confidence)
 
 
-def _loss(fields: dict[str, Any]) -> Loss | None:
+def _classify_loss(fields: dict[str, Any]) -> Loss | None:
     status = str(fields.get("status"))
     if status == "caller_left":
         return Loss.LEFT
@@ -101,7 +101,7 @@
         return Loss.BROKEN
     if status == "503":
         return Loss.REFUSED
-    if status != SERVED:
+    if status != SERVED_STATUS:
         return Loss.FAILED
     first_s, target_s = fields.get("first_piece_s"), fields.get("target_s")
     if first_s is None or target_s is None or first_s <= target_s:
@@ -113,7 +113,7 @@
     return Loss.LATE_QUEUED if QUEUED_RATIO * waited_s > first_s else Loss.LATE_LARGE
 
 
-def _told(row: LossRow) -> str:
+def _format_row(row: LossRow) -> str:
     counts = [str(row.losses[loss]) for loss in Loss]
     tokens = [str(row.tokens_kept), str(row.tokens_dropped)]
     return "\t".join(
--- a/acaciacove/explain/story.py
+++ b/acaciacove/explain/request_report.py
@@ -8,11 +8,11 @@
 
 # Lines of other matters this long before a request's first and after its last line
 # are shown; clocks of machines differ by seconds.
-AROUND_S = 5.0
+CONTEXT_WINDOW_S = 5.0
 # Lines of other matters that are shown at most, the nearest first.
-MAX_AROUND = 25
-ABOUT_REQUESTS = frozenset({Event.REQUEST, Event.ATTEMPT, Event.CALLER_REFUSED})
-ENDINGS = {
+MAX_CONTEXT_LINES = 25
+REQUEST_EVENTS = frozenset({Event.REQUEST, Event.ATTEMPT, Event.CALLER_REFUSED})
+STATUS_TEXTS = {
     "served": "The caller got the whole answer.",
     "caller_left": "The caller left before its answer was complete.",
     "broken_off": "The answer was broken off after its first piece.",
@@ -22,7 +22,7 @@
     "401": "Its API key was not known.",
     "404": "No route matched it.",
 }
-OUTCOMES = {
+OUTCOME_TEXTS = {
     "not_sent": "no connection could be made; nothing was sent",
     "not_run": "the endpoint said that it has not run it",
     "failed": "the endpoint ran it and answered a failure",
@@ -33,81 +33,84 @@
 }
 
 
-def tell_story(request_id: str, lines: Iterable[LogLine]) -> list[str]:
+def report_request(request_id: str, lines: Iterable[LogLine]) -> list[str]:
     """Return the story in lines of text; empty when the request is not known."""
     lines = list(lines)
-    own = [line for line in lines if line.request_id == request_id]
-    if not own:
+    request_lines = [line for line in lines if line.request_id == request_id]
+    if not request_lines:
         return []
-    told = [f"request {request_id}"]
-    for line in own:
-        told += _tell(line)
-    told += _around(own, lines)
-    return told
+    report = [f"request {request_id}"]
+    for line in request_lines:
+        report += _format_line(line)
+    report += _format_context(request_lines, lines)
+    return report
 
 
-def _tell(line: LogLine) -> list[str]:
-    begin = f"  {line.clock} {line.process}"
+def _format_line(line: LogLine) -> list[str]:
+    prefix = f"  {line.clock} {line.process}"
     fields = line.fields
     if line.event == Event.ATTEMPT:
         outcome = str(fields.get("outcome"))
         return [
-            f"{begin}: attempt {fields.get('number')} at {fields.get('endpoint')}"
-            f"{_of_model(fields)}: {OUTCOMES.get(outcome, outcome)}"
+            f"{prefix}: attempt {fields.get('number')} at {fields.get('endpoint')}"
+            f"{_model_suffix(fields)}: {OUTCOME_TEXTS.get(outcome, outcome)}"
         ]
     if line.event == Event.CALLER_REFUSED:
         return [
-            f"{begin}: refused with {fields.get('status')} ({fields.get('reason')}) "
+            f"{prefix}: refused with {fields.get('status')} ({fields.get('reason')}) "
             f"for {fields.get('host')}{fields.get('path')}",
             f"    decisions up to revision {fields.get('revision')}, "
             f"known complete {fields.get('confirmed_age_s')} s before",
-            f"    {ENDINGS.get(str(fields.get('status')), '')}".rstrip(),
+            f"    {STATUS_TEXTS.get(str(fields.get('status')), '')}".rstrip(),
         ]
     if line.event == Event.REQUEST:
-        return _tell_request(begin, fields)
-    return [f"{begin}: {line.event} {_rest(fields)}"]
+        return _format_request(prefix, fields)
+    return [f"{prefix}: {line.event} {_format_fields(fields)}"]
 
 
-def _tell_request(begin: str, fields: dict[str, Any]) -> list[str]:
+def _format_request(prefix: str, fields: dict[str, Any]) -> list[str]:
     status = str(fields.get("status"))
     trail = " then ".join(fields.get("trail") or ["nobody"])
     first = fields.get("first_piece_s")
     first_text = f"first piece after {first} s, " if first is not None else ""
     return [
-        f"{begin}: {status} for {fields.get('organisation')} on route "
+        f"{prefix}: {status} for {fields.get('organisation')} on route "
         f"{fields.get('route')} of {fields.get('service')}",
-        f"    sent to {trail}{_of_model(fields)}",
+        f"    sent to {trail}{_model_suffix(fields)}",
         f"    {first_text}ended after {fields.get('total_s')} s of "
         f"{fields.get('time_s')} s; decisions up to revision {fields.get('revision')}",
-        f"    {ENDINGS.get(status, 'The endpoint answered this itself.')}",
+        f"    {STATUS_TEXTS.get(status, 'The endpoint answered this itself.')}",
     ]
 
 
-def _of_model(fields: dict[str, Any]) -> str:
+def _model_suffix(fields: dict[str, Any]) -> str:
     return f" as {fields['model']}" if fields.get("model") else ""
 
 
-def _around(own: list[LogLine], lines: list[LogLine]) -> list[str]:
+def _format_context(request_lines: list[LogLine], lines: list[LogLine]) -> list[str]:
     """Show changes of belief and trouble near the request."""
-    begin_s, end_s = own[0].at_s - AROUND_S, own[-1].at_s + AROUND_S
+    begin_s, end_s = (
+        request_lines[0].at_s - CONTEXT_WINDOW_S,
+        request_lines[-1].at_s + CONTEXT_WINDOW_S,
+    )
     near = [
         line
         for line in lines
-        if line.event not in ABOUT_REQUESTS and begin_s <= line.at_s <= end_s
+        if line.event not in REQUEST_EVENTS and begin_s <= line.at_s <= end_s
     ]
-    own_processes = {line.process for line in own}
-    near.sort(key=lambda line: (line.process not in own_processes, line.at_s))
-    shown = sorted(near[:MAX_AROUND], key=lambda line: line.at_s)
+    request_processes = {line.process for line in request_lines}
+    near.sort(key=lambda line: (line.process not in request_processes, line.at_s))
+    shown = sorted(near[:MAX_CONTEXT_LINES], key=lambda line: line.at_s)
     if not shown:
         return ["  nothing else was told within five seconds"]
-    told = [
-        f"    {line.clock} {line.process}: {line.event} {_rest(line.fields)}"
+    report = [
+        f"    {line.clock} {line.process}: {line.event} {_format_fields(line.fields)}"
         for line in shown
     ]
     hidden = len(near) - len(shown)
     more = [f"    and {hidden} more lines"] if hidden else []
-    return ["  what else was told then:", *told, *more]
+    return ["  what else was told then:", *report, *more]
 
 
-def _rest(fields: dict[str, Any]) -> str:
+def _format_fields(fields: dict[str, Any]) -> str:
     return " ".join(f"{name}={value}" for name, value in fields.items())
--- a/acaciacove/explain/summary.py
+++ b/acaciacove/explain/summary.py
@@ -6,8 +6,8 @@
 from acaciacove.explain.log_line import LogLine
 from acaciacove.gateway.log_events import Event
 
-STEP_S = 10.0
-COUNTED = {
+INTERVAL_S = 10.0
+COUNTED_FIELDS = {
     Event.REQUEST: "status",
     Event.CALLER_REFUSED: "reason",
     Event.ATTEMPT: "outcome",
@@ -16,21 +16,26 @@
 
 def summarise(lines: Iterable[LogLine]) -> list[str]:
     """Return a table: one row for each ten seconds that have lines."""
-    steps: dict[float, Counter[str]] = defaultdict(Counter)
-    clocks: dict[float, str] = {}
+    counts_by_interval: dict[float, Counter[str]] = defaultdict(Counter)
+    clock_by_interval: dict[float, str] = {}
     for line in lines:
-        field = COUNTED.get(Event(line.event)) if line.event in _EVENTS else None
-        step = line.at_s // STEP_S * STEP_S
-        clocks.setdefault(step, line.clock[:8])
+        field = COUNTED_FIELDS.get(Event(line.event)) if line.event in _EVENTS else None
+        interval_start_s = line.at_s // INTERVAL_S * INTERVAL_S
+        clock_by_interval.setdefault(interval_start_s, line.clock[:8])
         if field is None:
-            steps[step][line.event] += 1
+            counts_by_interval[interval_start_s][line.event] += 1
         else:
-            steps[step][f"{line.event}:{line.fields.get(field)}"] += 1
-    told = []
-    for step in sorted(steps):
-        counts = ", ".join(f"{name} {n}" for name, n in steps[step].most_common())
-        told.append(f"{clocks[step]}  {counts}")
-    return told
+            counts_by_interval[interval_start_s][
+                f"{line.event}:{line.fields.get(field)}"
+            ] += 1
+    table = []
+    for interval_start_s in sorted(counts_by_interval):
+        counts = ", ".join(
+            f"{name} {n}"
+            for name, n in counts_by_interval[interval_start_s].most_common()
+        )
+        table.append(f"{clock_by_interval[interval_start_s]}  {counts}")
+    return table
 
 
 _EVENTS = frozenset(event.value for event in Event)
--- a/tests/test_cli_bench.py
+++ b/tests/test_cli_bench.py
@@ -18,7 +18,7 @@
     return status, out.getvalue(), err.getvalue()
 
 
-def loaded(token):
+def run_load(token):
     async def load():
         async with embedded_fleet() as fleet:
             port = fleet.entries[0].http_port
@@ -38,14 +38,14 @@
     return status, orjson.loads(out)
 
 
-def test_a_load_run_counts_whole_answers():
-    status, report = loaded(TOKEN)
+def test_load_counts_complete_answers():
+    status, report = run_load(TOKEN)
     assert status is ExitStatus.SUCCESS
     assert (report["started"], report["whole"]) == (20, 20)
 
 
 def test_a_load_run_counts_refusals_by_reason():
-    status, report = loaded("wrong")
+    status, report = run_load("wrong")
     assert status is ExitStatus.SUCCESS
     assert (report["whole"], report["refusals"]) == (0, {"bad_token": 20})
 
@@ -64,7 +64,7 @@
     ("broken", "expected"),
     [("", ExitStatus.SUCCESS), ("claims", ExitStatus.CHECK_FAILED)],
 )
-def test_a_broken_promise_ends_a_run_with_a_failed_check(broken, expected):
+def test_violated_promise_exits_with_check_failed(broken, expected):
     args = ("--rounds=2", f"--break={broken}", "--json")
     status, out, _ = run("bench", "promises", *args)
     report = orjson.loads(out.splitlines()[-1])
@@ -73,7 +73,7 @@
     assert report["checks"]["claims"] > 0
 
 
-def test_an_unknown_bench_is_refused_with_those_that_there_are():
+def test_unknown_bench_error_lists_valid_names():
     status, _, err = run("bench", "nope")
     assert status is ExitStatus.USAGE
     assert "BENCH must be one of" in err
--- a/tests/test_cli_release.py
+++ b/tests/test_cli_release.py
@@ -43,7 +43,7 @@
     return status, out.getvalue(), err.getvalue()
 
 
-def published(log, file, settings=SETTINGS):
+def publish_note(log, file, settings=SETTINGS):
     document = read_note(Path(file).read_bytes(), 10**6)
     loop = async_solipsism.EventLoop()
     try:
@@ -52,9 +52,9 @@
         loop.close()
 
 
-def released():
+def log_with_release():
     log = FakeLog()
-    assert published(log, FIRST).verdict is Verdict.ACCEPTED
+    assert publish_note(log, FIRST).verdict is Verdict.ACCEPTED
     return log
 
 
@@ -74,8 +74,8 @@
 
 
 def test_the_share_that_a_rollout_has_reached_is_shown():
-    log = released()
-    published(log, ROLLOUT)
+    log = log_with_release()
+    publish_note(log, ROLLOUT)
     version = VersionId("guide-small", "2")
     shown = orjson.loads(run(log, "release", "show", URL, "--json")[1])
     assert shown["exposures"] == {str(version): 0.02}
@@ -87,22 +87,22 @@
     # The log takes a note and its reply is lost. A command that appends again
     # tells its operator that somebody else was first: he lost against himself.
     log = FakeLog(lost_replies=1)
-    report = published(log, FIRST)
+    report = publish_note(log, FIRST)
     assert report.verdict is Verdict.ACCEPTED
     assert log.appends == 1
 
 
 def test_a_note_that_never_arrived_is_appended_again():
     log = FakeLog(lost_appends=2)
-    assert published(log, FIRST).verdict is Verdict.ACCEPTED
+    assert publish_note(log, FIRST).verdict is Verdict.ACCEPTED
     assert log.appends == 3
 
 
-def test_publishing_the_same_file_again_tells_what_became_of_it():
+def test_publishing_the_same_file_again_reports_its_outcome():
     # The operator's shell dies during publish. He runs the command once more and
     # must learn the fate of his note, not make a second one.
-    log = released()
-    report = published(log, FIRST)
+    log = log_with_release()
+    report = publish_note(log, FIRST)
     assert (report.verdict, report.repeated, report.offset) == (
         Verdict.ACCEPTED,
         True,
@@ -114,7 +114,7 @@
 def test_an_id_that_another_note_carries_is_refused():
     # Somebody edits a note and forgets its id. Taking the earlier note for this
     # one would say "in force" of changes that never left the desk.
-    log = released()
+    log = log_with_release()
     text = Path(FIRST).read_text().replace("quality: 0.72", "quality: 0.73")
     status, _, err = run(log, "release", "publish", "-", URL, stdin=text)
     assert status is ExitStatus.INVALID_NOTE
@@ -122,47 +122,47 @@
     assert log.appends == 1
 
 
-def test_a_lost_race_names_the_note_that_was_first():
+def test_a_lost_race_names_the_accepted_note():
     # Two operators publish at one moment. Only one note can be on top of the
     # release that both looked at; the other operator has to be told by whom.
-    log = released()
+    log = log_with_release()
     log.on_append = ReleaseNote("hers", 0, withdrawn=(VersionId("guide-small", "1"),))
-    report = published(log, ROLLOUT)
+    report = publish_note(log, ROLLOUT)
     assert exit_status(report) is ExitStatus.RACE_LOST
     assert (report.beaten_by, report.in_force, report.offset) == ("hers", 1, 2)
 
 
 def test_a_note_based_on_an_older_release_loses_to_the_one_in_force():
     # An operator reviews a diff over lunch, and a colleague publishes meanwhile.
-    log = released()
-    published(log, ROLLOUT)
+    log = log_with_release()
+    publish_note(log, ROLLOUT)
     text = Path(WITHDRAWAL).read_text() + "\nbased_on: 0\n"
     status, out, _ = run(log, "release", "publish", "-", URL, stdin=text)
     assert status is ExitStatus.RACE_LOST
     assert "swimhole-guide-small-2 was first" in out
 
 
-def test_a_log_that_is_down_from_the_start_takes_nothing():
+def test_nothing_is_appended_while_the_log_is_unavailable():
     with pytest.raises(PlatformUnavailableError):
-        published(FakeLog(failing_reads=1), FIRST)
+        publish_note(FakeLog(failing_reads=1), FIRST)
     status, _, err = run(FakeLog(failing_reads=1), "release", "publish", FIRST, URL)
     assert status is ExitStatus.PLATFORM_UNAVAILABLE
     assert "the platform did not answer" in err
 
 
-def test_an_outcome_that_stays_unknown_is_said_so():
+def test_an_unknown_outcome_is_reported_as_unknown():
     # The log takes the note, loses the reply, and goes down. The command cannot
     # know; saying "failed" would be a guess, and so would "in force".
     log = FakeLog()
-    log.append = dying_append(log)
-    report = published(log, FIRST)
+    log.append = failing_append(log)
+    report = publish_note(log, FIRST)
     assert exit_status(report) is ExitStatus.OUTCOME_UNKNOWN
     assert report.offset is None
     log.failing_reads = 0
-    assert published(log, FIRST).verdict is Verdict.ACCEPTED
+    assert publish_note(log, FIRST).verdict is Verdict.ACCEPTED
 
 
-def dying_append(log):
+def failing_append(log):
     async def append(stream, payload):
         log.payloads.append(payload)
         log.failing_reads = 10**6
@@ -171,30 +171,30 @@
     return append
 
 
-def test_what_is_in_force_is_told_from_a_snapshot_after_records_have_expired():
+def test_state_is_read_from_a_snapshot_after_records_have_expired():
     # The log keeps records for a limited time. A reader that folded what is left
     # from nothing would show an operator a fleet without organisations.
-    log = released()
-    published(log, ROLLOUT)
+    log = log_with_release()
+    publish_note(log, ROLLOUT)
     log.put(Snapshot(read_state(log)))
     run(log, "zone", "out", "ozark", URL)
-    whole = orjson.loads(run(log, "release", "show", URL, "--json")[1])
+    expected = orjson.loads(run(log, "release", "show", URL, "--json")[1])
     log.earliest = 2
     status, out, _ = run(log, "release", "show", URL, "--json")
     assert status is ExitStatus.SUCCESS
     shown = orjson.loads(out)
     assert [entry["offset"] for entry in shown["history"]] == [3, 2]
-    del shown["history"], whole["history"]
-    assert shown == whole
-    report = published(log, ROLLOUT)
+    del shown["history"], expected["history"]
+    assert shown == expected
+    report = publish_note(log, ROLLOUT)
     assert (report.verdict, report.repeated) == (Verdict.ACCEPTED, True)
 
 
-def test_a_log_that_lost_its_records_without_a_snapshot_is_not_guessed_from():
+def test_expired_records_without_a_snapshot_are_an_error():
     # Records expired and no process wrote a snapshot in time. A note that is
     # checked against the rest would be called faulty, or worse, be published.
-    log = released()
-    published(log, ROLLOUT)
+    log = log_with_release()
+    publish_note(log, ROLLOUT)
     log.earliest = 1
     status, _, err = run(log, "release", "publish", WITHDRAWAL, URL)
     assert status is ExitStatus.ERROR
@@ -207,16 +207,16 @@
 
 
 def test_a_record_that_cannot_be_read_does_not_hide_the_others():
-    log = released()
+    log = log_with_release()
     log.payloads.append(b"from a newer version")
-    published(log, ROLLOUT)
+    publish_note(log, ROLLOUT)
     _, out, _ = run(log, "release", "show", URL, "--json")
     verdicts = [entry["verdict"] for entry in orjson.loads(out)["history"]]
     assert verdicts == ["accepted", "malformed", "accepted"]
 
 
 def test_diff_shows_what_is_added_changed_and_withdrawn():
-    log = released()
+    log = log_with_release()
     log.put(QuarantineRecord(VersionId("guide-large", "1"), "errors"))
     status, out, _ = run(log, "release", "diff", ROLLOUT, URL)
     assert status is ExitStatus.SUCCESS
@@ -228,7 +228,7 @@
 
 
 def test_brackets_in_a_summary_are_shown_as_they_are():
-    log = released()
+    log = log_with_release()
     text = 'note: n\nsummary: "[/bold] :tent: Roll out"\n'
     assert run(log, "release", "publish", "-", URL, stdin=text)[0] == 0
     status, out, _ = run(log, "release", "show", URL)
@@ -237,7 +237,7 @@
 
 
 def test_what_is_in_force_is_printed_as_a_note_that_reads_back():
-    log = released()
+    log = log_with_release()
     _, out, _ = run(log, "release", "show", URL, "--yaml")
     document = read_note(out.encode(), 10**6)
     first = read_note(Path(FIRST).read_bytes(), 10**6)
@@ -253,7 +253,7 @@
     )
     assert status is ExitStatus.INVALID_NOTE
     assert orjson.loads(out)["faults"][0]["path"] == "x"
-    status, out, _ = run(released(), "release", "validate", ROLLOUT, URL)
+    status, out, _ = run(log_with_release(), "release", "validate", ROLLOUT, URL)
     assert (status, out) == (
         ExitStatus.SUCCESS,
         "swimhole-guide-small-2 has no faults\n",
@@ -268,12 +268,12 @@
         ("instance", "guide-3", "instances_out"),
     ],
 )
-def test_zones_and_instances_go_out_and_come_back(word, name, key):
-    log = released()
-    for way, expected in (("out", [name]), ("in", [])):
-        status, out, _ = run(log, word, way, name, URL, "--json")
+def test_zones_and_instances_are_taken_out_and_brought_back(word, name, key):
+    log = log_with_release()
+    for direction, expected in (("out", [name]), ("in", [])):
+        status, out, _ = run(log, word, direction, name, URL, "--json")
         assert status is ExitStatus.SUCCESS
-        assert orjson.loads(out)["out"] is (way == "out")
+        assert orjson.loads(out)["out"] is (direction == "out")
         shown = orjson.loads(run(log, "release", "show", URL, "--json")[1])
         assert shown[key] == expected
 
@@ -281,7 +281,7 @@
 def test_a_decision_may_be_repeated_by_its_id():
     # A reply is lost and the operator repeats the command. Between the two a
     # colleague brought the zone back; the repeat must not take it out again.
-    log = released()
+    log = log_with_release()
     args = ("zone", "out", "ozark", URL, "--decision_id=d1")
     assert run(log, *args)[0] is ExitStatus.SUCCESS
     run(log, "zone", "in", "ozark", URL)
@@ -293,7 +293,7 @@
     assert run(log, *other)[0] is ExitStatus.USAGE
 
 
-def test_the_program_helps_with_what_is_mistyped():
+def test_mistyped_commands_get_suggestions():
     assert "did you mean release diff?" in run(None, "relase", "diff")[2]
     assert "zone needs one of: zone out, zone in" in run(None, "zone")[2]
     status, out, _ = run(None, "zone", "out", "--help")
--- a/tests/test_cli_status.py
+++ b/tests/test_cli_status.py
@@ -10,7 +10,7 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from acaciacove.cli.ask_instance import ask_instance
+from acaciacove.cli.query_instance import query_instance
 from acaciacove.context import Environment, open_http_client, open_http_log
 from acaciacove.core import main
 from acaciacove.exit_status import ExitStatus
@@ -50,18 +50,18 @@
     return Starlette(routes=[Route("/status", status)])
 
 
-def asked(body, **changes):
-    async def ask():
+def query_status(body, **changes):
+    async def query():
         async with (
             serve(status_app(body)) as port,
             open_http_client() as client,
         ):
-            return await ask_instance(client, instance(port, **changes), FLEET, 5.0)
+            return await query_instance(client, instance(port, **changes), FLEET, 5.0)
 
-    return asyncio.run(ask())
+    return asyncio.run(query())
 
 
-def test_a_report_joins_the_list_and_the_word_of_the_instance():
+def test_a_report_combines_instance_list_and_status_answer():
     body = orjson.dumps(
         {
             "name": "guide-1",
@@ -72,17 +72,17 @@
             "cold": False,
         }
     )
-    report = asked(body, zone="ozark")
+    report = query_status(body, zone="ozark")
     assert (report.listed, report.out, report.state) == ("leaving", True, "ready")
     assert (report.revision, report.behind) == (7, 2)
     assert (report.in_flight, report.limit, report.cold) == (3, 8, False)
 
 
 @pytest.mark.parametrize("body", [b"junk", b"[]", b'{"name": "other"}'])
-def test_an_odd_answer_is_a_fault_and_never_taken_for_a_status(body):
+def test_an_unexpected_answer_is_a_fault_and_not_a_status(body):
     # An address was given to another instance, or a proxy answers in its place.
     # Its state would show in the wrong row.
-    report = asked(body)
+    report = query_status(body)
     assert report.fault
     assert report.state is None
 
@@ -92,8 +92,8 @@
     # needs to see which one does not answer.
     async def show():
         listed = InstanceListState()
-        unheard = instance(0, "guide-2")
-        listed.publish(0.0, (instance(1), unheard))
+        unreachable = instance(0, "guide-2")
+        listed.publish(0.0, (instance(1), unreachable))
         async with (
             serve(build_log_app(LogState())) as log_port,
             serve(build_instance_list_app(listed)) as list_port,
@@ -122,7 +122,7 @@
     ]
 
 
-def test_a_log_behind_http_takes_and_gives_records():
+def test_records_are_appended_and_read_over_http():
     async def exchange():
         async with (
             serve(build_log_app(LogState())) as port,
@@ -136,11 +136,11 @@
     assert [entry.payload for entry in entries] == [b"one"]
 
 
-def test_status_without_a_list_says_that_the_platform_did_not_answer():
+def test_status_without_a_platform_exits_with_platform_unavailable():
     err = StringIO()
     env = Environment(StringIO(), StringIO(), err, {})
-    nowhere = "http://127.0.0.1:1"
-    args = ["status", f"--log_url={nowhere}", f"--instance_list_url={nowhere}"]
+    closed_url = "http://127.0.0.1:1"
+    args = ["status", f"--log_url={closed_url}", f"--instance_list_url={closed_url}"]
     assert main(args, env) is ExitStatus.PLATFORM_UNAVAILABLE
 
 
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -38,40 +38,40 @@
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case["id"])
-def test_the_command_tells_what_the_page_says(case, tmp_path):
-    status, told, _ = explain(tmp_path, case["lines"], case["id"])
+def test_explain_prints_what_the_page_shows(case, tmp_path):
+    status, output, _ = explain(tmp_path, case["lines"], case["id"])
     assert status is ExitStatus.SUCCESS
-    assert told == case["story"]
+    assert output == case["story"]
 
 
 @pytest.mark.parametrize("case", CASES, ids=lambda case: case["id"])
-def test_order_and_foreign_prefixes_do_not_matter(case, tmp_path):
+def test_line_order_and_prefixes_are_ignored(case, tmp_path):
     lines = [f"  12.5 edge-1 {x}" for x in reversed(case["lines"].splitlines())]
-    _, told, _ = explain(tmp_path, "\n".join(lines), case["id"])
-    assert told == case["story"]
+    _, output, _ = explain(tmp_path, "\n".join(lines), case["id"])
+    assert output == case["story"]
 
 
-def test_cut_lines_are_counted_and_passed_over(tmp_path):
+def test_truncated_lines_are_counted_and_skipped(tmp_path):
     """A collector cuts lines, and others write into the same file."""
     case = CASES[0]
     noise = 'hello\n{"time":"2026-\n{"a":1}\n[]\n\n'
-    status, told, errors = explain(tmp_path, noise + case["lines"], case["id"])
-    assert status is ExitStatus.SUCCESS and told == case["story"]
+    status, output, errors = explain(tmp_path, noise + case["lines"], case["id"])
+    assert status is ExitStatus.SUCCESS and output == case["story"]
     assert "4 lines could not be read" in errors
 
 
-def test_an_unknown_request_is_said_to_be_unknown(tmp_path):
-    status, told, errors = explain(tmp_path, CASES[0]["lines"], "nobody")
-    assert status is ExitStatus.ERROR and told == ""
+def test_an_unknown_request_is_an_error(tmp_path):
+    status, output, errors = explain(tmp_path, CASES[0]["lines"], "nobody")
+    assert status is ExitStatus.ERROR and output == ""
     assert "no line tells about it" in errors
 
 
-def test_a_summary_counts_endings_and_reasons(tmp_path):
+def test_a_summary_counts_statuses_and_reasons(tmp_path):
     text = "\n".join(case["lines"] for case in CASES)
-    status, told, _ = explain(tmp_path, text, "--summary")
+    status, output, _ = explain(tmp_path, text, "--summary")
     assert status is ExitStatus.SUCCESS
-    assert "caller_refused:stale_revision 1" in told
-    assert "attempt:silent 1" in told and "request:served 2" in told
+    assert "caller_refused:stale_revision 1" in output
+    assert "attempt:silent 1" in output and "request:served 2" in output
 
 
 def test_a_file_must_be_named():
@@ -88,7 +88,7 @@
     assert summarise(read.lines) == []
 
 
-def losing_line(second, status, first_s, heads, tries=1):
+def request_line(second, status, first_s, heads, tries=1):
     return orjson.dumps(
         {
             "time": f"2026-01-01T00:00:{second:02}+00:00",
@@ -105,21 +105,21 @@
     ).decode()
 
 
-def test_losses_are_summed_by_reason_and_moment():
+def test_losses_are_summed_by_reason_and_interval():
     """Answers come late for three reasons, which look alike to callers: a queue, a
     second try, or a prompt that takes its time. Operators mend them in unlike ways.
     """
     sure = ["e", "small", 100.0, 0.3, 0.3]
     text = [
-        losing_line(1, "served", 0.3, [sure]),
-        losing_line(2, "served", 3.0, [["e", "small", 100.0, 3.0, 0.2]]),
-        losing_line(3, "served", 3.0, [sure], tries=2),
-        losing_line(4, "served", 3.0, [["e", "small", 100.0, 3.0, 2.9]]),
-        losing_line(12, "caller_left", None, [sure]),
-        losing_line(13, 504, None, []),
-        losing_line(14, "served", 0.5, [["e", "small", 0.0, 0.2, 0.2], sure]),
+        request_line(1, "served", 0.3, [sure]),
+        request_line(2, "served", 3.0, [["e", "small", 100.0, 3.0, 0.2]]),
+        request_line(3, "served", 3.0, [sure], tries=2),
+        request_line(4, "served", 3.0, [["e", "small", 100.0, 3.0, 2.9]]),
+        request_line(12, "caller_left", None, [sure]),
+        request_line(13, 504, None, []),
+        request_line(14, "served", 0.5, [["e", "small", 0.0, 0.2, 0.2], sure]),
     ]
-    header, first, second, whole = sum_losses(read_lines(text).lines)
+    header, first, second, total = sum_losses(read_lines(text).lines)
     names = header.split("\t")[1:]
     counts = [
         dict(zip(names, row.split("\t")[1:], strict=True)) for row in (first, second)
@@ -136,5 +136,5 @@
         "1000",
         "2000",
     )
-    assert whole.startswith("all\t7\t")
+    assert total.startswith("all\t7\t")
     assert sum_losses([]) == []
