--- a/acaciacove/__main__.py
+++ b/acaciacove/__main__.py
@@ -1,4 +1,4 @@
-"""The program ``acaciacove`` and ``python -m acaciacove``."""
+"""Entry point of ``acaciacove`` and ``python -m acaciacove``."""
 
 import sys
 
@@ -7,7 +7,7 @@
 
 
 def main() -> int:
-    """Run the command that the process was started with."""
+    """Run the command given by the process's arguments."""
     return int(run(sys.argv[1:], Environment()))
 
 
--- a/acaciacove/cli/__init__.py
+++ b/acaciacove/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: every flag is declared in `cli.definition`."""
+"""The command line interface. ``cli.definition`` lists all commands."""
--- a/acaciacove/cli/append_once.py
+++ b/acaciacove/cli/append_once.py
@@ -1,4 +1,4 @@
-"""Append a record at most once, and read back what the reducer made of it."""
+"""Appends a record at most once and reads back the reducer's verdict on it."""
 
 import asyncio
 from contextlib import suppress
@@ -28,10 +28,11 @@
 ) -> AppendOutcome:
     """Append a record unless its id is in the log; raises PlatformUnavailableError.
 
-    A command is run again when its operator does not know what became of it.
-    Without the look-up by id a second copy would stand in the log, and a release
-    note would be refused as stale: its operator is told of a race that he lost
-    against himself. The error means that nothing was appended and nothing will be.
+    An operator who does not know the outcome of a command runs it again. Without
+    the look-up by id this would append a second copy. The reducer would reject a
+    second release note as stale, and the command would report a lost race although
+    the first copy is in force. The error means that nothing was appended and that
+    no append is pending.
     """
     repeated = history.find(record_id(record))
     if repeated is not None:
@@ -39,7 +40,9 @@
     deadline_s = asyncio.get_running_loop().time() + timeout_s
     result = await _append(history, log, record, deadline_s, random)
     if result.state is AppendState.NOT_APPENDED:
-        raise PlatformUnavailableError("nothing was appended")
+        raise PlatformUnavailableError(
+            f"nothing was appended to stream {RELEASE_STREAM}"
+        )
     with suppress(TimeoutError):
         async with asyncio.timeout(READ_BACK_S):
             await _catch_up_with_retries(history, log)
@@ -53,7 +56,7 @@
     deadline_s: float,
     random: Random,
 ) -> AppendResult:
-    """Let a log writer append; it looks for a lost reply's record by itself."""
+    """Append with a log writer, which finds its record after a lost reply."""
     writer = LogWriter(log, WRITER_NAME, 0, LogWriterSettings(), random)
     writer.record_end(RELEASE_STREAM, history.next_offset)
     async with background(writer.run()):
@@ -63,7 +66,7 @@
 
 
 async def _catch_up_with_retries(history: History, log: PlatformLog) -> None:
-    """Read to the end of the stream, however often the log fails meanwhile."""
+    """Read to the end of the stream and retry whenever the log is unavailable."""
     while True:
         try:
             await catch_up(history, log)
--- a/acaciacove/cli/append_outcome.py
+++ b/acaciacove/cli/append_outcome.py
@@ -1,4 +1,4 @@
-"""What became of a record that an operator appended."""
+"""Outcome of appending an operator's record."""
 
 from attrs import frozen
 
@@ -7,9 +7,9 @@
 
 @frozen
 class AppendOutcome:
-    """The record as found in the log, or None when that stays unknown.
+    """The record as found in the log, or None while the outcome is unknown.
 
-    ``repeated`` tells that it had been there before this command ran.
+    ``repeated`` is true if the log held the record before this command ran.
     """
 
     found: HistoryEntry | None
--- a/acaciacove/cli/argument.py
+++ b/acaciacove/cli/argument.py
@@ -5,9 +5,10 @@
 
 @frozen
 class Argument:
-    """An argument's name, which is that of a settings field, and its help.
+    """The name, help-page placeholder and help text of an argument.
 
-    ``variadic`` arguments, always the last, take every word that is left.
+    ``name`` is also the name of the settings field. A ``variadic`` argument takes
+    all remaining words and must be the last.
     """
 
     name: str
--- a/acaciacove/cli/bench.py
+++ b/acaciacove/cli/bench.py
@@ -1,4 +1,4 @@
-"""``acaciacove bench``: measure the decisions, and what the daemons add."""
+"""``acaciacove bench``: measures routing decisions and the daemons' overhead."""
 
 import asyncio
 from collections.abc import Callable
@@ -16,7 +16,7 @@
 
 
 def run(settings: BenchSettings, env: Environment) -> ExitStatus:
-    """Run the bench that is asked for; raises InvalidSettingsError."""
+    """Run the benchmark named in the settings; raises InvalidSettingsError."""
     from acaciacove.bench.scenario import SCENARIOS
 
     bench = _BENCHES.get(settings.bench)
@@ -29,7 +29,7 @@
 
 
 def _run_scenario(settings: BenchSettings, env: Environment) -> ExitStatus:
-    """Run one scenario of the decisions, ours beside the baselines."""
+    """Run one scenario with this router's decisions and with the baselines."""
     from acaciacove.bench.scenario import SCENARIOS, print_report
     from acaciacove.bench.scenario_settings import ScenarioSettings
 
@@ -41,7 +41,7 @@
 
 
 def _run_overhead(settings: BenchSettings, env: Environment) -> ExitStatus:
-    """Measure what entry and sidecar add, with processes of its own."""
+    """Measure the overhead of entry and sidecar in processes that it starts."""
     from acaciacove.bench.overhead import run_overhead
 
     print_json(asyncio.run(run_overhead()), env)
@@ -49,7 +49,7 @@
 
 
 def _run_capacity(settings: BenchSettings, env: Environment) -> ExitStatus:
-    """Measure slopes on this machine and project them to the size to design for."""
+    """Measure cost slopes on this machine and project them to the design size."""
     from acaciacove.bench.capacity import format_report, measure_capacity
     from acaciacove.bench.capacity_settings import CapacitySettings
 
@@ -61,7 +61,7 @@
 
 
 def _run_promises(settings: BenchSettings, env: Environment) -> ExitStatus:
-    """Assert every promise under faults, in a long run on a clock of its own."""
+    """Check every promise under faults, in a long run on a simulated clock."""
     from acaciacove.bench.promises import run_promises
 
     report = run_promises(
--- a/acaciacove/cli/command.py
+++ b/acaciacove/cli/command.py
@@ -1,4 +1,4 @@
-"""One command of the program."""
+"""One command of the command line interface."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,9 +14,9 @@
 
 @frozen
 class Command:
-    """The words that call a command, its settings, its help, and what it runs.
+    """The words that select a command, its help, settings and function.
 
-    ``run`` gets an instance of ``settings``.
+    ``run`` is called with an instance of ``settings``.
     """
 
     words: tuple[str, ...]
@@ -29,5 +29,5 @@
 
     @property
     def name(self) -> str:
-        """The command as it is typed, without the program."""
+        """The command as typed, without the program's name."""
         return " ".join(self.words)
--- a/acaciacove/cli/daemon_commands.py
+++ b/acaciacove/cli/daemon_commands.py
@@ -1,4 +1,4 @@
-"""The daemons with their flags."""
+"""Commands that run the daemons, with their flags."""
 
 from acaciacove.cli import (
     entry,
--- a/acaciacove/cli/decision_command.py
+++ b/acaciacove/cli/decision_command.py
@@ -1,4 +1,4 @@
-"""Takes availability zones and instances out, and brings them back."""
+"""Commands that take availability zones and instances out or bring them back."""
 
 import asyncio
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 
 
 def new_id(random: Random) -> str:
-    """Make an id that no other decision has."""
+    """Return a random decision id, unique for all practical purposes."""
     return f"{random.getrandbits(ID_BITS):032x}"
 
 
 def zone_decision(out: bool) -> MakeDecision:
-    """Make availability zone decisions of one kind."""
+    """Return a function that creates out or in decisions on availability zones."""
 
     def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return ZoneDecision(decision_id, settings.name, out, settings.operator)
@@ -36,7 +36,7 @@
 
 
 def instance_decision(out: bool) -> MakeDecision:
-    """Make instance decisions of one kind."""
+    """Return a function that creates out or in decisions on instances."""
 
     def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return InstanceDecision(decision_id, settings.name, out, settings.operator)
@@ -47,7 +47,7 @@
 def decision_command(
     make_decision: MakeDecision,
 ) -> Callable[[DecisionSettings, Environment], ExitStatus]:
-    """Make the command that appends one kind of decision."""
+    """Return the function of a command that appends one kind of decision."""
 
     def run(settings: DecisionSettings, env: Environment) -> ExitStatus:
         decision = make_decision(settings.decision_id or new_id(env.random), settings)
@@ -64,7 +64,7 @@
 async def _append(
     decision: Decision, settings: DecisionSettings, env: Environment
 ) -> AppendOutcome:
-    """Append a decision unless its id is in the log already."""
+    """Append a decision unless the log already holds its id."""
     async with env.open_log(settings.log_url) as log:
         history = await read_history(log)
         outcome = await append_once(
@@ -72,7 +72,10 @@
         )
     if outcome.found is not None and outcome.found.record != decision:
         raise InvalidSettingsError(
-            [f"--decision_id {decision.decision_id} is that of another record"]
+            [
+                f"--decision_id {decision.decision_id} belongs to a different record "
+                f"at offset {outcome.found.offset}"
+            ]
         )
     return outcome
 
--- a/acaciacove/cli/definition.py
+++ b/acaciacove/cli/definition.py
@@ -1,4 +1,4 @@
-"""Every command, in the order of the help page."""
+"""All commands, in the order of the help page."""
 
 from acaciacove.cli import (
     help_settings,
--- a/acaciacove/cli/demo.py
+++ b/acaciacove/cli/demo.py
@@ -1,4 +1,4 @@
-"""``acaciacove demo``: both deployments in one process."""
+"""``acaciacove demo``: runs both example deployments in one process."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def run(settings: NoSettings, env: Environment) -> ExitStatus:
-    """Run the demo, which sends its own requests and says where they went."""
+    """Run the demo, which sends requests and prints how each was routed."""
     from acaciacove.demo import run_demo
 
     return asyncio.run(run_demo(env))
--- a/acaciacove/cli/entry.py
+++ b/acaciacove/cli/entry.py
@@ -1,4 +1,4 @@
-"""``acaciacove entry``: run one entry until it is told to stop."""
+"""``acaciacove entry``: runs one entry until SIGTERM or SIGINT."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def run(settings: EntrySettings, env: Environment) -> ExitStatus:
-    """Run the daemon; it ends after SIGTERM, once its streams have finished."""
+    """Run the daemon; after SIGTERM it ends when its streams have finished."""
     from acaciacove.entry.daemon import run_entry
 
     return asyncio.run(run_entry(settings))
--- a/acaciacove/cli/explain.py
+++ b/acaciacove/cli/explain.py
@@ -1,4 +1,4 @@
-"""``acaciacove explain``: what became of a request, from logs alone."""
+"""``acaciacove explain``: reports on requests from log lines alone."""
 
 from pathlib import Path
 
@@ -14,7 +14,7 @@
 
 
 def run(settings: ExplainSettings, env: Environment) -> ExitStatus:
-    """Print one request's story, or counts over time."""
+    """Print the course of one request, or counts over time."""
     text: list[str] = []
     for file in settings.all_files:
         text += _read_lines(file, env)
--- a/acaciacove/cli/explain_command.py
+++ b/acaciacove/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""``explain`` with its flags."""
+"""The ``explain`` command with its flags."""
 
 from acaciacove.cli import explain
 from acaciacove.cli.argument import Argument
--- a/acaciacove/cli/find_command.py
+++ b/acaciacove/cli/find_command.py
@@ -1,4 +1,4 @@
-"""From the first words of the command line to the command."""
+"""Finds the command that the command line selects."""
 
 from collections.abc import Sequence
 from difflib import get_close_matches
@@ -10,7 +10,10 @@
 def find_command(
     commands: Sequence[Command], args: list[str]
 ) -> tuple[Command, list[str]]:
-    """Return the command and the arguments after its words."""
+    """Return the command and the remaining arguments.
+
+    Raises InvalidSettingsError for an unknown command.
+    """
     for command in commands:
         if tuple(args[: len(command.words)]) == command.words:
             return command, args[len(command.words) :]
@@ -18,7 +21,7 @@
 
 
 def _unknown_command_fault(commands: Sequence[Command], args: list[str]) -> str:
-    """Say which commands were probably meant."""
+    """Return an error text that suggests similar commands."""
     group = [command.name for command in commands if command.words[0] == args[0]]
     if group:
         return f"{args[0]} needs one of: {', '.join(group)}"
--- a/acaciacove/cli/flag.py
+++ b/acaciacove/cli/flag.py
@@ -7,11 +7,11 @@
 
 @frozen
 class Flag:
-    """A flag's name, which is that of a settings field, and its help.
+    """The name and help text of a flag.
 
-    Type, default and check come from the settings field of the same name.
-    ``metavar`` stands for the value in help; ``secret`` values are never shown.
-    ``short`` is a second, shorter name.
+    Type, default and validation come from the settings field of the same name.
+    ``metavar`` is the placeholder for the value in help. ``secret`` values are
+    never shown. ``short`` is an alternative short name.
     """
 
     name: str
--- a/acaciacove/cli/fleet_report.py
+++ b/acaciacove/cli/fleet_report.py
@@ -1,4 +1,4 @@
-"""What ``status`` knows of the fleet."""
+"""Report on the fleet, printed by ``acaciacove status``."""
 
 from attrs import frozen
 
@@ -7,9 +7,9 @@
 
 @frozen
 class FleetReport:
-    """The configuration in force and every instance on the platform's list.
+    """The configuration in force and all instances in the platform's instance list.
 
-    ``read_at`` is the wall clock of the reader, in UTC.
+    ``read_at`` is the wall-clock time of the command, in UTC.
     """
 
     read_at: str
--- a/acaciacove/cli/help_settings.py
+++ b/acaciacove/cli/help_settings.py
@@ -1,4 +1,4 @@
-"""``acaciacove help-settings``: all settings as tables for the operators' page."""
+"""``acaciacove help-settings``: prints all settings as Markdown tables."""
 
 from pathlib import Path
 
@@ -18,7 +18,7 @@
 def run(
     settings: HelpSettings, env: Environment, commands: tuple[Command, ...]
 ) -> ExitStatus:
-    """Print one table for each command that has flags, or write them to a page."""
+    """Print one table for each command that has flags, or write them to a file."""
     tables = settings_tables(commands)
     if settings.page:
         _replace_tables(Path(settings.page), tables)
@@ -28,19 +28,21 @@
 
 
 def _replace_tables(page: Path, tables: str) -> None:
-    """Put the tables in place of those on a page; raises InvalidSettingsError."""
+    """Replace the tables between the markers; raises InvalidSettingsError."""
     try:
         before, begin, rest = page.read_text().partition(BEGIN_MARKER)
         _, end, after = rest.partition(END_MARKER)
     except OSError as error:
         raise InvalidSettingsError([f"--page {error.strerror}: {page}"]) from error
     if not (begin and end):
-        raise InvalidSettingsError([f"--page has no place for settings: {page}"])
+        raise InvalidSettingsError(
+            [f"--page lacks {BEGIN_MARKER} or {END_MARKER} after it: {page}"]
+        )
     page.write_text(f"{before}{BEGIN_MARKER}\n\n{tables}\n\n{END_MARKER}{after}")
 
 
 def settings_tables(commands: tuple[Command, ...]) -> str:
-    """Write Markdown tables from the definitions."""
+    """Return Markdown tables generated from the command definitions."""
     return "\n\n".join(_table(command) for command in commands if command.flags)
 
 
--- a/acaciacove/cli/help_text.py
+++ b/acaciacove/cli/help_text.py
@@ -1,4 +1,4 @@
-"""Help pages, written from the definitions of the commands."""
+"""Help pages, generated from the command definitions."""
 
 from collections.abc import Sequence
 from inspect import cleandoc
@@ -26,14 +26,14 @@
 
 
 def program_help(commands: Sequence[Command]) -> str:
-    """Write the page that lists all commands."""
+    """Return the help page that lists all commands."""
     lines = [PROGRAM_INTRODUCTION]
     lines += [f"  {c.name:<{NAME_WIDTH}}{c.summary}" for c in commands]
     return "\n".join([*lines, "", PROGRAM_CLOSING])
 
 
 def command_help(command: Command) -> str:
-    """Write the page of one command."""
+    """Return the help page of one command."""
     blocks = [_usage(command), paragraphs(command.help)]
     if command.arguments:
         blocks.append("Arguments:")
@@ -46,7 +46,7 @@
 
 
 def paragraphs(text: str) -> str:
-    """Wrap each paragraph; lines that are indented stay as they are."""
+    """Wrap each paragraph; indented blocks stay unchanged."""
     wrapped = []
     for block in cleandoc(text).split("\n\n"):
         verbatim = block.startswith(" ")
@@ -60,7 +60,7 @@
 
 
 def _flag_help(command: Command, flag: Flag) -> str:
-    """Write a flag's line, its help, its environment variable and default."""
+    """Return a flag's line, help, environment variable and default."""
     value = f"={flag.metavar}" if flag.metavar else ""
     origin = f"Environment: {flag.variable}. Default: {flag_default(command, flag)}."
     return f"  --{flag.name}{value}\n{_indented(flag.help)}\n{_indented(origin)}"
--- a/acaciacove/cli/history.py
+++ b/acaciacove/cli/history.py
@@ -1,4 +1,4 @@
-"""The release stream as far as the log still keeps it."""
+"""The records of the release stream that the log still retains."""
 
 import asyncio
 
@@ -27,10 +27,10 @@
 
 @define
 class History:
-    """The fold of all records that were read, and the records themselves.
+    """The records that were read, and the state folded from them.
 
-    After a gap nothing is folded until a snapshot covers it: a fold past a hole
-    would show a state that no process of the fleet holds.
+    If records have expired, nothing is folded until a snapshot covers the gap.
+    Folding past the gap would give a state that no process of the fleet has.
     """
 
     state: FleetState = field(factory=FleetState)
@@ -40,23 +40,23 @@
 
     @property
     def is_complete(self) -> bool:
-        """Tell whether ``state`` is what the fleet holds."""
+        """Return whether ``state`` covers all expired records."""
         return self.state.revision + 1 >= self.first_offset
 
     def find(self, wanted_id: str) -> HistoryEntry | None:
-        """Return the first record with an operator's id."""
+        """Return the entry of the first record with this operator-given id."""
         for entry in self.entries:
             if record_id(entry.record) == wanted_id:
                 return entry
         return None
 
     def skip_expired(self, earliest_offset: int) -> None:
-        """Learn that records before an offset have expired."""
+        """Continue at an offset, as all records before it have expired."""
         self.next_offset = earliest_offset
         self.first_offset = earliest_offset
 
     def apply(self, entry: LogEntry) -> None:
-        """Fold one record, or keep it until it can be folded."""
+        """Fold one record, or retain it until a snapshot allows folding it."""
         record = _read_record(entry.payload)
         self.next_offset = entry.offset + 1
         if self.is_complete:
@@ -71,7 +71,7 @@
         return reaches and can_start_from(self.state, offset, snapshot)
 
     def _start_from(self, state: FleetState) -> None:
-        """Start from a snapshot, and fold what came after it."""
+        """Start from a snapshot's state and fold the records after it."""
         self.state = state
         for index, entry in enumerate(self.entries):
             if entry.offset > state.revision:
@@ -89,10 +89,14 @@
         try:
             batch = await log.read(RELEASE_STREAM, history.next_offset, READ_LIMIT)
         except OffsetExpiredError as expired:
-            # A jump that goes nowhere would read the same expired offset for
-            # ever; the command would hang. It shows as a log that is down.
+            # If the log reports an earliest offset that is not ahead, reading
+            # there would expire again and loop forever. Report the log as
+            # unavailable instead.
             if expired.earliest_offset <= history.next_offset:
-                raise PlatformUnavailableError("contradictory offsets") from expired
+                raise PlatformUnavailableError(
+                    f"log offset {history.next_offset} has expired, but the log gives "
+                    f"{expired.earliest_offset} as its earliest offset"
+                ) from expired
             history.skip_expired(expired.earliest_offset)
             continue
         if not batch:
@@ -102,17 +106,20 @@
 
 
 async def read_history(log: PlatformLog) -> History:
-    """Read and fold the whole stream.
+    """Read and fold the complete release stream.
 
-    Raises PlatformUnavailableError, and IncompleteLogError when the log no longer
-    tells what is in force.
+    Raises PlatformUnavailableError, and IncompleteLogError if the state in force
+    can no longer be derived from the log.
     """
     history = History()
     try:
         async with asyncio.timeout(READ_TIMEOUT_S):
             await catch_up(history, log)
     except TimeoutError as error:
-        message = f"the log was not read within {READ_TIMEOUT_S:g} s"
+        message = (
+            f"stream {RELEASE_STREAM} was not read to its end within "
+            f"{READ_TIMEOUT_S:g} s; next offset {history.next_offset}"
+        )
         raise PlatformUnavailableError(message) from error
     if not history.is_complete:
         raise IncompleteLogError(history.first_offset)
@@ -120,7 +127,7 @@
 
 
 def fetch_history(url: str, env: Environment) -> History:
-    """Open the log, read it whole, and close it again."""
+    """Open the log, read the complete release stream, and close the log."""
 
     async def fetch() -> History:
         async with env.open_log(url) as log:
@@ -130,7 +137,7 @@
 
 
 def _read_record(payload: bytes) -> Record | None:
-    """Read a record; one from a newer version must not stop the others."""
+    """Decode a record; None if it is unreadable, such as one of a newer version."""
     try:
         return decode_record(payload)
     except MalformedMessageError:
--- a/acaciacove/cli/history_entry.py
+++ b/acaciacove/cli/history_entry.py
@@ -1,4 +1,4 @@
-"""One record of the release stream with what the reducer made of it."""
+"""One record of the release stream with the reducer's verdict."""
 
 from attrs import frozen
 
@@ -8,9 +8,9 @@
 
 @frozen
 class HistoryEntry:
-    """A record at its offset; ``record`` is None when it cannot be read.
+    """A record at its offset; ``record`` is None if it cannot be decoded.
 
-    ``verdict`` is None where the records that it depends on have expired.
+    ``verdict`` is None if the records that it depends on have expired.
     """
 
     offset: int
@@ -20,5 +20,5 @@
 
     @property
     def verdict_name(self) -> str:
-        """The verdict for people and scripts."""
+        """The verdict as text, ``unknown`` if there is none."""
         return "unknown" if self.verdict is None else self.verdict.value
--- a/acaciacove/cli/instance_report.py
+++ b/acaciacove/cli/instance_report.py
@@ -1,15 +1,17 @@
-"""What ``status`` knows of one instance."""
+"""Report on one instance, printed by ``acaciacove status``."""
 
 from attrs import frozen
 
 
 @frozen
 class InstanceReport:
-    """The platform's word on an instance, and its own.
+    """An instance as the instance list has it, and the status that it returned.
 
-    ``listed`` is the list's status. The rest is the instance's own: None where it
-    did not answer, and ``fault`` says why. ``behind`` counts revisions that it has
-    not folded yet; ``out`` tells that an operator took it or its zone out.
+    ``listed`` is its status in the instance list. ``out`` is true if an operator
+    took out the instance or its availability zone. ``versions`` come from the list.
+    The fields from ``state`` to ``cold`` come from the instance; they are None if
+    no valid answer came, and ``fault`` says why. ``behind`` counts the revisions
+    that the instance has not folded yet.
     """
 
     name: str
--- a/acaciacove/cli/load.py
+++ b/acaciacove/cli/load.py
@@ -1,4 +1,4 @@
-"""``acaciacove load``: callers who check every answer that they get."""
+"""``acaciacove load``: sends requests and checks every answer."""
 
 import asyncio
 
@@ -12,7 +12,7 @@
 
 
 def run(settings: LoadSettings, env: Environment) -> ExitStatus:
-    """Send requests and report; an answer that was wrong is a failed check."""
+    """Send requests and print a report; a wrong answer is a failed check."""
     from acaciacove.bench.call_failure import CallFailure
     from acaciacove.bench.load_run import run_load
 
@@ -22,8 +22,9 @@
         print_json(document, env)
     else:
         _print(document, env)
-    # A refusal, a timeout or a lost connection is told to the caller. An answer
-    # that is short, broken off without a word or somebody else's is not.
+    # Callers notice a refusal, a timeout or a lost connection. They do not notice
+    # an answer that is truncated, ends early without an error, or belongs to
+    # another request, so only these fail the check.
     wrong = (CallFailure.FOREIGN, CallFailure.SHORT, CallFailure.BROKEN_OFF)
     if any(report.failures.get(failure, 0) for failure in wrong):
         return ExitStatus.CHECK_FAILED
@@ -31,7 +32,7 @@
 
 
 def _print(document: dict[str, object], env: Environment) -> None:
-    """Print one row for each figure, nested ones by their path."""
+    """Print one row per figure; nested figures are named by their path."""
     table = new_table("figure", "value")
     for name, value in document.items():
         if isinstance(value, dict):
--- a/acaciacove/cli/note_file.py
+++ b/acaciacove/cli/note_file.py
@@ -1,4 +1,4 @@
-"""Reads the file of a release note."""
+"""Reads the file of a release note or fleet file."""
 
 from pathlib import Path
 
@@ -9,7 +9,10 @@
 
 
 def read_note_file(file: str, max_bytes: int, env: Environment) -> bytes:
-    """Read up to one byte more than the limit; raises InvalidSettingsError."""
+    """Read at most ``max_bytes + 1`` bytes, so that callers see an excess.
+
+    Raises InvalidSettingsError if the file cannot be read.
+    """
     if file == STANDARD_INPUT:
         return env.stdin.read(max_bytes + 1).encode()
     try:
--- a/acaciacove/cli/operator_commands.py
+++ b/acaciacove/cli/operator_commands.py
@@ -1,4 +1,4 @@
-"""Availability zones and instances, and the state of the fleet."""
+"""Commands for availability zones, instances and the fleet's status."""
 
 from acaciacove.cli import (
     status,
--- a/acaciacove/cli/output.py
+++ b/acaciacove/cli/output.py
@@ -1,4 +1,4 @@
-"""Results as JSON for scripts."""
+"""Prints results as JSON for scripts."""
 
 from typing import Any
 
@@ -8,5 +8,5 @@
 
 
 def print_json(document: dict[str, Any], env: Environment) -> None:
-    """Write one JSON object on one line."""
+    """Print one JSON object on one line."""
     env.print(orjson.dumps(document, option=orjson.OPT_NON_STR_KEYS).decode())
--- a/acaciacove/cli/publish_report.py
+++ b/acaciacove/cli/publish_report.py
@@ -1,4 +1,4 @@
-"""What ``release publish`` reports."""
+"""Report of ``acaciacove release publish``."""
 
 from attrs import frozen
 
@@ -7,12 +7,12 @@
 
 @frozen
 class PublishReport:
-    """The fate of a note.
+    """The outcome of publishing a note.
 
-    ``offset`` is where it stands in the log, None while that is unknown.
-    ``verdict`` is the reducer's. ``in_force`` is the release revision in force,
-    ``beaten_by`` the id of the note that won a lost race. ``repeated`` tells that
-    an earlier run had put the note there.
+    ``offset`` is the note's offset in the log, None while it is unknown.
+    ``verdict`` is the reducer's. ``in_force`` is the release revision in force.
+    ``beaten_by`` is the id of the note that was accepted first in a lost race.
+    ``repeated`` is true if an earlier run had appended the note.
     """
 
     note_id: str
--- a/acaciacove/cli/query_instance.py
+++ b/acaciacove/cli/query_instance.py
@@ -1,4 +1,4 @@
-"""Asks one instance for its status."""
+"""Queries the status of one instance over HTTP."""
 
 from typing import Any
 
@@ -18,7 +18,7 @@
 async def query_instance(
     client: Any, instance: Instance, fleet: FleetState, timeout_s: float
 ) -> InstanceReport:
-    """Return a report, also when the instance is gone or its answer is odd."""
+    """Return a report; if no valid answer comes, its ``fault`` says why."""
     listed = _report_from_list(instance, fleet)
     if not instance.http_port:
         return evolve(listed, fault=NO_PORT)
@@ -34,7 +34,7 @@
 
 
 def _report_from_list(instance: Instance, fleet: FleetState) -> InstanceReport:
-    """Report what the platform's list and the decisions in force tell."""
+    """Report what the instance list and the decisions in force contain."""
     out = (
         instance.name in fleet.instances_out
         or instance.availability_zone in fleet.availability_zones_out
@@ -52,10 +52,10 @@
 def _add_status(
     listed: InstanceReport, document: dict[str, Any], fleet: FleetState
 ) -> InstanceReport:
-    """Add what the instance says of itself.
+    """Add the status that the instance returned.
 
-    An instance that was replaced behind its address answers for another name;
-    its state would be shown under the wrong one, so it is called a fault.
+    If another instance now has the address, the answer carries another name. That
+    is a fault: its state would otherwise be shown for the wrong instance.
     """
     name = document.get("name")
     if name != listed.name:
--- a/acaciacove/cli/read_settings.py
+++ b/acaciacove/cli/read_settings.py
@@ -1,4 +1,4 @@
-"""From flags, environment variables and defaults to checked settings."""
+"""Reads settings from flags, environment variables and defaults."""
 
 from collections.abc import Callable, Mapping
 from difflib import get_close_matches
@@ -24,12 +24,12 @@
 from acaciacove.settings.checked_settings import CheckedSettings, field_faults
 
 LIST_SEPARATOR = ","
-# Joins the words of an argument that takes many: no word of a command holds it.
+# Joins the words of a variadic argument; a command-line word cannot contain it.
 WORD_SEPARATOR = "\0"
 
 
 def _parse_versions(text: str) -> tuple[VersionId, ...]:
-    """Read ``model@version,model@version``."""
+    """Parse ``model@version,model@version``."""
     versions = []
     for part in filter(None, (p.strip() for p in text.split(LIST_SEPARATOR))):
         version = parse_version_id(part)
@@ -40,7 +40,7 @@
 
 
 def _make_parser(absl_parser: Any, expected: str) -> Callable[[str], Any]:
-    """Make a parser whose message names what was expected."""
+    """Return a parser whose error text names the expected type."""
 
     def parse(text: str) -> Any:
         try:
@@ -68,8 +68,8 @@
 ) -> CheckedSettings:
     """Read and check all settings; raises InvalidSettingsError with every fault.
 
-    A flag wins over its environment variable, that over the default. An
-    environment variable that is empty counts as not set.
+    A flag takes precedence over its environment variable, which takes precedence
+    over the default. An empty environment variable counts as not set.
     """
     texts, sources, faults = _collect_texts(command, args, env)
     values, parse_faults = _parse_texts(command, texts, sources)
@@ -84,7 +84,7 @@
 def _collect_texts(
     command: Command, args: list[str], env: Mapping[str, str]
 ) -> tuple[dict[str, str], dict[str, str], list[str]]:
-    """Collect the text of each setting, how its user wrote it, and faults."""
+    """Return the text of each given setting, the name it was given by, and faults."""
     flag_values = _define_flags(command)
     faults: list[str] = []
     rest: list[str] = []
@@ -115,10 +115,10 @@
 
 
 def _define_flags(command: Command) -> FlagValues:
-    """Make a registry of its own, so that commands share no global flags.
+    """Return a separate flag registry, so that commands share no global flags.
 
-    Values are taken as text here: absl stops at the first wrong value, and the
-    person at the keyboard wants to see all of them.
+    Values are read as text here and parsed later: absl stops at the first invalid
+    value, but the user should see all faults at once.
     """
     flag_values = FlagValues()
     flag_values.set_gnu_getopt(True)
@@ -134,22 +134,22 @@
 
 
 class _UncheckedBooleanParser(BooleanParser):
-    """Lets ``--json`` and ``--nojson`` stand alone, and checks nothing."""
+    """Accepts ``--json`` and ``--nojson`` without a value; validates nothing."""
 
     def parse(self, argument: Any) -> Any:
-        """Keep the text; it is checked with all the others."""
+        """Return the text unparsed; it is checked later with all the others."""
         return str(argument)
 
 
 def _is_flag(word: str) -> bool:
-    """Tell a flag from an argument; a hyphen alone is standard input."""
+    """Return whether a word is a flag; a single hyphen is standard input."""
     return word.startswith("-") and word != STANDARD_INPUT
 
 
 def _parse_texts(
     command: Command, texts: dict[str, str], sources: dict[str, str]
 ) -> tuple[dict[str, Any], list[str]]:
-    """Turn each text into the type of its settings field."""
+    """Convert each text to the type of its settings field."""
     values: dict[str, Any] = {}
     faults = []
     settings_fields = fields_dict(command.settings)
@@ -163,7 +163,7 @@
 
 
 def _missing_settings(command: Command, texts: dict[str, str]) -> list[str]:
-    """Name each setting that has neither a value nor a default."""
+    """Return a fault for each setting without a value and a default."""
     faults = []
     settings_fields = fields_dict(command.settings)
     for argument in command.arguments:
@@ -176,18 +176,18 @@
 
 
 def is_required(settings_field: Any) -> bool:
-    """Tell whether a settings field has no default."""
+    """Return whether a settings field has no default."""
     return settings_field.default is NOTHING
 
 
 def _with_source(fault: str, sources: dict[str, str]) -> str:
-    """Begin a fault with the word that the person wrote."""
+    """Replace the field name in a fault by the name that the user typed."""
     name, _, rest = fault.partition(" ")
     return f"{sources.get(name, name)} {rest}"
 
 
 def _unknown_flag_fault(command: Command, word: str) -> str:
-    """Name a flag that the command does not have, and the nearest that it has."""
+    """Return an error text for an unknown flag that suggests the closest one."""
     name = word.lstrip("-").partition("=")[0]
     known = [flag.name for flag in command.flags]
     close = get_close_matches(name.replace("-", "_"), known, n=1)
@@ -196,7 +196,7 @@
 
 
 def flag_default(command: Command, flag: Flag) -> str:
-    """Show a flag's default for help: required, empty, or its value."""
+    """Return a flag's default for help: ``required``, ``empty`` or its value."""
     default = fields_dict(command.settings)[flag.name].default
     if default is NOTHING:
         return "required"
--- a/acaciacove/cli/record_summary.py
+++ b/acaciacove/cli/record_summary.py
@@ -1,4 +1,4 @@
-"""Records of the release stream in one line each, for people."""
+"""One-line summaries of the records of the release stream."""
 
 from acaciacove.state.exposure_record import ExposureRecord
 from acaciacove.state.instance_decision import InstanceDecision
@@ -12,7 +12,7 @@
 
 
 def summarise(record: Record | None) -> str:
-    """Tell what a record asks for."""
+    """Return a one-line summary of a record."""
     match record:
         case ReleaseNote():
             return f"release note {record.note_id}: {record.summary or 'no summary'}"
@@ -32,7 +32,7 @@
 
 
 def record_id(record: Record | None) -> str:
-    """Return the id that its operator gave a record, if it has one."""
+    """Return the id that an operator gave a record, or an empty string."""
     match record:
         case ReleaseNote():
             return record.note_id
--- a/acaciacove/cli/release_commands.py
+++ b/acaciacove/cli/release_commands.py
@@ -1,4 +1,4 @@
-"""Release notes: check, compare, publish, show."""
+"""Commands that validate, compare, publish and show releases."""
 
 from acaciacove.cli import (
     release_diff,
--- a/acaciacove/cli/release_diff.py
+++ b/acaciacove/cli/release_diff.py
@@ -1,4 +1,4 @@
-"""``acaciacove release diff``: what a note would change, before it is published."""
+"""``acaciacove release diff``: shows what a note would change."""
 
 from acaciacove.cli.history import fetch_history
 from acaciacove.cli.note_file import read_note_file
@@ -13,7 +13,7 @@
 
 
 def run(settings: DiffSettings, env: Environment) -> ExitStatus:
-    """Print what a note adds, changes and withdraws."""
+    """Print what a release note adds, changes and withdraws."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
     state = fetch_history(settings.log_url, env).state
--- a/acaciacove/cli/release_publish.py
+++ b/acaciacove/cli/release_publish.py
@@ -1,4 +1,4 @@
-"""``acaciacove release publish``: put a release note in force."""
+"""``acaciacove release publish``: publishes a release note."""
 
 import asyncio
 from random import Random
@@ -26,7 +26,7 @@
 
 
 def run(settings: PublishSettings, env: Environment) -> ExitStatus:
-    """Publish a note and tell what became of it."""
+    """Publish a note and print its outcome."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
     report = asyncio.run(_publish(document, settings, env))
@@ -47,7 +47,7 @@
 async def publish(
     document: NoteDocument, log: PlatformLog, settings: PublishSettings, random: Random
 ) -> PublishReport:
-    """Check a note against what is in force, append it once, and read it back.
+    """Check a note against the state in force, append it once, and read it back.
 
     Raises InvalidNoteError, and PlatformUnavailableError when nothing has been
     appended.
@@ -68,7 +68,7 @@
 
 
 def exit_status(report: PublishReport) -> ExitStatus:
-    """Tell scripts what became of a note."""
+    """Return the exit status for the outcome of a note."""
     match report.verdict:
         case None:
             return ExitStatus.OUTCOME_UNKNOWN
@@ -80,17 +80,17 @@
 
 
 def _without_base_revision(document: NoteDocument) -> NoteDocument:
-    """Leave a stale base to the reducer, whose word all readers go by."""
+    """Drop the base revision: all readers go by the reducer's check for staleness."""
     return evolve(document, based_on=None)
 
 
 def _reject_reused_id(
     document: NoteDocument, found: object, settings: PublishSettings
 ) -> None:
-    """Refuse an id that another note carries already.
+    """Raise InvalidNoteError if the id belongs to a record with other content.
 
-    Taking the earlier note for this one would tell the operator that changes
-    are in force which never left his desk.
+    Treating the earlier note as this one would report changes as in force that
+    were never appended.
     """
     if isinstance(found, ReleaseNote):
         expected = document.release_note(found.based_on, settings.operator)
@@ -123,7 +123,7 @@
 
 
 def _expired_report(document: NoteDocument, history: History) -> PublishReport:
-    """Report a note in force whose record the log no longer keeps."""
+    """Report on a note in force whose record has expired from the log."""
     in_force = history.state.release_revision
     detail = "its record has expired from the log"
     return PublishReport(
@@ -132,7 +132,7 @@
 
 
 def _accepted_note_before(history: History, offset: int) -> str:
-    """Return the id of the note that was in force when a note was refused."""
+    """Return the id of the last note accepted before an offset."""
     winner = ""
     for entry in history.entries:
         accepted = entry.verdict is Verdict.ACCEPTED
@@ -142,7 +142,7 @@
 
 
 def _format_report(report: PublishReport) -> str:
-    """Say the fate of a note to a person."""
+    """Return the outcome of a note as one line of text."""
     if report.verdict is None:
         return f"{report.note_id}: outcome unknown, {report.detail}"
     earlier = " by an earlier run" if report.repeated else ""
--- a/acaciacove/cli/release_show.py
+++ b/acaciacove/cli/release_show.py
@@ -1,4 +1,4 @@
-"""``acaciacove release show``: what is in force, and how it came about."""
+"""``acaciacove release show``: shows the release in force and its history."""
 
 from typing import Any
 
@@ -49,7 +49,7 @@
 
 
 def _exposures(state: FleetState) -> dict[str, float]:
-    """Map versions under roll-out to the share that they have reached."""
+    """Return the share that each version under roll-out has reached."""
     shares = {str(v.id): exposure(state, v) for v in state.versions.values()}
     return {version: share for version, share in shares.items() if share is not None}
 
@@ -65,7 +65,7 @@
 
 
 def latest(history: History, count: int) -> list[HistoryEntry]:
-    """Return the last records, the latest first."""
+    """Return the last ``count`` records, the latest first."""
     return history.entries[::-1][:count]
 
 
@@ -82,7 +82,7 @@
 
 
 def versions_table(state: FleetState) -> Table:
-    """Show every version, withdrawn ones included."""
+    """Return a table of all versions, including withdrawn ones."""
     table = new_table("version", "API", "cost/1k tokens", "quality", "state")
     for version in state.versions.values():
         status = _version_status(state, version)
@@ -94,7 +94,7 @@
 
 
 def _version_status(state: FleetState, version: Version) -> str:
-    """Say how a version stands, and how far its roll-out has come."""
+    """Return the status of a version, with the share that its roll-out reached."""
     if version.withdrawn:
         return "withdrawn"
     if version.id in state.quarantines:
@@ -104,7 +104,7 @@
 
 
 def exposure(state: FleetState, version: Version) -> float | None:
-    """Return the share that a roll-out has reached; None when there is none."""
+    """Return the share that a roll-out has reached; None without a roll-out."""
     replaced = version.replaces
     if version.withdrawn or replaced is None or not state.is_usable(replaced):
         return None
@@ -112,7 +112,7 @@
 
 
 def organisations_table(state: FleetState) -> Table:
-    """Show every organisation and what it may reach."""
+    """Return a table of all organisations and the versions they may use."""
     table = new_table("organisation", "weight", "may reach")
     for organisation in state.organisations.values():
         allowed = [
--- a/acaciacove/cli/release_validate.py
+++ b/acaciacove/cli/release_validate.py
@@ -1,4 +1,4 @@
-"""``acaciacove release validate``: find every fault before publishing."""
+"""``acaciacove release validate``: reports all faults of a release note."""
 
 from attrs import asdict
 
@@ -17,7 +17,7 @@
 
 
 def run(settings: FileSettings, env: Environment) -> ExitStatus:
-    """Check a note's form, and its names as far as those in force are known."""
+    """Check a note's syntax, and its names if the state in force is known."""
     faults: list[NoteFault] = []
     try:
         document = read_checked(settings, env)
@@ -34,7 +34,7 @@
 
 
 def read_checked(settings: FileSettings, env: Environment) -> NoteDocument:
-    """Read a note and check it; raises InvalidNoteError."""
+    """Read and check a note; raises InvalidNoteError."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
     state = _state_to_check(settings, document, env)
@@ -47,7 +47,7 @@
 def _state_to_check(
     settings: FileSettings, document: NoteDocument, env: Environment
 ) -> FleetState | None:
-    """Return what is in force, as far as it can be known."""
+    """Return the state in force, or None if it is not known."""
     if settings.log_url:
         return fetch_history(settings.log_url, env).state
     if document.based_on == NO_REVISION:
@@ -56,7 +56,7 @@
 
 
 def _skipped_checks(settings: FileSettings, document: NoteDocument) -> str:
-    """Say what could not be checked."""
+    """Return a remark on checks that were skipped, or an empty string."""
     if settings.log_url or document.based_on == NO_REVISION:
         return ""
     return "; names in force were not checked, --log_url was not given"
--- a/acaciacove/cli/sidecar.py
+++ b/acaciacove/cli/sidecar.py
@@ -1,4 +1,4 @@
-"""``acaciacove sidecar``: run one sidecar until it is told to stop."""
+"""``acaciacove sidecar``: runs one sidecar until SIGTERM or SIGINT."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 def run(settings: SidecarSettings, env: Environment) -> ExitStatus:
-    """Run the daemon; it ends after SIGTERM, once its work has finished."""
+    """Run the daemon; after SIGTERM it ends when its work has finished."""
     from acaciacove.sidecar.daemon import run_sidecar
 
     return asyncio.run(run_sidecar(settings))
--- a/acaciacove/cli/soak.py
+++ b/acaciacove/cli/soak.py
@@ -1,4 +1,4 @@
-"""``acaciacove soak``: real processes under faults, judged from outside."""
+"""``acaciacove soak``: checks real processes under injected faults."""
 
 import asyncio
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 
 def run(settings: SoakSettings, env: Environment) -> ExitStatus:
-    """Print the plan, play it, and report what was broken."""
+    """Print the fault plan, run it, and report violations."""
     from acaciacove.soak.fault_plan import plan_faults
     from acaciacove.soak.run_soak import run_soak
 
@@ -26,7 +26,7 @@
 
 
 async def _shorten(settings: SoakSettings, numbers: Sequence[int]) -> list[int]:
-    """Play parts of the plan until no fault can be left out."""
+    """Run parts of the plan until no further fault can be left out."""
     from acaciacove.soak.run_soak import run_soak
     from acaciacove.soak.shorten_plan import shorten_plan
 
--- a/acaciacove/cli/standins.py
+++ b/acaciacove/cli/standins.py
@@ -1,4 +1,4 @@
-"""``acaciacove standins``: the platform and the endpoints, to try things on."""
+"""``acaciacove standins``: runs stand-ins for platform and endpoints."""
 
 import asyncio
 
@@ -22,7 +22,7 @@
 
 
 async def _serve(fleet: FleetFile, seed: int, env: Environment) -> None:
-    """Run the stand-ins and say so once all of them listen."""
+    """Run the stand-ins and print their URLs once all of them listen."""
     from acaciacove.daemon.stop_signal import stop_on_signals
     from acaciacove.standins.run_standins import run_standins
 
--- a/acaciacove/cli/state_difference.py
+++ b/acaciacove/cli/state_difference.py
@@ -1,4 +1,4 @@
-"""What a release note would change."""
+"""Compares a release note with the state in force."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -14,9 +14,9 @@
 class StateDifference:
     """Names that a note adds and withdraws, and the fields that it changes.
 
-    ``changed`` maps a name to ``field: (before, after)``. Names are written with
-    their kind, such as ``version guide-small@1``. ``lifted`` are quarantines that
-    the note ends by declaring the version anew.
+    ``changed`` maps a name to ``field: (before, after)``. Names include their
+    kind, such as ``version guide-small@1``. ``lifted`` lists quarantines that the
+    note ends by declaring the version again.
     """
 
     release_revision: int
@@ -27,12 +27,12 @@
     lifted: list[str] = field(factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """Return plain values."""
+        """Return a dictionary that can be serialised as JSON."""
         return asdict(self)
 
 
 def difference(document: NoteDocument, state: FleetState) -> StateDifference:
-    """Compare a note with what is in force."""
+    """Compare a note with the state in force."""
     comparison = StateDifference(state.release_revision)
     active_versions = {v.id: v for v in state.versions.values() if not v.withdrawn}
     for section in (document.added, document.changed):
--- a/acaciacove/cli/status.py
+++ b/acaciacove/cli/status.py
@@ -1,4 +1,4 @@
-"""``acaciacove status``: the fleet in one table."""
+"""``acaciacove status``: shows the fleet in one table."""
 
 import asyncio
 
@@ -25,7 +25,7 @@
 
 
 def run(settings: StatusSettings, env: Environment) -> ExitStatus:
-    """Print the fleet as the log, the instance list and the instances tell it."""
+    """Print the fleet's state from log, instance list and instances."""
     report = asyncio.run(_report(settings, env))
     if settings.json:
         print_json(asdict(report), env)
@@ -35,7 +35,7 @@
 
 
 async def _report(settings: StatusSettings, env: Environment) -> FleetReport:
-    """Read log and list, then ask every instance; raises PlatformUnavailableError."""
+    """Read log and list, query all instances; raises PlatformUnavailableError."""
     async with env.open_log(settings.log_url) as log:
         fleet = (await read_history(log)).state
     async with open_http_client() as client:
@@ -109,7 +109,7 @@
 
 
 def _format_load(instance: InstanceReport) -> str:
-    """Show requests in flight, of how many where there is a limit."""
+    """Return the requests in flight, with the limit if there is one."""
     if instance.limit is None:
         return _format_number(instance.in_flight)
     return f"{_format_number(instance.in_flight)}/{instance.limit}"
--- a/acaciacove/cli/tool_commands.py
+++ b/acaciacove/cli/tool_commands.py
@@ -1,4 +1,4 @@
-"""Trying the product out and measuring it."""
+"""Commands for trying out, testing and measuring the router."""
 
 from acaciacove.cli import (
     bench,
--- a/acaciacove/context.py
+++ b/acaciacove/context.py
@@ -1,4 +1,4 @@
-"""What a command knows of the process that it runs in."""
+"""The process environment that is passed to a command."""
 
 import os
 import sys
@@ -17,7 +17,7 @@
 
 @asynccontextmanager
 async def open_http_client() -> AsyncIterator[Any]:
-    """Open a client for the block, with few connections: a command is short."""
+    """Open an HTTP client for the block, with the few connections a command needs."""
     client = open_client(COMMAND_CONNECTIONS)
     try:
         yield client
@@ -27,13 +27,13 @@
 
 @asynccontextmanager
 async def open_http_log(url: str) -> AsyncIterator[PlatformLog]:
-    """Open the platform's log behind an HTTP URL for the block."""
+    """Open the platform's log at an HTTP URL for the block."""
     async with open_http_client() as client:
         yield HttpLog(url.rstrip("/"), client)
 
 
 def utc_now() -> datetime:
-    """Read the wall clock, which is shown to people and decides nothing."""
+    """Return wall-clock time, for display only and not for decisions."""
     return datetime.now(UTC)
 
 
@@ -43,10 +43,10 @@
 
 @define
 class Environment:
-    """Streams, environment variables, clock, log and chance, handed to a command.
+    """Streams, environment variables, clock, log and random source of a command.
 
-    Tests replace any of them. ``now`` is wall clock in UTC; ``open_log`` turns
-    a URL into the platform's log.
+    Tests replace any of them. ``now`` returns wall-clock time in UTC. ``open_log``
+    opens the platform's log at a URL.
     """
 
     stdin: TextIO = Factory(lambda: sys.stdin)
@@ -59,18 +59,18 @@
 
     @property
     def stdin_isatty(self) -> bool:
-        """Tell whether a person types the input."""
+        """Return whether standard input is a terminal."""
         return self.stdin.isatty()
 
     @property
     def stdout_isatty(self) -> bool:
-        """Tell whether a person reads the output."""
+        """Return whether standard output is a terminal."""
         return self.stdout.isatty()
 
     def print(self, text: str = "") -> None:
-        """Write one line of results."""
+        """Write one line to standard output."""
         self.stdout.write(f"{text}\n")
 
     def log_error(self, text: str) -> None:
-        """Write one line for the person who started the command."""
+        """Write one line to standard error, prefixed with the program's name."""
         self.stderr.write(f"acaciacove: {text}\n")
--- a/acaciacove/core.py
+++ b/acaciacove/core.py
@@ -1,4 +1,4 @@
-"""The story of one command, from its arguments to its exit status."""
+"""Runs one command, from its arguments to its exit status."""
 
 from collections.abc import Sequence
 
@@ -22,7 +22,7 @@
 
 
 def main(args: Sequence[str], env: Environment) -> ExitStatus:
-    """Run one command; every failure ends as a message and an exit status."""
+    """Run one command; known errors become a message and an exit status."""
     try:
         return run_command(list(args), env)
     except InvalidSettingsError as error:
@@ -49,7 +49,7 @@
 
 
 def run_command(args: list[str], env: Environment) -> ExitStatus:
-    """Find the command, read its settings whole, and run it."""
+    """Find the command, read all its settings, and run it."""
     if not args or args[0] in HELP_FLAGS or args[0] == HELP_WORD:
         env.print(program_help(COMMANDS))
         return ExitStatus.SUCCESS if args else ExitStatus.USAGE
--- a/acaciacove/exit_status.py
+++ b/acaciacove/exit_status.py
@@ -4,7 +4,7 @@
 
 
 class ExitStatus(IntEnum):
-    """Stable numbers that scripts may rely on."""
+    """Exit statuses; scripts rely on the numbers, so they must not change."""
 
     SUCCESS = 0
     ERROR = 1
--- a/acaciacove/explain/__init__.py
+++ b/acaciacove/explain/__init__.py
@@ -1,1 +1,1 @@
-"""Reads gateways' log lines and tells what became of a request."""
+"""Reconstructs the course of requests from gateways' log lines."""
--- a/acaciacove/explain/log_line.py
+++ b/acaciacove/explain/log_line.py
@@ -1,4 +1,4 @@
-"""One structured line of a process."""
+"""One structured log line of a process."""
 
 from datetime import datetime
 from typing import Any
@@ -8,10 +8,10 @@
 
 @frozen
 class LogLine:
-    """When, who and what; ``fields`` are all others.
+    """Time, process and event of a log line; ``fields`` holds all other fields.
 
-    ``at_s`` is the writer's wall clock in Unix seconds. Clocks of machines differ by
-    seconds, so lines of two processes may stand in the wrong order.
+    ``at_s`` is the wall-clock time of the process in Unix seconds. Clocks of machines
+    differ by seconds, so lines of two processes may be sorted in the wrong order.
     """
 
     at_s: float
@@ -21,10 +21,10 @@
 
     @property
     def request_id(self) -> str:
-        """The request that the line is about, or nothing."""
+        """The id of the request that the line is about, or an empty string."""
         return str(self.fields.get("request_id", ""))
 
     @property
     def clock(self) -> str:
-        """The time of day, for people."""
+        """The local time of day with milliseconds."""
         return datetime.fromtimestamp(self.at_s).strftime("%H:%M:%S.%f")[:-3]
--- a/acaciacove/explain/losses.py
+++ b/acaciacove/explain/losses.py
@@ -1,4 +1,4 @@
-"""What callers and operators lost, by reason and moment, from gateways' log lines."""
+"""Sums late, failed and wasted answers by reason and time, from log lines."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -13,12 +13,13 @@
 
 INTERVAL_S = 10.0
 SERVED_STATUS = "served"
-# How long after its predicted moment a first piece counts as held up by a queue.
+# An answer counts as late by queueing if this factor times its total delay over the
+# predicted times exceeds the time to its first chunk.
 QUEUED_RATIO = 2.0
 
 
 class Loss(StrEnum):
-    """Why a request was worth less than it could be; each counts once."""
+    """Why a request was late or failed; each request counts once."""
 
     LATE_QUEUED = "late_queued"
     LATE_RESENT = "late_resent"
@@ -31,10 +32,11 @@
 
 @define
 class LossRow:
-    """Counts of one span: requests, those lost by reason, and what was paid for.
+    """Counts of one interval: requests, losses by reason, and prompt tokens.
 
-    ``poor`` is the expected number of poor answers by their models' own opinions.
-    ``tokens`` counts prompt tokens of answers by whether callers got them.
+    ``poor`` is the expected number of poor answers, estimated from the confidence
+    that the models reported. ``tokens_kept`` counts the prompt tokens of answers
+    that callers got, ``tokens_dropped`` those of all other answers.
     """
 
     clock: str = ""
@@ -45,7 +47,7 @@
     tokens_dropped: int = 0
 
     def merge(self, other: "LossRow") -> None:
-        """Add another span's counts."""
+        """Add the counts of another interval."""
         self.requests += other.requests
         for loss, count in other.losses.items():
             self.losses[loss] += count
@@ -55,7 +57,7 @@
 
 
 def sum_losses(lines: Iterable[LogLine]) -> list[str]:
-    """Return a table with a row for each ten seconds, and one for all of them."""
+    """Return a table with a row for each ten seconds and a total row."""
     rows: dict[float, LossRow] = defaultdict(LossRow)
     for line in lines:
         if line.event not in (Event.REQUEST, Event.CALLER_REFUSED):
@@ -85,8 +87,8 @@
     heads = fields.get("heads") or []
     tokens = fields.get("input_tokens") or 0
     is_served = fields.get("status") == SERVED_STATUS
-    for place, (_, _, confidence, _, _) in enumerate(heads):
-        is_kept = is_served and place == len(heads) - 1
+    for index, (_, _, confidence, _, _) in enumerate(heads):
+        is_kept = is_served and index == len(heads) - 1
         row.tokens_kept += tokens if is_kept else 0
         row.tokens_dropped += 0 if is_kept else tokens
         if is_kept and confidence is not None:
--- a/acaciacove/explain/read_lines.py
+++ b/acaciacove/explain/read_lines.py
@@ -1,4 +1,4 @@
-"""Reads log lines from text of any origin."""
+"""Parses structured log lines from text."""
 
 from collections.abc import Iterable
 from datetime import datetime
@@ -11,17 +11,17 @@
 
 @define
 class ReadLines:
-    """Lines in order of their times, and how many could not be read."""
+    """Parsed lines sorted by time, and the number of unreadable lines."""
 
     lines: list[LogLine] = field(factory=list)
     unreadable: int = 0
 
 
 def read_lines(text: Iterable[str]) -> ReadLines:
-    """Read the JSON object in each line; what stands before it is passed over.
+    """Parse the JSON object in each line and ignore any text before it.
 
-    Collectors put their own time or a name in front. A line that was cut, or is
-    none of ours, is counted.
+    Log collectors prepend a time or a name. Lines that are truncated or come from
+    other programs are counted as unreadable.
     """
     read = ReadLines()
     for line in text:
--- a/acaciacove/explain/request_report.py
+++ b/acaciacove/explain/request_report.py
@@ -1,4 +1,4 @@
-"""The story of one request, and what else was in trouble then."""
+"""Report on one request, with other events logged at about the same time."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -6,10 +6,10 @@
 from acaciacove.explain.log_line import LogLine
 from acaciacove.gateway.log_events import Event
 
-# Lines of other matters this long before a request's first and after its last line
-# are shown; clocks of machines differ by seconds.
+# Other events are shown from this long before a request's first line until this long
+# after its last one: clocks of machines differ by seconds.
 CONTEXT_WINDOW_S = 5.0
-# Lines of other matters that are shown at most, the nearest first.
+# Lines of the processes that logged the request take precedence, then earlier ones.
 MAX_CONTEXT_LINES = 25
 REQUEST_EVENTS = frozenset({Event.REQUEST, Event.ATTEMPT, Event.CALLER_REFUSED})
 STATUS_TEXTS = {
@@ -34,7 +34,7 @@
 
 
 def report_request(request_id: str, lines: Iterable[LogLine]) -> list[str]:
-    """Return the story in lines of text; empty when the request is not known."""
+    """Return the report as lines of text; empty if no line has the request's id."""
     lines = list(lines)
     request_lines = [line for line in lines if line.request_id == request_id]
     if not request_lines:
@@ -88,7 +88,7 @@
 
 
 def _format_context(request_lines: list[LogLine], lines: list[LogLine]) -> list[str]:
-    """Show changes of belief and trouble near the request."""
+    """Return the lines of other events at about the time of the request."""
     begin_s, end_s = (
         request_lines[0].at_s - CONTEXT_WINDOW_S,
         request_lines[-1].at_s + CONTEXT_WINDOW_S,
--- a/acaciacove/explain/summary.py
+++ b/acaciacove/explain/summary.py
@@ -1,4 +1,4 @@
-"""How requests ended over time, and why attempts failed."""
+"""Counts of request statuses, attempt outcomes and other events over time."""
 
 from collections import Counter, defaultdict
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 
 def summarise(lines: Iterable[LogLine]) -> list[str]:
-    """Return a table: one row for each ten seconds that have lines."""
+    """Return a table with one row for each ten seconds that have lines."""
     counts_by_interval: dict[float, Counter[str]] = defaultdict(Counter)
     clock_by_interval: dict[float, str] = {}
     for line in lines:
--- a/tests/test_cli_bench.py
+++ b/tests/test_cli_bench.py
@@ -1,4 +1,4 @@
-"""Benches and load runs from the command line."""
+"""The ``bench`` and ``load`` commands."""
 
 import asyncio
 from io import StringIO
--- a/tests/test_cli_release.py
+++ b/tests/test_cli_release.py
@@ -1,4 +1,4 @@
-"""Operators publish, look at and decide things through the log."""
+"""Commands for releases, availability zones and instances, with a fake log."""
 
 import asyncio
 from contextlib import nullcontext
@@ -84,8 +84,8 @@
 
 
 def test_a_note_whose_reply_was_lost_is_found_and_not_appended_again():
-    # The log takes a note and its reply is lost. A command that appends again
-    # tells its operator that somebody else was first: he lost against himself.
+    # The log appends a note, but its reply is lost. If the command appended again,
+    # it would report a lost race against its own first copy.
     log = FakeLog(lost_replies=1)
     report = publish_note(log, FIRST)
     assert report.verdict is Verdict.ACCEPTED
@@ -99,8 +99,8 @@
 
 
 def test_publishing_the_same_file_again_reports_its_outcome():
-    # The operator's shell dies during publish. He runs the command once more and
-    # must learn the fate of his note, not make a second one.
+    # The operator's shell exits during publish. Running the command again must
+    # report the outcome of the first note and not append a second one.
     log = log_with_release()
     report = publish_note(log, FIRST)
     assert (report.verdict, report.repeated, report.offset) == (
@@ -112,8 +112,8 @@
 
 
 def test_an_id_that_another_note_carries_is_refused():
-    # Somebody edits a note and forgets its id. Taking the earlier note for this
-    # one would say "in force" of changes that never left the desk.
+    # A note is edited but keeps its id. Treating the earlier note as this one would
+    # report changes as in force that were never appended.
     log = log_with_release()
     text = Path(FIRST).read_text().replace("quality: 0.72", "quality: 0.73")
     status, _, err = run(log, "release", "publish", "-", URL, stdin=text)
@@ -123,8 +123,8 @@
 
 
 def test_a_lost_race_names_the_accepted_note():
-    # Two operators publish at one moment. Only one note can be on top of the
-    # release that both looked at; the other operator has to be told by whom.
+    # Two operators publish concurrently, based on the same release. Only one note
+    # is accepted; the other operator needs the id of the accepted one.
     log = log_with_release()
     log.on_append = ReleaseNote("hers", 0, withdrawn=(VersionId("guide-small", "1"),))
     report = publish_note(log, ROLLOUT)
@@ -133,7 +133,7 @@
 
 
 def test_a_note_based_on_an_older_release_loses_to_the_one_in_force():
-    # An operator reviews a diff over lunch, and a colleague publishes meanwhile.
+    # Another note is published after the operator reviewed the diff.
     log = log_with_release()
     publish_note(log, ROLLOUT)
     text = Path(WITHDRAWAL).read_text() + "\nbased_on: 0\n"
@@ -151,8 +151,8 @@
 
 
 def test_an_unknown_outcome_is_reported_as_unknown():
-    # The log takes the note, loses the reply, and goes down. The command cannot
-    # know; saying "failed" would be a guess, and so would "in force".
+    # The log appends the note, loses the reply, and becomes unavailable. The command
+    # cannot know the outcome, so it must report neither "failed" nor "in force".
     log = FakeLog()
     log.append = failing_append(log)
     report = publish_note(log, FIRST)
@@ -172,8 +172,8 @@
 
 
 def test_state_is_read_from_a_snapshot_after_records_have_expired():
-    # The log keeps records for a limited time. A reader that folded what is left
-    # from nothing would show an operator a fleet without organisations.
+    # The log retains records for a limited time. Folding the remaining records
+    # without a snapshot would show a fleet without organisations.
     log = log_with_release()
     publish_note(log, ROLLOUT)
     log.put(Snapshot(read_state(log)))
@@ -191,8 +191,8 @@
 
 
 def test_expired_records_without_a_snapshot_are_an_error():
-    # Records expired and no process wrote a snapshot in time. A note that is
-    # checked against the rest would be called faulty, or worse, be published.
+    # Records expired and no process wrote a snapshot in time. A note checked against
+    # the remaining records could be rejected wrongly or published wrongly.
     log = log_with_release()
     publish_note(log, ROLLOUT)
     log.earliest = 1
@@ -279,8 +279,8 @@
 
 
 def test_a_decision_may_be_repeated_by_its_id():
-    # A reply is lost and the operator repeats the command. Between the two a
-    # colleague brought the zone back; the repeat must not take it out again.
+    # A reply is lost and the operator repeats the command. In between, another
+    # operator brought the zone back; the repeat must not take it out again.
     log = log_with_release()
     args = ("zone", "out", "ozark", URL, "--decision_id=d1")
     assert run(log, *args)[0] is ExitStatus.SUCCESS
--- a/tests/test_cli_status.py
+++ b/tests/test_cli_status.py
@@ -1,4 +1,4 @@
-"""Status and stand-ins: what an operator sees of a fleet over HTTP."""
+"""The ``status`` command and the stand-ins over HTTP."""
 
 import asyncio
 from io import StringIO
@@ -80,16 +80,16 @@
 
 @pytest.mark.parametrize("body", [b"junk", b"[]", b'{"name": "other"}'])
 def test_an_unexpected_answer_is_a_fault_and_not_a_status(body):
-    # An address was given to another instance, or a proxy answers in its place.
-    # Its state would show in the wrong row.
+    # The address now belongs to another instance, or a proxy answers in its place.
+    # Its state would be shown in the wrong row.
     report = query_status(body)
     assert report.fault
     assert report.state is None
 
 
 def test_status_shows_instances_that_do_not_answer():
-    # An instance dies. The list still names it for a while, and the operator
-    # needs to see which one does not answer.
+    # The list still contains a crashed instance for a while. The operator needs to
+    # see which instance does not answer.
     async def show():
         listed = InstanceListState()
         unreachable = instance(0, "guide-2")
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""``acaciacove explain`` on the lines that the operators' page shows."""
+"""``acaciacove explain`` on the log lines of the operations page."""
 
 import re
 from io import StringIO
@@ -52,7 +52,7 @@
 
 
 def test_truncated_lines_are_counted_and_skipped(tmp_path):
-    """A collector cuts lines, and others write into the same file."""
+    """Log collectors truncate lines, and other programs write to the same file."""
     case = CASES[0]
     noise = 'hello\n{"time":"2026-\n{"a":1}\n[]\n\n'
     status, output, errors = explain(tmp_path, noise + case["lines"], case["id"])
@@ -106,8 +106,8 @@
 
 
 def test_losses_are_summed_by_reason_and_interval():
-    """Answers come late for three reasons, which look alike to callers: a queue, a
-    second try, or a prompt that takes its time. Operators mend them in unlike ways.
+    """Answers are late for three reasons that callers cannot distinguish: a queue, a
+    second attempt, or a long prompt. Each needs a different remedy by operators.
     """
     sure = ["e", "small", 100.0, 0.3, 0.3]
     text = [
