--- a/acaciacove/cli/decision_command.py
+++ b/acaciacove/cli/decision_command.py
@@ -21,7 +21,7 @@
 MakeDecision = Callable[[str, DecisionSettings], Decision]
 
 
-def new_id(random: Random) -> str:
+def new_decision_id(random: Random) -> str:
     """Return a random decision id, unique for all practical purposes."""
     return f"{random.getrandbits(ID_BITS):032x}"
 
@@ -50,7 +50,9 @@
     """Return the function of a command that appends one kind of decision."""
 
     def run(settings: DecisionSettings, env: Environment) -> ExitStatus:
-        decision = make_decision(settings.decision_id or new_id(env.random), settings)
+        decision = make_decision(
+            settings.decision_id or new_decision_id(env.random), settings
+        )
         outcome = asyncio.run(_append(decision, settings, env))
         _print(decision, outcome, settings, env)
         if outcome.found is None:
--- a/acaciacove/explain/losses.py
+++ b/acaciacove/explain/losses.py
@@ -24,8 +24,8 @@
     LATE_QUEUED = "late_queued"
     LATE_RESENT = "late_resent"
     LATE_LARGE = "late_large"
-    LEFT = "caller_left"
-    BROKEN = "broken_off"
+    CALLER_LEFT = "caller_left"
+    BROKEN_OFF = "broken_off"
     FAILED = "failed"
     REFUSED = "refused"
 
@@ -98,9 +98,9 @@
 def _classify_loss(fields: dict[str, Any]) -> Loss | None:
     status = str(fields.get("status"))
     if status == "caller_left":
-        return Loss.LEFT
+        return Loss.CALLER_LEFT
     if status == "broken_off":
-        return Loss.BROKEN
+        return Loss.BROKEN_OFF
     if status == "503":
         return Loss.REFUSED
     if status != SERVED_STATUS:
