--- a/acaciacove/cli/decide.py
+++ b/acaciacove/cli/decision_command.py
@@ -1,4 +1,4 @@
-"""Takes availability zones and instances out, and brings them back."""
+"""Commands that take availability zones and instances out or bring them back."""
 
 import asyncio
 from collections.abc import Callable
@@ -21,36 +21,38 @@
 MakeDecision = Callable[[str, DecisionSettings], Decision]
 
 
-def new_id(random: Random) -> str:
-    """Make an id that no other decision has."""
+def new_decision_id(random: Random) -> str:
+    """Return a random decision id, unique for all practical purposes."""
     return f"{random.getrandbits(ID_BITS):032x}"
 
 
 def zone_decision(out: bool) -> MakeDecision:
-    """Make availability zone decisions of one kind."""
+    """Return a function that creates out or in decisions on availability zones."""
 
-    def make(decision_id: str, settings: DecisionSettings) -> Decision:
+    def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return ZoneDecision(decision_id, settings.name, out, settings.operator)
 
-    return make
+    return make_decision
 
 
 def instance_decision(out: bool) -> MakeDecision:
-    """Make instance decisions of one kind."""
+    """Return a function that creates out or in decisions on instances."""
 
-    def make(decision_id: str, settings: DecisionSettings) -> Decision:
+    def make_decision(decision_id: str, settings: DecisionSettings) -> Decision:
         return InstanceDecision(decision_id, settings.name, out, settings.operator)
 
-    return make
+    return make_decision
 
 
-def decide(
-    make: MakeDecision,
+def decision_command(
+    make_decision: MakeDecision,
 ) -> Callable[[DecisionSettings, Environment], ExitStatus]:
-    """Make the command that appends one kind of decision."""
+    """Return the function of a command that appends one kind of decision."""
 
     def run(settings: DecisionSettings, env: Environment) -> ExitStatus:
-        decision = make(settings.decision_id or new_id(env.random), settings)
+        decision = make_decision(
+            settings.decision_id or new_decision_id(env.random), settings
+        )
         outcome = asyncio.run(_append(decision, settings, env))
         _print(decision, outcome, settings, env)
         if outcome.found is None:
@@ -64,7 +66,7 @@
 async def _append(
     decision: Decision, settings: DecisionSettings, env: Environment
 ) -> AppendOutcome:
-    """Append a decision unless its id is in the log already."""
+    """Append a decision unless the log already holds its id."""
     async with env.open_log(settings.log_url) as log:
         history = await read_history(log)
         outcome = await append_once(
@@ -72,7 +74,10 @@
         )
     if outcome.found is not None and outcome.found.record != decision:
         raise InvalidSettingsError(
-            [f"--decision_id {decision.decision_id} is that of another record"]
+            [
+                f"--decision_id {decision.decision_id} belongs to a different record "
+                f"at offset {outcome.found.offset}"
+            ]
         )
     return outcome
 
@@ -84,7 +89,7 @@
     env: Environment,
 ) -> None:
     found = outcome.found
-    way = "out" if decision.out else "in"
+    direction = "out" if decision.out else "in"
     if settings.json:
         print_json(
             {
@@ -99,8 +104,8 @@
         )
     elif found is None:
         env.print(
-            f"{settings.name} {way}: outcome unknown; repeat the command with "
+            f"{settings.name} {direction}: outcome unknown; repeat the command with "
             f"--decision_id={decision.decision_id}"
         )
     else:
-        env.print(f"{settings.name} {way} from revision {found.offset}")
+        env.print(f"{settings.name} {direction} from revision {found.offset}")
--- a/acaciacove/cli/record_summary.py
+++ b/acaciacove/cli/record_summary.py
@@ -1,4 +1,4 @@
-"""Records of the release stream in one line each, for people."""
+"""One-line summaries of the records of the release stream."""
 
 from acaciacove.state.exposure_record import ExposureRecord
 from acaciacove.state.instance_decision import InstanceDecision
@@ -12,14 +12,16 @@
 
 
 def summarise(record: Record | None) -> str:
-    """Tell what a record asks for."""
+    """Return a one-line summary of a record."""
     match record:
         case ReleaseNote():
             return f"release note {record.note_id}: {record.summary or 'no summary'}"
         case ZoneDecision():
-            return f"availability zone {record.availability_zone} {_way(record.out)}"
+            return (
+                f"availability zone {record.availability_zone} {_direction(record.out)}"
+            )
         case InstanceDecision():
-            return f"instance {record.instance} {_way(record.out)}"
+            return f"instance {record.instance} {_direction(record.out)}"
         case QuarantineRecord():
             return f"quarantine of {record.version}: {record.reason}"
         case ExposureRecord():
@@ -30,7 +32,7 @@
 
 
 def record_id(record: Record | None) -> str:
-    """Return the id that its operator gave a record, if it has one."""
+    """Return the id that an operator gave a record, or an empty string."""
     match record:
         case ReleaseNote():
             return record.note_id
@@ -39,5 +41,5 @@
     return ""
 
 
-def _way(out: bool) -> str:
+def _direction(out: bool) -> str:
     return "out" if out else "in"
--- a/acaciacove/cli/release_diff.py
+++ b/acaciacove/cli/release_diff.py
@@ -1,4 +1,4 @@
-"""``acaciacove release diff``: what a note would change, before it is published."""
+"""``acaciacove release diff``: shows what a note would change."""
 
 from acaciacove.cli.history import fetch_history
 from acaciacove.cli.note_file import read_note_file
@@ -13,33 +13,33 @@
 
 
 def run(settings: DiffSettings, env: Environment) -> ExitStatus:
-    """Print what a note adds, changes and withdraws."""
+    """Print what a release note adds, changes and withdraws."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
     state = fetch_history(settings.log_url, env).state
     faults = check_note(document, state)
     if faults:
         raise InvalidNoteError(faults)
-    found = difference(document, state)
+    comparison = difference(document, state)
     if settings.json:
-        print_json(found.as_json(), env)
+        print_json(comparison.as_json(), env)
     else:
-        _print(found, env)
+        _print(comparison, env)
     return ExitStatus.SUCCESS
 
 
-def _print(found: StateDifference, env: Environment) -> None:
+def _print(comparison: StateDifference, env: Environment) -> None:
     """Print one line for each name and each field."""
-    env.print(f"against release revision {found.release_revision}")
-    for name in found.added:
+    env.print(f"against release revision {comparison.release_revision}")
+    for name in comparison.added:
         env.print(f"+ {name}")
-    for name, changes in found.changed.items():
+    for name, changes in comparison.changed.items():
         env.print(f"~ {name}")
         for field_name, (before, after) in changes.items():
             env.print(f"    {field_name}: {before} -> {after}")
-    for name in found.withdrawn:
+    for name in comparison.withdrawn:
         env.print(f"- {name}")
-    for name in found.lifted:
+    for name in comparison.lifted:
         env.print(f"! ends the {name}")
-    for name in found.unchanged:
+    for name in comparison.unchanged:
         env.print(f"= {name} is declared as it is in force")
--- a/acaciacove/cli/release_validate.py
+++ b/acaciacove/cli/release_validate.py
@@ -1,4 +1,4 @@
-"""``acaciacove release validate``: find every fault before publishing."""
+"""``acaciacove release validate``: reports all faults of a release note."""
 
 from attrs import asdict
 
@@ -17,7 +17,7 @@
 
 
 def run(settings: FileSettings, env: Environment) -> ExitStatus:
-    """Check a note's form, and its names as far as those in force are known."""
+    """Check a note's syntax, and its names if the state in force is known."""
     faults: list[NoteFault] = []
     try:
         document = read_checked(settings, env)
@@ -29,25 +29,25 @@
         listed = [asdict(fault) for fault in faults]
         print_json({"valid": not faults, "faults": listed}, env)
         return ExitStatus.INVALID_NOTE if faults else ExitStatus.SUCCESS
-    env.print(f"{document.note_id} has no faults{_extent(settings, document)}")
+    env.print(f"{document.note_id} has no faults{_skipped_checks(settings, document)}")
     return ExitStatus.SUCCESS
 
 
 def read_checked(settings: FileSettings, env: Environment) -> NoteDocument:
-    """Read a note and check it; raises InvalidNoteError."""
+    """Read and check a note; raises InvalidNoteError."""
     data = read_note_file(settings.file, settings.max_note_bytes, env)
     document = read_note(data, settings.max_note_bytes)
-    state = _state(settings, document, env)
+    state = _state_to_check(settings, document, env)
     faults = check_note(document, state) if state is not None else []
     if faults:
         raise InvalidNoteError(faults)
     return document
 
 
-def _state(
+def _state_to_check(
     settings: FileSettings, document: NoteDocument, env: Environment
 ) -> FleetState | None:
-    """Return what is in force, as far as it can be known."""
+    """Return the state in force, or None if it is not known."""
     if settings.log_url:
         return fetch_history(settings.log_url, env).state
     if document.based_on == NO_REVISION:
@@ -55,8 +55,8 @@
     return None
 
 
-def _extent(settings: FileSettings, document: NoteDocument) -> str:
-    """Say what could not be checked."""
+def _skipped_checks(settings: FileSettings, document: NoteDocument) -> str:
+    """Return a remark on checks that were skipped, or an empty string."""
     if settings.log_url or document.based_on == NO_REVISION:
         return ""
     return "; names in force were not checked, --log_url was not given"
--- a/acaciacove/cli/state_difference.py
+++ b/acaciacove/cli/state_difference.py
@@ -1,4 +1,4 @@
-"""What a release note would change."""
+"""Compares a release note with the state in force."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -14,9 +14,9 @@
 class StateDifference:
     """Names that a note adds and withdraws, and the fields that it changes.
 
-    ``changed`` maps a name to ``field: (before, after)``. Names are written with
-    their kind, such as ``version guide-small@1``. ``lifted`` are quarantines that
-    the note ends by declaring the version anew.
+    ``changed`` maps a name to ``field: (before, after)``. Names include their
+    kind, such as ``version guide-small@1``. ``lifted`` lists quarantines that the
+    note ends by declaring the version again.
     """
 
     release_revision: int
@@ -27,31 +27,36 @@
     lifted: list[str] = field(factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """Return plain values."""
+        """Return a dictionary that can be serialised as JSON."""
         return asdict(self)
 
 
 def difference(document: NoteDocument, state: FleetState) -> StateDifference:
-    """Compare a note with what is in force."""
-    found = StateDifference(state.release_revision)
-    live = {v.id: v for v in state.versions.values() if not v.withdrawn}
-    for half in (document.added, document.changed):
-        _compare(found, "API", ((a.name, a) for a in half.apis), state.apis)
-        _compare(found, "version", ((v.id, v) for v in half.versions), live)
-        organisations = ((o.name, o) for o in half.organisations)
-        _compare(found, "organisation", organisations, state.organisations)
-        for version in half.versions:
+    """Compare a note with the state in force."""
+    comparison = StateDifference(state.release_revision)
+    active_versions = {v.id: v for v in state.versions.values() if not v.withdrawn}
+    for section in (document.added, document.changed):
+        _compare(comparison, "API", ((a.name, a) for a in section.apis), state.apis)
+        _compare(
+            comparison,
+            "version",
+            ((v.id, v) for v in section.versions),
+            active_versions,
+        )
+        organisations = ((o.name, o) for o in section.organisations)
+        _compare(comparison, "organisation", organisations, state.organisations)
+        for version in section.versions:
             if version.id in state.quarantines:
-                found.lifted.append(f"quarantine of {version.id}")
-    found.withdrawn.extend(f"version {v}" for v in document.withdrawn_versions)
-    found.withdrawn.extend(
+                comparison.lifted.append(f"quarantine of {version.id}")
+    comparison.withdrawn.extend(f"version {v}" for v in document.withdrawn_versions)
+    comparison.withdrawn.extend(
         f"organisation {o}" for o in document.withdrawn_organisations
     )
-    return found
+    return comparison
 
 
 def _compare(
-    found: StateDifference,
+    comparison: StateDifference,
     kind: str,
     declared: Iterable[tuple[Any, Any]],
     in_force: dict[Any, Any],
@@ -61,11 +66,11 @@
         label = f"{kind} {name}"
         before = in_force.get(name)
         if before is None:
-            found.added.append(label)
+            comparison.added.append(label)
         elif before == item:
-            found.unchanged.append(label)
+            comparison.unchanged.append(label)
         else:
-            found.changed[label] = _changed_fields(before, item)
+            comparison.changed[label] = _changed_fields(before, item)
 
 
 def _changed_fields(before: Any, after: Any) -> dict[str, tuple[Any, Any]]:
--- a/acaciacove/explain/losses.py
+++ b/acaciacove/explain/losses.py
@@ -1,4 +1,4 @@
-"""What callers and operators lost, by reason and moment, from gateways' log lines."""
+"""Sums late, failed and wasted answers by reason and time, from log lines."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -11,30 +11,32 @@
 from acaciacove.explain.log_line import LogLine
 from acaciacove.gateway.log_events import Event
 
-STEP_S = 10.0
-SERVED = "served"
-# How long after its predicted moment a first piece counts as held up by a queue.
+INTERVAL_S = 10.0
+SERVED_STATUS = "served"
+# An answer counts as late by queueing if this factor times its total delay over the
+# predicted times exceeds the time to its first chunk.
 QUEUED_RATIO = 2.0
 
 
 class Loss(StrEnum):
-    """Why a request was worth less than it could be; each counts once."""
+    """Why a request was late or failed; each request counts once."""
 
     LATE_QUEUED = "late_queued"
     LATE_RESENT = "late_resent"
     LATE_LARGE = "late_large"
-    LEFT = "caller_left"
-    BROKEN = "broken_off"
+    CALLER_LEFT = "caller_left"
+    BROKEN_OFF = "broken_off"
     FAILED = "failed"
     REFUSED = "refused"
 
 
 @define
 class LossRow:
-    """Counts of one span: requests, those lost by reason, and what was paid for.
+    """Counts of one interval: requests, losses by reason, and prompt tokens.
 
-    ``poor`` is the expected number of poor answers by their models' own opinions.
-    ``tokens`` counts prompt tokens of answers by whether callers got them.
+    ``poor`` is the expected number of poor answers, estimated from the confidence
+    that the models reported. ``tokens_kept`` counts the prompt tokens of answers
+    that callers got, ``tokens_dropped`` those of all other answers.
     """
 
     clock: str = ""
@@ -45,7 +47,7 @@
     tokens_dropped: int = 0
 
     def merge(self, other: "LossRow") -> None:
-        """Add another span's counts."""
+        """Add the counts of another interval."""
         self.requests += other.requests
         for loss, count in other.losses.items():
             self.losses[loss] += count
@@ -55,53 +57,53 @@
 
 
 def sum_losses(lines: Iterable[LogLine]) -> list[str]:
-    """Return a table with a row for each ten seconds, and one for all of them."""
+    """Return a table with a row for each ten seconds and a total row."""
     rows: dict[float, LossRow] = defaultdict(LossRow)
     for line in lines:
         if line.event not in (Event.REQUEST, Event.CALLER_REFUSED):
             continue
-        row = rows[line.at_s // STEP_S * STEP_S]
+        row = rows[line.at_s // INTERVAL_S * INTERVAL_S]
         row.clock = row.clock or line.clock[:8]
         row.requests += 1
         if line.event == Event.CALLER_REFUSED:
             row.losses[Loss.REFUSED] += 1
         else:
-            _count(row, line.fields)
+            _count_request(row, line.fields)
     if not rows:
         return []
-    whole = LossRow(clock="all")
+    total = LossRow(clock="all")
     for row in rows.values():
-        whole.merge(row)
+        total.merge(row)
     header = ["from", "requests", *(loss.value for loss in Loss), "poor", "kept"]
-    told = ["\t".join([*header, "dropped"])]
-    told += [_told(rows[step]) for step in sorted(rows)]
-    return [*told, _told(whole)]
+    table = ["\t".join([*header, "dropped"])]
+    table += [_format_row(rows[interval_start_s]) for interval_start_s in sorted(rows)]
+    return [*table, _format_row(total)]
 
 
-def _count(row: LossRow, fields: dict[str, Any]) -> None:
-    loss = _loss(fields)
+def _count_request(row: LossRow, fields: dict[str, Any]) -> None:
+    loss = _classify_loss(fields)
     if loss is not None:
         row.losses[loss] += 1
     heads = fields.get("heads") or []
     tokens = fields.get("input_tokens") or 0
-    is_served = fields.get("status") == SERVED
-    for place, (_, _, confidence, _, _) in enumerate(heads):
-        is_kept = is_served and place == len(heads) - 1
+    is_served = fields.get("status") == SERVED_STATUS
+    for index, (_, _, confidence, _, _) in enumerate(heads):
+        is_kept = is_served and index == len(heads) - 1
         row.tokens_kept += tokens if is_kept else 0
         row.tokens_dropped += 0 if is_kept else tokens
         if is_kept and confidence is not None:
             row.poor += 1.0 - ConfidenceCalibration().good_probability(confidence)
 
 
-def _loss(fields: dict[str, Any]) -> Loss | None:
+def _classify_loss(fields: dict[str, Any]) -> Loss | None:
     status = str(fields.get("status"))
     if status == "caller_left":
-        return Loss.LEFT
+        return Loss.CALLER_LEFT
     if status == "broken_off":
-        return Loss.BROKEN
+        return Loss.BROKEN_OFF
     if status == "503":
         return Loss.REFUSED
-    if status != SERVED:
+    if status != SERVED_STATUS:
         return Loss.FAILED
     first_s, target_s = fields.get("first_piece_s"), fields.get("target_s")
     if first_s is None or target_s is None or first_s <= target_s:
@@ -113,7 +115,7 @@
     return Loss.LATE_QUEUED if QUEUED_RATIO * waited_s > first_s else Loss.LATE_LARGE
 
 
-def _told(row: LossRow) -> str:
+def _format_row(row: LossRow) -> str:
     counts = [str(row.losses[loss]) for loss in Loss]
     tokens = [str(row.tokens_kept), str(row.tokens_dropped)]
     return "\t".join(
