--- a/acaciacove/soak/addresses.py
+++ b/acaciacove/soak/addresses.py
@@ -30,7 +30,7 @@
         """Return the log's own address."""
         return self._host(1, 0)
 
-    def log_of(self, number: int) -> str:
+    def log_for_gateway(self, number: int) -> str:
         """Return the address at which one gateway finds the log."""
         return self._host(20, number)
 
@@ -38,7 +38,7 @@
         """Return an endpoint's own address."""
         return self._host(30, number)
 
-    def told_endpoint(self, number: int) -> str:
+    def advertised_endpoint(self, number: int) -> str:
         """Return the address at which gateways find an endpoint."""
         return self._host(60, number)
 
--- a/acaciacove/soak/call_kind.py
+++ b/acaciacove/soak/call_kind.py
@@ -12,4 +12,4 @@
 
 
 # What may run at most once for each request.
-ONCE = frozenset({CallKind.BOOK})
+AT_MOST_ONCE_KINDS = frozenset({CallKind.BOOK})
--- a/acaciacove/soak/check_answers.py
+++ b/acaciacove/soak/check_answers.py
@@ -6,7 +6,7 @@
 from acaciacove.gateway.refuse import NOT_RUN_STATUSES
 from acaciacove.platform import names
 from acaciacove.soak.bounds import REVOCATION_S
-from acaciacove.soak.call_kind import ONCE, CallKind
+from acaciacove.soak.call_kind import AT_MOST_ONCE_KINDS, CallKind
 from acaciacove.soak.call_record import CallRecord
 from acaciacove.soak.soak_catalogue import SIZES, organisation_of
 from acaciacove.soak.soak_trace import SoakTrace
@@ -23,12 +23,12 @@
     for call in trace.calls:
         own = runs.get(call.request_id, [])
         instances = [run.instance for run in own]
-        if call.kind in ONCE and len(own) > 1:
-            yield _of(Promise.ONCE, call, f"ran on {instances}")
+        if call.kind in AT_MOST_ONCE_KINDS and len(own) > 1:
+            yield _of(Promise.AT_MOST_ONCE, call, f"ran on {instances}")
         if call.status in NOT_RUN_STATUSES and own:
             yield _of(Promise.NOT_RUN, call, f"{call.status}, ran on {instances}")
         if call.status == SUCCESS and call.complete:
-            yield from _check_whole(call, instances)
+            yield from _check_complete(call, instances)
     yield from _check_permission(trace)
 
 
@@ -36,18 +36,18 @@
     return Violation(promise, f"{call.kind.value} {call.request_id}: {detail}")
 
 
-def _check_whole(call: CallRecord, instances: list[str]) -> Iterator[Violation]:
+def _check_complete(call: CallRecord, instances: list[str]) -> Iterator[Violation]:
     instance, _, request_id = call.receipt.partition("/")
     if request_id != call.request_id or instance not in instances:
-        yield _of(Promise.WHOLE, call, f"receipt {call.receipt!r}")
+        yield _of(Promise.COMPLETE, call, f"receipt {call.receipt!r}")
     elif call.kind is CallKind.DRAFT:
         events = EVENT.findall(call.body)
         numbers = [int(number) for number, _, _ in events]
         rest = EVENT.sub(b"", call.body)
         if numbers != list(range(1, EndpointBehaviour().events + 1)) or rest:
-            yield _of(Promise.WHOLE, call, f"events {numbers}, rest {rest!r}")
+            yield _of(Promise.COMPLETE, call, f"events {numbers}, rest {rest!r}")
     elif call.body != f"{instance} served {call.request_id}".encode():
-        yield _of(Promise.WHOLE, call, f"body {call.body!r}")
+        yield _of(Promise.COMPLETE, call, f"body {call.body!r}")
 
 
 def _check_permission(trace: SoakTrace) -> Iterator[Violation]:
@@ -56,14 +56,14 @@
         call = calls.get(arrival.request_id)
         if call is None:
             detail = f"{arrival.request_id!r} was sent by no caller"
-            yield Violation(Promise.ALLOWED, detail)
+            yield Violation(Promise.AUTHORISED, detail)
             continue
-        told = arrival.fields.get(names.ORGANISATION.decode())
-        if told != organisation_of(call.key):
-            yield _of(Promise.ALLOWED, call, f"ran for {told}")
+        organisation = arrival.fields.get(names.ORGANISATION.decode())
+        if organisation != organisation_of(call.key):
+            yield _of(Promise.AUTHORISED, call, f"ran for {organisation}")
         model = arrival.fields.get(names.MODEL.decode())
         if model is not None and model not in SIZES:
-            yield _of(Promise.ALLOWED, call, f"ran on model {model}")
+            yield _of(Promise.AUTHORISED, call, f"ran on model {model}")
         revoked_s = trace.revoked_s.get(call.key, float("inf"))
         if arrival.ran and call.sent_s > revoked_s + REVOCATION_S:
             late_s = call.sent_s - revoked_s
--- a/acaciacove/soak/check_crashes.py
+++ b/acaciacove/soak/check_crashes.py
@@ -3,37 +3,39 @@
 from collections.abc import Iterator
 
 from acaciacove.reason import Reason
-from acaciacove.soak.bounds import CRASHES, TRIES_AFTER_CRASHES
-from acaciacove.soak.soak_trace import CONTACT_S, SoakTrace
+from acaciacove.soak.bounds import CRASH_THRESHOLD, MAX_ATTEMPTS_AFTER_CRASHES
+from acaciacove.soak.soak_trace import SETTLING_S, SoakTrace
 from acaciacove.soak.violation import Promise, Violation
 
-HELD = Reason.REQUEST_QUARANTINED.value.encode()
+QUARANTINE_REASON = Reason.REQUEST_QUARANTINED.value.encode()
 
 
 def check_crashes(trace: SoakTrace) -> Iterator[Violation]:
     """Yield requests that crashed endpoints for too long, and others held back."""
     for body in sorted(trace.crashing):
-        yield from _check_tries(trace, body)
+        yield from _check_attempts(trace, body)
     for call in trace.calls:
-        if call.sent_body not in trace.crashing and HELD in call.body:
+        if call.sent_body not in trace.crashing and QUARANTINE_REASON in call.body:
             detail = f"{call.kind.value} {call.request_id}"
-            yield Violation(Promise.NOT_HELD, detail)
+            yield Violation(Promise.NOT_QUARANTINED, detail)
 
 
-def _check_tries(trace: SoakTrace, body: bytes) -> Iterator[Violation]:
+def _check_attempts(trace: SoakTrace, body: bytes) -> Iterator[Violation]:
     own = [arrival for arrival in trace.arrivals if arrival.body == body]
     crashes = sorted(a.ended_s for a in own if a.ended == "crashed")
-    if len(crashes) < CRASHES:
+    if len(crashes) < CRASH_THRESHOLD:
         return
-    known_s = crashes[CRASHES - 1] + CONTACT_S
+    known_s = crashes[CRASH_THRESHOLD - 1] + SETTLING_S
     calls = trace.by_id()
-    tries = [
+    attempts = [
         arrival
         for arrival in own
         if arrival.at_s > known_s
         and (call := calls.get(arrival.request_id)) is not None
-        and trace.is_in_touch(call.gateway, arrival.at_s, arrival.at_s)
+        and trace.is_unaffected(call.gateway, arrival.at_s, arrival.at_s)
     ]
-    if len(tries) > TRIES_AFTER_CRASHES:
-        detail = f"{body.decode()}: {len(tries)} tries, {len(crashes)} crashes in all"
+    if len(attempts) > MAX_ATTEMPTS_AFTER_CRASHES:
+        detail = (
+            f"{body.decode()}: {len(attempts)} tries, {len(crashes)} crashes in all"
+        )
         yield Violation(Promise.CRASHING, detail)
--- a/acaciacove/soak/check_operations.py
+++ b/acaciacove/soak/check_operations.py
@@ -12,39 +12,41 @@
     ZONE_OUT_S,
 )
 from acaciacove.soak.call_record import CallRecord
-from acaciacove.soak.fault_kind import LEAVES, ON_GATEWAY, FaultKind
-from acaciacove.soak.played_fault import PlayedFault
+from acaciacove.soak.fault_kind import DEPARTURES, GATEWAY_FAULTS, FaultKind
+from acaciacove.soak.injected_fault import InjectedFault
 from acaciacove.soak.soak_catalogue import service_of
 from acaciacove.soak.soak_trace import SoakTrace
 from acaciacove.soak.violation import Promise, Violation
 
-SERVED_SHARE = 0.25
+MIN_SERVED_SHARE = 0.25
 # Fewer requests after all is back say nothing of a share.
-FEWEST_SETTLED = 20
+MIN_CALLS_AFTER_RECOVERY = 20
 
 
 def check_operations(trace: SoakTrace) -> Iterator[Violation]:
     """Yield what the fleet as a whole should not have done."""
-    yield from _check_drains(trace)
+    yield from _check_departures(trace)
     yield from _check_zones(trace)
     yield from _check_budget(trace)
     yield from _check_stops(trace)
     yield from _check_recovery(trace)
     for detail in [*trace.exits, *trace.faulty_lines]:
-        yield Violation(Promise.ALIVE, detail)
+        yield Violation(Promise.NO_PROCESS_FAILED, detail)
 
 
-def _check_drains(trace: SoakTrace) -> Iterator[Violation]:
-    left_s = {
-        fault.subject: fault.from_s for fault in trace.faults if fault.kind in LEAVES
+def _check_departures(trace: SoakTrace) -> Iterator[Violation]:
+    departed_s = {
+        fault.subject: fault.from_s
+        for fault in trace.faults
+        if fault.kind in DEPARTURES
     }
     calls = trace.by_id()
     for arrival in trace.arrivals:
-        since_s = left_s.get(arrival.instance)
+        since_s = departed_s.get(arrival.instance)
         call = calls.get(arrival.request_id)
         if since_s is None or call is None or arrival.at_s <= since_s + DRAIN_S:
             continue
-        if trace.is_in_touch(call.gateway, since_s, arrival.at_s):
+        if trace.is_unaffected(call.gateway, since_s, arrival.at_s):
             late_s = arrival.at_s - since_s
             detail = f"{call.request_id} at {arrival.instance} after {late_s:.2f} s"
             yield Violation(Promise.DRAINED, detail)
@@ -61,7 +63,7 @@
             is_late = out.from_s + ZONE_OUT_S < arrival.at_s < out.until_s
             if out.subject != zone or not is_late:
                 continue
-            if trace.is_in_touch(call.gateway, out.from_s, arrival.at_s):
+            if trace.is_unaffected(call.gateway, out.from_s, arrival.at_s):
                 late_s = arrival.at_s - out.from_s
                 detail = f"{call.request_id} in {zone} after {late_s:.2f} s"
                 yield Violation(Promise.ZONE_OUT, detail)
@@ -83,16 +85,16 @@
     for service, moments in repeated.items():
         requests = sorted(sent[service])
         for at_s in moments:
-            repeats = _within(moments, at_s)
+            repeats = _count_in_window(moments, at_s)
             shifts = (0.0, RETRY_WINDOW_S / 2.0, RETRY_WINDOW_S)
-            most = max(_within(requests, at_s - shift) for shift in shifts)
+            most = max(_count_in_window(requests, at_s - shift) for shift in shifts)
             if repeats > RETRY_RATIO * most + RETRY_EXTRA:
                 detail = f"{service}: {repeats} repeats for {most} requests"
                 yield Violation(Promise.BUDGET, detail)
                 break
 
 
-def _within(moments: list[float], until_s: float) -> int:
+def _count_in_window(moments: list[float], until_s: float) -> int:
     """Count sorted moments in the window that ends then."""
     begin = bisect_right(moments, until_s - RETRY_WINDOW_S)
     return bisect_right(moments, until_s) - begin
@@ -115,13 +117,13 @@
             was_there = was_sent and call.ended_s > stop.from_s
             if stop.subject != call.gateway or not was_there:
                 continue
-            if not _is_excused(trace, stop, call, {run.instance for run in own}):
+            if not _has_other_cause(trace, stop, call, {run.instance for run in own}):
                 detail = f"{call.request_id} was cut, runs {[run.ended for run in own]}"
                 yield Violation(Promise.STOPPED, detail)
 
 
-def _is_excused(
-    trace: SoakTrace, stop: PlayedFault, call: CallRecord, instances: set[str]
+def _has_other_cause(
+    trace: SoakTrace, stop: InjectedFault, call: CallRecord, instances: set[str]
 ) -> bool:
     """Tell whether something else may have cut a request: its gateway or endpoint."""
     if any(a < call.ended_s and b > call.sent_s for a, b in trace.stalls):
@@ -132,7 +134,7 @@
         and fault.until_s > call.sent_s - DRAIN_S
         and (
             fault.subject in instances
-            or (fault.kind in ON_GATEWAY and fault.subject == call.gateway)
+            or (fault.kind in GATEWAY_FAULTS and fault.subject == call.gateway)
         )
         for fault in trace.faults
     )
@@ -141,6 +143,8 @@
 def _check_recovery(trace: SoakTrace) -> Iterator[Violation]:
     valid = trace.calls_after_recovery()
     served = sum(call.status == 200 and call.complete for call in valid)
-    if len(valid) >= FEWEST_SETTLED and served < SERVED_SHARE * len(valid):
+    if len(valid) >= MIN_CALLS_AFTER_RECOVERY and served < MIN_SERVED_SHARE * len(
+        valid
+    ):
         detail = f"{served} of {len(valid)} served once all was back"
         yield Violation(Promise.RECOVERED, detail)
--- a/acaciacove/soak/fault_kind.py
+++ b/acaciacove/soak/fault_kind.py
@@ -44,8 +44,8 @@
     ZONE_OUT = "zone_out"
 
 
-ON_GATEWAY = frozenset({FaultKind.TERMINATE, FaultKind.KILL, FaultKind.PAUSE})
-ON_GATEWAY_LOG = frozenset(
+GATEWAY_FAULTS = frozenset({FaultKind.TERMINATE, FaultKind.KILL, FaultKind.PAUSE})
+LOG_LINK_FAULTS = frozenset(
     {
         FaultKind.LOG_DELAYED,
         FaultKind.LOG_RESET,
@@ -53,8 +53,8 @@
         FaultKind.LOG_MUTE,
     }
 )
-LEAVES = frozenset({FaultKind.ENDPOINT_LEAVES, FaultKind.ENDPOINT_REMOVED})
-ON_LOG = frozenset(
+DEPARTURES = frozenset({FaultKind.ENDPOINT_LEAVES, FaultKind.ENDPOINT_REMOVED})
+LOG_FAULTS = frozenset(
     {
         FaultKind.LOG_AWAY,
         FaultKind.LOG_REFUSES,
@@ -67,7 +67,7 @@
 # Bytes towards the server are swallowed; of the other faults of a link, its answers.
 SILENCING = frozenset({FaultKind.LOG_SILENT, FaultKind.ENDPOINT_SILENT})
 # Faults that end by themselves: nothing has to be undone after a time.
-AT_ONCE = frozenset(
+INSTANTANEOUS = frozenset(
     {
         FaultKind.KILL,
         FaultKind.LOG_RESET,
--- a/acaciacove/soak/gateway_process.py
+++ b/acaciacove/soak/gateway_process.py
@@ -19,15 +19,15 @@
 class GatewayProcess:
     """Starts, signals and ends the process; its lines go to a file of its own.
 
-    ``asked_to_end`` tells that the soak itself has ended or stopped it.
+    ``is_stop_expected`` tells that the soak itself has ended or stopped it.
     """
 
     settings: GatewaySettings
     folder: Path
-    asked_to_end: bool = False
-    exits_of_its_own: int = 0
+    is_stop_expected: bool = False
+    unexpected_exits: int = 0
     process: asyncio.subprocess.Process | None = None
-    _watch: asyncio.Task[None] | None = field(default=None)
+    _exit_task: asyncio.Task[None] | None = field(default=None)
 
     @property
     def log_path(self) -> Path:
@@ -48,13 +48,13 @@
                 stderr=lines,
                 env=environment,
             )
-        self.asked_to_end = False
-        self._watch = asyncio.create_task(self._note_exit(self.process))
+        self.is_stop_expected = False
+        self._exit_task = asyncio.create_task(self._record_exit(self.process))
 
-    async def _note_exit(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        if not self.asked_to_end:
-            self.exits_of_its_own += 1
+        if not self.is_stop_expected:
+            self.unexpected_exits += 1
 
     @property
     def is_running(self) -> bool:
@@ -69,16 +69,16 @@
 
     async def kill(self) -> None:
         """End it at once and wait for its end."""
-        self.asked_to_end = True
+        self.is_stop_expected = True
         self.send(signal.SIGKILL)
-        if self._watch is not None:
-            await self._watch
+        if self._exit_task is not None:
+            await self._exit_task
 
     async def terminate(self, grace_s: float) -> None:
         """Stop it as the platform does: SIGTERM, and SIGKILL after the grace."""
-        self.asked_to_end = True
+        self.is_stop_expected = True
         self.send(signal.SIGTERM)
-        assert self._watch is not None
-        done, _ = await asyncio.wait({self._watch}, timeout=grace_s)
+        assert self._exit_task is not None
+        done, _ = await asyncio.wait({self._exit_task}, timeout=grace_s)
         if not done:
             await self.kill()
--- /dev/null
+++ b/acaciacove/soak/inject_faults.py
@@ -0,0 +1,304 @@
+"""Plays the faults of a plan on a running soak."""
+
+import asyncio
+import signal
+from collections.abc import Callable, Sequence
+
+from acaciacove.soak.bounds import LIMIT_PER_S
+from acaciacove.soak.fault_kind import (
+    DELAYING,
+    DEPARTURES,
+    GATEWAY_FAULTS,
+    INSTANTANEOUS,
+    LOG_FAULTS,
+    LOG_LINK_FAULTS,
+    RESETTING,
+    SILENCING,
+    FaultKind,
+)
+from acaciacove.soak.injected_fault import InjectedFault
+from acaciacove.soak.planned_fault import PlannedFault
+from acaciacove.soak.proxy import Proxy
+from acaciacove.soak.soak_environment import ZONES, SoakEnvironment
+from acaciacove.standins.endpoint_behaviour import EndpointBehaviour
+from acaciacove.standins.gateway_fleet import ENDPOINTS
+
+DELAY_S = 0.3
+RESTART_S = 0.3
+LOST_ANSWERS = 5
+EVENTS_BEFORE_CUT = 2
+# How long an endpoint that has said that it leaves goes on serving.
+DEPARTING_SERVES_S = 3.0
+DEPARTURE_RETRY_S = 0.1
+MIN_KEYS = 3
+
+
+async def inject_faults(
+    environment: SoakEnvironment, plan: Sequence[PlannedFault]
+) -> None:
+    """Play all faults, each in a task of its own, until the last is undone."""
+    began_s = asyncio.get_running_loop().time()
+    async with asyncio.TaskGroup() as tasks:
+        for fault in plan:
+            now_s = asyncio.get_running_loop().time()
+            await asyncio.sleep(max(0.0, began_s + fault.at_s - now_s))
+            tasks.create_task(_inject(environment, fault))
+
+
+async def _inject(environment: SoakEnvironment, fault: PlannedFault) -> None:
+    if fault.kind in GATEWAY_FAULTS:
+        await _inject_gateway_fault(environment, fault)
+    elif fault.kind in LOG_LINK_FAULTS:
+        number = fault.target % len(environment.gateways)
+        await _inject_link_fault(
+            environment, fault, environment.log_links[number], number
+        )
+    elif fault.kind is FaultKind.LOG_TURNS_AWAY:
+        await _refuse_last_reader(environment, fault)
+    elif fault.kind in LOG_FAULTS:
+        await _inject_log_fault(environment, fault)
+    elif fault.kind is FaultKind.KEY_REVOKED:
+        _revoke_key(environment)
+    elif fault.kind is FaultKind.REQUEST_CRASHES:
+        _add_crashing_request(environment, fault)
+    elif fault.kind is FaultKind.ZONE_OUT:
+        await _take_zone_out(environment, fault)
+    else:
+        await _inject_endpoint_fault(environment, fault)
+
+
+async def _record_until_undone(
+    environment: SoakEnvironment,
+    fault: PlannedFault,
+    subject: int | str,
+    undo: Callable[[], None],
+) -> None:
+    """Keep a fault in the record while it lasts, then undo it."""
+    loop = asyncio.get_running_loop()
+    injected = InjectedFault(fault.kind, subject, loop.time())
+    environment.faults.append(injected)
+    if fault.kind not in INSTANTANEOUS:
+        await asyncio.sleep(fault.for_s)
+    undo()
+    injected.until_s = loop.time()
+
+
+async def _inject_gateway_fault(
+    environment: SoakEnvironment, fault: PlannedFault
+) -> None:
+    number = fault.target % len(environment.gateways)
+    gateway = environment.gateways[number]
+    if not gateway.is_running or gateway.is_stop_expected:
+        return
+    loop = asyncio.get_running_loop()
+    injected = InjectedFault(fault.kind, number, loop.time())
+    environment.faults.append(injected)
+    if fault.kind is FaultKind.PAUSE:
+        gateway.send(signal.SIGSTOP)
+        await asyncio.sleep(fault.for_s)
+        gateway.send(signal.SIGCONT)
+    else:
+        await _end_and_restart(environment, fault, number)
+    injected.until_s = loop.time()
+
+
+async def _end_and_restart(
+    environment: SoakEnvironment, fault: PlannedFault, number: int
+) -> None:
+    gateway = environment.gateways[number]
+    if fault.kind is FaultKind.TERMINATE:
+        await gateway.terminate(gateway.settings.grace_s)
+    else:
+        await gateway.kill()
+    environment.ready.discard(number)
+    await asyncio.sleep(RESTART_S)
+    await gateway.start()
+
+
+async def _inject_link_fault(
+    environment: SoakEnvironment, fault: PlannedFault, link: Proxy, subject: int | str
+) -> None:
+    state = link.state
+    if fault.kind in RESETTING:
+        link.reset()
+    elif fault.kind in DELAYING:
+        state.delay_s = DELAY_S
+    elif fault.kind in SILENCING:
+        state.up_silent = True
+    else:
+        state.down_silent = True
+
+    def undo() -> None:
+        state.delay_s = 0.0
+        if state.up_silent or state.down_silent:
+            # Bytes are missing from what goes on: no connection may survive that.
+            state.up_silent = state.down_silent = False
+            link.reset()
+
+    await _record_until_undone(environment, fault, subject, undo)
+
+
+async def _refuse_last_reader(
+    environment: SoakEnvironment, fault: PlannedFault
+) -> None:
+    """Turn away the gateway that last read the endpoints' stream."""
+    store = environment.fleet.store
+    name = store.last_readers.get(ENDPOINTS)
+    names = [gateway.settings.name for gateway in environment.gateways]
+    if name not in names or name in store.turned_away:
+        return
+    store.turned_away.add(name)
+    number = names.index(name)
+    await _record_until_undone(
+        environment, fault, number, lambda: store.turned_away.discard(name)
+    )
+
+
+async def _inject_log_fault(environment: SoakEnvironment, fault: PlannedFault) -> None:
+    store = environment.fleet.store
+    if fault.kind is FaultKind.LOG_FORGETS:
+        for stream in list(store.records):
+            store.forget_history(stream)
+    elif fault.kind is FaultKind.LOG_LOSES_REPLIES:
+        store.lost_replies += 1
+    else:
+        store.down = "silent" if fault.kind is FaultKind.LOG_AWAY else "busy"
+
+    def undo() -> None:
+        if fault.kind not in INSTANTANEOUS:
+            store.down = None
+
+    await _record_until_undone(environment, fault, "log", undo)
+
+
+def _revoke_key(environment: SoakEnvironment) -> None:
+    if len(environment.keys) <= MIN_KEYS:
+        return
+    key = environment.keys.pop()
+    environment.publish()
+    now_s = asyncio.get_running_loop().time()
+    environment.revoked_s[key] = now_s
+    environment.faults.append(InjectedFault(FaultKind.KEY_REVOKED, key, now_s, now_s))
+
+
+def _add_crashing_request(environment: SoakEnvironment, fault: PlannedFault) -> None:
+    """Have callers send a request that ends each endpoint that begins to run it."""
+    body = f"crash-{fault.number}".encode()
+    environment.crashing[body] = environment.keys[fault.target % len(environment.keys)]
+    now_s = asyncio.get_running_loop().time()
+    environment.faults.append(InjectedFault(fault.kind, body.decode(), now_s, now_s))
+
+
+async def _take_zone_out(environment: SoakEnvironment, fault: PlannedFault) -> None:
+    zone = ZONES[fault.target % len(ZONES)]
+    if environment.zones_out:
+        return
+    environment.zones_out.add(zone)
+    environment.fleet.take_zone_out(zone)
+
+    def undo() -> None:
+        environment.fleet.take_zone_in(zone)
+        environment.zones_out.discard(zone)
+
+    await _record_until_undone(environment, fault, zone, undo)
+
+
+async def _inject_endpoint_fault(
+    environment: SoakEnvironment, fault: PlannedFault
+) -> None:
+    names = sorted(environment.servers)
+    instance = names[fault.target % len(names)]
+    if fault.kind is FaultKind.ENDPOINT_CRASHES:
+        await _crash(environment, fault, instance)
+    elif fault.kind in DEPARTURES:
+        await _depart(environment, fault, instance)
+    elif fault.kind in MISBEHAVIOURS:
+        behaviour = environment.servers[instance].behaviour
+        if behaviour.limit_per_s is not None and fault.kind in RESTORES:
+            return
+        MISBEHAVIOURS[fault.kind](behaviour)
+        restore = RESTORES.get(fault.kind, _restore)
+        await _record_until_undone(
+            environment, fault, instance, lambda: restore(behaviour)
+        )
+    else:
+        await _inject_link_fault(
+            environment, fault, environment.endpoint_links[instance], instance
+        )
+
+
+def _fail(behaviour: EndpointBehaviour) -> None:
+    behaviour.failing = True
+
+
+def _fill(behaviour: EndpointBehaviour) -> None:
+    behaviour.full = True
+
+
+def _limit(behaviour: EndpointBehaviour) -> None:
+    behaviour.limit_per_s = LIMIT_PER_S
+
+
+def _cut(behaviour: EndpointBehaviour) -> None:
+    behaviour.cut_after = EVENTS_BEFORE_CUT
+
+
+def _lose_answers(behaviour: EndpointBehaviour) -> None:
+    behaviour.lost_answers += LOST_ANSWERS
+
+
+MISBEHAVIOURS: dict[FaultKind, Callable[[EndpointBehaviour], None]] = {
+    FaultKind.ENDPOINT_FAILS: _fail,
+    FaultKind.ENDPOINT_FULL: _fill,
+    FaultKind.ENDPOINT_LIMITS: _limit,
+    FaultKind.ENDPOINT_CUTS: _cut,
+    FaultKind.ENDPOINT_LOSES_ANSWERS: _lose_answers,
+}
+
+
+def _restore(behaviour: EndpointBehaviour) -> None:
+    """End what lasts; answers that are to be lost are counted down by themselves."""
+    behaviour.failing = behaviour.full = False
+    behaviour.cut_after = None
+
+
+def _remove_limit(behaviour: EndpointBehaviour) -> None:
+    behaviour.limit_per_s = None
+
+
+RESTORES: dict[FaultKind, Callable[[EndpointBehaviour], None]] = {
+    FaultKind.ENDPOINT_LIMITS: _remove_limit,
+}
+
+
+async def _crash(
+    environment: SoakEnvironment, fault: PlannedFault, instance: str
+) -> None:
+    """Replace an endpoint without a word by one with another name."""
+    service = environment.servers[instance].report.service
+    loop = asyncio.get_running_loop()
+    environment.faults.append(
+        InjectedFault(fault.kind, instance, loop.time(), loop.time())
+    )
+    await environment.add_endpoint(service)
+    environment.remove_endpoint(instance)
+
+
+async def _depart(
+    environment: SoakEnvironment, fault: PlannedFault, instance: str
+) -> None:
+    """Let an endpoint leave as planned, after another has taken its place."""
+    if environment.servers[instance].report.draining:
+        return
+    await environment.add_endpoint(environment.servers[instance].report.service)
+    # An endpoint says nothing while the log is away, and leaves once it was heard.
+    while not environment.depart(
+        instance, is_announced=fault.kind is FaultKind.ENDPOINT_LEAVES
+    ):
+        await asyncio.sleep(DEPARTURE_RETRY_S)
+    loop = asyncio.get_running_loop()
+    injected = InjectedFault(fault.kind, instance, loop.time())
+    environment.faults.append(injected)
+    await asyncio.sleep(DEPARTING_SERVES_S)
+    injected.until_s = loop.time()
+    environment.remove_endpoint(instance)
--- a/acaciacove/soak/played_fault.py
+++ b/acaciacove/soak/injected_fault.py
@@ -6,7 +6,7 @@
 
 
 @define(eq=False)
-class PlayedFault:
+class InjectedFault:
     """``subject`` is the number of a gateway, or the name of what was met.
 
     ``until_s`` is infinite until the fault is undone.
--- a/acaciacove/soak/proxy.py
+++ b/acaciacove/soak/proxy.py
@@ -7,8 +7,8 @@
 
 from acaciacove.soak.link_state import LinkState
 
-PIECE_BYTES = 65_536
-NO_LINGERING = struct.pack("ii", 1, 0)
+CHUNK_BYTES = 65_536
+ZERO_LINGER = struct.pack("ii", 1, 0)
 
 
 class Proxy:
@@ -31,8 +31,8 @@
         for writer in list(self._writers):
             if not writer.is_closing():
                 # Closed without lingering, a socket sends a reset in place of its end.
-                end = writer.get_extra_info("socket")
-                end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, NO_LINGERING)
+                side = writer.get_extra_info("socket")
+                side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             writer.transport.abort()
 
     def close(self) -> None:
@@ -45,32 +45,32 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.transport.abort()
             return
-        pair = {writer, far_writer}
+        pair = {writer, target_writer}
         self._writers |= pair
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer, lambda: self.state.up_silent),
-                self._pump(far_reader, writer, lambda: self.state.down_silent),
+                self._copy(reader, target_writer, lambda: self.state.up_silent),
+                self._copy(target_reader, writer, lambda: self.state.down_silent),
             )
         except OSError:
             # One side is gone: the other learns it by the reset below.
             pass
         finally:
             self._writers -= pair
-            for end in pair:
-                end.transport.abort()
+            for side in pair:
+                side.transport.abort()
 
-    async def _pump(
+    async def _copy(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         is_silent: Callable[[], bool],
     ) -> None:
-        while data := await reader.read(PIECE_BYTES):
+        while data := await reader.read(CHUNK_BYTES):
             if self.state.delay_s:
                 await asyncio.sleep(self.state.delay_s)
             if is_silent():
--- a/acaciacove/soak/run_soak.py
+++ b/acaciacove/soak/run_soak.py
@@ -14,17 +14,17 @@
 from acaciacove.soak.check_limits import check_limits
 from acaciacove.soak.check_operations import check_operations
 from acaciacove.soak.fault_plan import plan_faults
+from acaciacove.soak.inject_faults import inject_faults
 from acaciacove.soak.planned_fault import PlannedFault
-from acaciacove.soak.play_faults import play_faults
 from acaciacove.soak.soak_caller import SoakCaller
+from acaciacove.soak.soak_environment import SoakEnvironment
 from acaciacove.soak.soak_report import SoakReport
 from acaciacove.soak.soak_trace import SoakTrace
-from acaciacove.soak.soak_world import SoakWorld
 
 # The balancer asks once a second, and two misses take a gateway out.
-ASK_EVERY_S = 1.0
-ASK_LIMIT_S = 0.9
-START_LIMIT_S = 60.0
+PROBE_INTERVAL_S = 1.0
+PROBE_TIMEOUT_S = 0.9
+START_TIMEOUT_S = 60.0
 # After the last fault is undone the fleet has this long to serve again.
 RECOVERY_S = 5.0
 READINESS = b"GET /-/readiness HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"
@@ -34,14 +34,14 @@
     """Play the plan of these settings and check what was seen."""
     plan = plan_faults(settings)
     folder = _folder(settings)
-    world = SoakWorld(settings, folder)
+    environment = SoakEnvironment(settings, folder)
     try:
-        await world.open()
-        await _wait_until_all_are_ready(world)
-        settled_s = await _play(world, plan)
+        await environment.open()
+        await _wait_until_all_are_ready(environment)
+        recovered_s = await _run_callers(environment, plan)
     finally:
-        await world.close()
-    return _judge(world, plan, settled_s)
+        await environment.close()
+    return _report(environment, plan, recovered_s)
 
 
 def _folder(settings: SoakSettings) -> Path:
@@ -50,42 +50,52 @@
     return folder
 
 
-async def _wait_until_all_are_ready(world: SoakWorld) -> None:
-    async with asyncio.timeout(START_LIMIT_S):
-        while len(world.ready) < len(world.gateways):
+async def _wait_until_all_are_ready(environment: SoakEnvironment) -> None:
+    async with asyncio.timeout(START_TIMEOUT_S):
+        while len(environment.ready) < len(environment.gateways):
             await asyncio.gather(
-                *(_ask_readiness(world, n) for n in range(len(world.gateways)))
+                *(
+                    _probe_gateway(environment, n)
+                    for n in range(len(environment.gateways))
+                )
             )
 
 
-async def _play(world: SoakWorld, plan: tuple[PlannedFault, ...]) -> float:
+async def _run_callers(
+    environment: SoakEnvironment, plan: tuple[PlannedFault, ...]
+) -> float:
     """Let callers call under the plan; returns when the fleet had recovered."""
     loop = asyncio.get_running_loop()
-    until_s = loop.time() + world.settings.seconds
-    callers = [SoakCaller(n, world).run() for n in range(world.settings.callers)]
+    until_s = loop.time() + environment.settings.seconds
+    callers = [
+        SoakCaller(n, environment).run() for n in range(environment.settings.callers)
+    ]
     async with background(
-        world.beat(), world.watch_stalls(), _balance(world), *callers
+        environment.send_heartbeats(),
+        environment.watch_stalls(),
+        _probe_readiness(environment),
+        *callers,
     ):
-        await play_faults(world, plan)
-        settled_s = loop.time() + RECOVERY_S
+        await inject_faults(environment, plan)
+        recovered_s = loop.time() + RECOVERY_S
         await asyncio.sleep(max(until_s - loop.time(), 2.0 * RECOVERY_S))
-    return settled_s
+    return recovered_s
 
 
-async def _balance(world: SoakWorld) -> None:
+async def _probe_readiness(environment: SoakEnvironment) -> None:
     """Keep to the gateways that say they are ready, as the platform does."""
     while True:
         await asyncio.gather(
-            *(_ask_readiness(world, n) for n in range(len(world.gateways))),
-            asyncio.sleep(ASK_EVERY_S),
+            *(_probe_gateway(environment, n) for n in range(len(environment.gateways))),
+            asyncio.sleep(PROBE_INTERVAL_S),
         )
 
 
-async def _ask_readiness(world: SoakWorld, number: int) -> None:
-    host = world.addresses.gateway(number)
+async def _probe_gateway(environment: SoakEnvironment, number: int) -> None:
+    host = environment.addresses.gateway(number)
     status = 0
     try:
-        async with asyncio.timeout(ASK_LIMIT_S):
+        async with asyncio.timeout(PROBE_TIMEOUT_S):
             reader, writer = await asyncio.open_connection(host, READINESS_PORT)
             try:
                 writer.write(READINESS)
@@ -96,9 +106,9 @@
         # Not reached is not ready.
         status = 0
     if status == 200:
-        world.ready.add(number)
+        environment.ready.add(number)
     else:
-        world.ready.discard(number)
+        environment.ready.discard(number)
 
 
 def _status(line: bytes) -> int:
@@ -107,45 +117,45 @@
     return int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
 
 
-def _judge(
-    world: SoakWorld, plan: tuple[PlannedFault, ...], settled_s: float
+def _report(
+    environment: SoakEnvironment, plan: tuple[PlannedFault, ...], recovered_s: float
 ) -> SoakReport:
-    trace = _trace(world, settled_s)
-    late = trace.calls_after_recovery()
-    served = sum(call.status == 200 and call.complete for call in late)
+    trace = _trace(environment, recovered_s)
+    calls = trace.calls_after_recovery()
+    served = sum(call.status == 200 and call.complete for call in calls)
     return SoakReport(
         plan=plan,
-        played=Counter(fault.kind for fault in world.faults),
+        played=Counter(fault.kind for fault in environment.faults),
         answers=Counter(str(call.status or "none") for call in trace.calls),
         arrivals=len(trace.arrivals),
         stalls=len(trace.stalls),
-        served_after=(served, len(late)),
+        served_after_recovery=(served, len(calls)),
         violations=(
             *check_answers(trace),
             *check_operations(trace),
             *check_crashes(trace),
             *check_limits(trace),
         ),
-        log_folder=str(world.folder),
+        log_folder=str(environment.folder),
     )
 
 
-def _trace(world: SoakWorld, settled_s: float) -> SoakTrace:
+def _trace(environment: SoakEnvironment, recovered_s: float) -> SoakTrace:
     return SoakTrace(
-        calls=world.calls,
-        arrivals=world.fleet.arrivals,
-        faults=world.faults,
-        stalls=world.stalls,
-        zone_of=world.zone_of,
-        revoked_s=world.revoked_s,
-        crashing=frozenset(world.crashing),
-        settled_s=settled_s,
+        calls=environment.calls,
+        arrivals=environment.fleet.arrivals,
+        faults=environment.faults,
+        stalls=environment.stalls,
+        zone_of=environment.zone_of,
+        revoked_s=environment.revoked_s,
+        crashing=frozenset(environment.crashing),
+        recovered_s=recovered_s,
         exits=[
-            f"{gateway.settings.name} ended by itself, {gateway.exits_of_its_own} times"
-            for gateway in world.gateways
-            if gateway.exits_of_its_own
+            f"{gateway.settings.name} ended by itself, {gateway.unexpected_exits} times"
+            for gateway in environment.gateways
+            if gateway.unexpected_exits
         ],
-        faulty_lines=_faulty_lines(world.folder),
+        faulty_lines=_faulty_lines(environment.folder),
     )
 
 
--- a/acaciacove/soak/shorten_plan.py
+++ b/acaciacove/soak/shorten_plan.py
@@ -3,7 +3,7 @@
 from collections.abc import Awaitable, Callable, Sequence
 
 # Runs differ in time: a part of a plan counts as harmless only after this many.
-TRIES = 2
+RUNS_PER_SUBSET = 2
 
 IsBroken = Callable[[Sequence[int]], Awaitable[bool]]
 
@@ -30,7 +30,7 @@
 
 
 async def _breaks(numbers: Sequence[int], is_broken: IsBroken) -> bool:
-    for _ in range(TRIES):
+    for _ in range(RUNS_PER_SUBSET):
         if await is_broken(numbers):
             return True
     return False
--- a/acaciacove/soak/soak_caller.py
+++ b/acaciacove/soak/soak_caller.py
@@ -10,13 +10,13 @@
 from acaciacove.soak.call_kind import CallKind
 from acaciacove.soak.call_record import CallRecord
 from acaciacove.soak.soak_catalogue import HOST, KEYS
-from acaciacove.soak.soak_world import SoakWorld
+from acaciacove.soak.soak_environment import SoakEnvironment
 
 DEADLINE_S = 3.0
 # What a caller waits beyond its deadline before it gives up on an answer.
-PATIENCE_S = 1.0
-CONNECT_S = 1.0
-THINK_S = 0.08
+ANSWER_GRACE_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
+MEAN_THINK_TIME_S = 0.08
 # Some callers go on with a key that was taken away.
 REVOKED_SHARE = 0.15
 # Calls that are one more of a request that crashes endpoints.
@@ -28,11 +28,11 @@
 class SoakCaller:
     """Sends one request after another, on a kept connection while there is one."""
 
-    def __init__(self, number: int, world: SoakWorld) -> None:
+    def __init__(self, number: int, environment: SoakEnvironment) -> None:
         """Begin without a connection."""
         self._number = number
-        self._world = world
-        self._random = Random(f"{world.settings.seed}/caller/{number}")
+        self._environment = environment
+        self._random = Random(f"{environment.settings.seed}/caller/{number}")
         self._gateway = 0
         self._sent = 0
         self._connection = h11.Connection(h11.CLIENT)
@@ -43,20 +43,22 @@
         """Call until cancelled."""
         try:
             while True:
-                await asyncio.sleep(self._random.expovariate(1.0 / THINK_S))
+                await asyncio.sleep(self._random.expovariate(1.0 / MEAN_THINK_TIME_S))
                 if self._writer is None and not await self._connect():
                     continue
                 await self._call()
         finally:
-            self._leave()
+            self._disconnect()
 
     async def _connect(self) -> bool:
-        ready = sorted(self._world.ready) or range(len(self._world.gateways))
+        ready = sorted(self._environment.ready) or range(
+            len(self._environment.gateways)
+        )
         self._gateway = self._random.choice(list(ready))
-        host = self._world.addresses.gateway(self._gateway)
+        host = self._environment.addresses.gateway(self._gateway)
         self._connection = h11.Connection(h11.CLIENT)
         try:
-            async with asyncio.timeout(CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 self._reader, self._writer = await asyncio.open_connection(
                     host, FRONT_PORT
                 )
@@ -75,36 +77,36 @@
             gateway=self._gateway,
             sent_s=loop.time(),
         )
-        self._let_crash(call)
-        self._world.calls.append(call)
+        self._make_crashing(call)
+        self._environment.calls.append(call)
         try:
-            async with asyncio.timeout(DEADLINE_S + PATIENCE_S):
+            async with asyncio.timeout(DEADLINE_S + ANSWER_GRACE_S):
                 self._send(call)
                 await self._read(call)
         except TimeoutError:
             # No answer in time; the record says so by its missing status.
-            self._leave()
+            self._disconnect()
         except (OSError, h11.RemoteProtocolError):
             call.closed = True
-            self._leave()
+            self._disconnect()
         call.ended_s = loop.time()
         if self._connection.our_state is h11.DONE and call.complete:
             try:
                 self._connection.start_next_cycle()
             except h11.LocalProtocolError:
-                self._leave()
+                self._disconnect()
         else:
-            self._leave()
+            self._disconnect()
 
     def _key(self) -> str:
-        revoked = list(self._world.revoked_s)
+        revoked = list(self._environment.revoked_s)
         if revoked and self._random.random() < REVOKED_SHARE:
             return self._random.choice(revoked)
-        return self._random.choice(self._world.keys or list(KEYS))
+        return self._random.choice(self._environment.keys or list(KEYS))
 
-    def _let_crash(self, call: CallRecord) -> None:
+    def _make_crashing(self, call: CallRecord) -> None:
         """Make of some calls one more of a request that crashes endpoints."""
-        crashing = list(self._world.crashing.items())
+        crashing = list(self._environment.crashing.items())
         if not crashing or self._random.random() >= CRASHING_SHARE:
             return
         call.sent_body, call.key = self._random.choice(crashing)
@@ -135,7 +137,7 @@
         self._writer.write(data)
 
     def _target_of(self, call: CallRecord) -> str:
-        if call.sent_body in self._world.crashing:
+        if call.sent_body in self._environment.crashing:
             return call.sent_body.decode()
         return f"{self._number}/{self._sent}"
 
@@ -159,7 +161,7 @@
                 call.closed = True
                 return
 
-    def _leave(self) -> None:
+    def _disconnect(self) -> None:
         if self._writer is not None:
             self._writer.transport.abort()
             self._writer = None
--- a/acaciacove/soak/soak_world.py
+++ b/acaciacove/soak/soak_environment.py
@@ -31,7 +31,7 @@
 from acaciacove.soak.call_record import CallRecord
 from acaciacove.soak.fault_kind import FaultKind
 from acaciacove.soak.gateway_process import GatewayProcess
-from acaciacove.soak.played_fault import PlayedFault
+from acaciacove.soak.injected_fault import InjectedFault
 from acaciacove.soak.proxy import Proxy
 from acaciacove.soak.soak_catalogue import APP, KEYS, MODEL, SIZES, soak_catalogue
 from acaciacove.standins.endpoint_behaviour import EndpointBehaviour
@@ -40,8 +40,8 @@
 
 ZONES = ("a", "b", "c")
 # Entries lapse after so many heartbeats that did not reach the log.
-LAPSE_HEARTBEATS = 3
-BEAT_STEP_S = 0.1
+EXPIRY_HEARTBEATS = 3
+HEARTBEAT_STEP_S = 0.1
 # The loop looks at its own clock this often; what is late by more is a stall of the
 # machine, in which times of the soak mean nothing.
 STALL_STEP_S = 0.05
@@ -49,7 +49,7 @@
 
 
 @define(eq=False)
-class SoakWorld:
+class SoakEnvironment:
     """The stand-in platform, gateways, their links, and the record of the run.
 
     ``crashing`` are bodies of requests that end what runs them, with the keys that
@@ -67,15 +67,15 @@
     zone_of: dict[str, str] = field(factory=dict)
     ready: set[int] = field(factory=set)
     calls: list[CallRecord] = field(factory=list)
-    faults: list[PlayedFault] = field(factory=list)
+    faults: list[InjectedFault] = field(factory=list)
     stalls: list[tuple[float, float]] = field(factory=list)
     keys: list[str] = field(factory=lambda: list(KEYS))
     revoked_s: dict[str, float] = field(factory=dict)
     crashing: dict[bytes, str] = field(factory=dict)
     zones_out: set[str] = field(factory=set)
     versions: int = 1
-    _beats_s: dict[str, float] = field(factory=dict)
-    _endpoints_made: int = 0
+    _last_heartbeats_s: dict[str, float] = field(factory=dict)
+    _endpoints_started: int = 0
     _restarts: set[asyncio.Task[None]] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
@@ -98,13 +98,13 @@
 
     async def add_endpoint(self, service: str) -> None:
         """Start an endpoint with a new name behind a link of its own."""
-        number = self._endpoints_made
-        self._endpoints_made += 1
+        number = self._endpoints_started
+        self._endpoints_started += 1
         report = EndpointReport(
             instance=f"i-{number}",
             incarnation="1",
             service=service,
-            host=self.addresses.told_endpoint(number),
+            host=self.addresses.advertised_endpoint(number),
             port=ENDPOINT_PORT,
             availability_zone=ZONES[number % len(ZONES)],
             version="v1",
@@ -120,7 +120,7 @@
             report,
             behaviour,
             self.fleet.arrivals,
-            lambda: self._crash_under_request(report.instance),
+            lambda: self._crash_on_request(report.instance),
         )
         own = (self.addresses.endpoint(number), ENDPOINT_PORT)
         await self.fleet.listen(report.instance, *own, server.serve)
@@ -130,15 +130,15 @@
         self.servers[report.instance] = server
         self.zone_of[report.instance] = report.availability_zone
         self.fleet.register(report)
-        self._beats_s[report.instance] = asyncio.get_running_loop().time()
+        self._last_heartbeats_s[report.instance] = asyncio.get_running_loop().time()
 
-    def _crash_under_request(self, instance: str) -> None:
+    def _crash_on_request(self, instance: str) -> None:
         """End an endpoint; another takes its place after a while."""
         server = self.servers.get(instance)
         if server is None:
             return
         loop = asyncio.get_running_loop()
-        crashed = PlayedFault(
+        crashed = InjectedFault(
             FaultKind.ENDPOINT_CRASHES, instance, loop.time(), loop.time()
         )
         self.faults.append(crashed)
@@ -155,12 +155,12 @@
         """End an endpoint with its connections; its record goes, too."""
         if self.servers.pop(instance, None) is None:
             return
-        self._beats_s.pop(instance, None)
+        self._last_heartbeats_s.pop(instance, None)
         self.fleet.store.append(ENDPOINTS, instance, b"")
         self.fleet.crash(instance)
         self.endpoint_links.pop(instance).close()
 
-    def leave(self, instance: str, with_word: bool) -> bool:
+    def depart(self, instance: str, is_announced: bool) -> bool:
         """Have an endpoint's entry say that it leaves, or be removed; True if done."""
         if self.fleet.store.down is not None:
             return False
@@ -168,8 +168,8 @@
         if server is None:
             return True
         server.report = evolve(server.report, draining=True)
-        self._beats_s.pop(instance, None)
-        if with_word:
+        self._last_heartbeats_s.pop(instance, None)
+        if is_announced:
             self.fleet.register(server.report)
         else:
             self.fleet.store.append(ENDPOINTS, instance, b"")
@@ -177,7 +177,8 @@
 
     async def _add_gateway(self, number: int) -> None:
         link = Proxy(
-            (self.addresses.log_of(number), LOG_PORT), (self.addresses.log(), LOG_PORT)
+            (self.addresses.log_for_gateway(number), LOG_PORT),
+            (self.addresses.log(), LOG_PORT),
         )
         await link.open()
         self.log_links.append(link)
@@ -196,7 +197,7 @@
             readiness_address=f"{host}:{READINESS_PORT}",
             peer_port=PEER_PORT,
             metrics_port=METRICS_PORT,
-            log_address=f"{self.addresses.log_of(number)}:{LOG_PORT}",
+            log_address=f"{self.addresses.log_for_gateway(number)}:{LOG_PORT}",
             region_of_zone=dict.fromkeys(ZONES, "south"),
             grace_s=GRACE_S,
             revocation_s=REVOCATION_S,
@@ -207,25 +208,30 @@
             retry_window_s=RETRY_WINDOW_S,
         )
 
-    async def beat(self) -> None:
+    async def send_heartbeats(self) -> None:
         """Keep endpoints' entries in the log while heartbeats reach it.
 
         A heartbeat writes no record unless the entry is missing.
         """
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(BEAT_STEP_S)
-            for instance, beat_s in list(self._beats_s.items()):
-                self._beat(instance, beat_s, loop.time())
+            await asyncio.sleep(HEARTBEAT_STEP_S)
+            for instance, last_heartbeat_s in list(self._last_heartbeats_s.items()):
+                self._send_heartbeat(instance, last_heartbeat_s, loop.time())
 
-    def _beat(self, instance: str, beat_s: float, now_s: float) -> None:
+    def _send_heartbeat(
+        self, instance: str, last_heartbeat_s: float, now_s: float
+    ) -> None:
         store = self.fleet.store
-        is_known = instance in store.newest[ENDPOINTS]
-        if store.down is None and now_s - beat_s >= HEARTBEAT_S:
-            self._beats_s[instance] = now_s
-            if not is_known:
+        is_registered = instance in store.newest[ENDPOINTS]
+        if store.down is None and now_s - last_heartbeat_s >= HEARTBEAT_S:
+            self._last_heartbeats_s[instance] = now_s
+            if not is_registered:
                 self.fleet.register(self.servers[instance].report)
-        elif is_known and now_s - beat_s >= LAPSE_HEARTBEATS * HEARTBEAT_S:
+        elif (
+            is_registered
+            and now_s - last_heartbeat_s >= EXPIRY_HEARTBEATS * HEARTBEAT_S
+        ):
             store.append(ENDPOINTS, instance, b"")
 
     async def watch_stalls(self) -> None:
--- a/acaciacove/soak/soak_report.py
+++ b/acaciacove/soak/soak_report.py
@@ -21,23 +21,23 @@
     answers: Counter[str]
     arrivals: int
     stalls: int
-    served_after: tuple[int, int]
+    served_after_recovery: tuple[int, int]
     violations: tuple[Violation, ...]
     log_folder: str
 
     def text(self) -> str:
         """Return the report as lines for a person."""
-        served, asked = self.served_after
+        served, sent = self.served_after_recovery
         answers = ", ".join(f"{k}: {n}" for k, n in sorted(self.answers.items()))
         faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.played.items()))
-        told = [
+        lines = [
             f"requests by answer: {answers}",
             f"arrivals at endpoints: {self.arrivals}",
             f"faults played: {faults or 'none'}",
-            f"served once all was back: {served} of {asked}",
+            f"served once all was back: {served} of {sent}",
             f"stalls of this machine, left out of checks with a time: {self.stalls}",
             f"logs: {self.log_folder}",
         ]
-        told += [f"BROKEN {v.promise.value}: {v.detail}" for v in self.violations]
-        told.append(f"{len(self.violations)} violations")
-        return "\n".join(told)
+        lines += [f"BROKEN {v.promise.value}: {v.detail}" for v in self.violations]
+        lines.append(f"{len(self.violations)} violations")
+        return "\n".join(lines)
--- a/acaciacove/soak/soak_trace.py
+++ b/acaciacove/soak/soak_trace.py
@@ -6,16 +6,16 @@
 
 from acaciacove.soak.call_record import CallRecord
 from acaciacove.soak.fault_kind import (
-    ON_GATEWAY,
-    ON_GATEWAY_LOG,
-    ON_LOG,
+    GATEWAY_FAULTS,
+    LOG_FAULTS,
+    LOG_LINK_FAULTS,
     FaultKind,
 )
-from acaciacove.soak.played_fault import PlayedFault
+from acaciacove.soak.injected_fault import InjectedFault
 from acaciacove.standins.endpoint_arrival import EndpointArrival
 
 # Rules with a time limit hold for gateways that nothing has befallen for this long.
-CONTACT_S = 3.0
+SETTLING_S = 3.0
 
 
 @frozen
@@ -24,17 +24,17 @@
 
     ``crashing`` are bodies of requests that end what runs them.
     ``zone_of`` maps endpoints, ``revoked_s`` keys to when they were taken away.
-    ``settled_s`` is when all was back and had time to recover.
+    ``recovered_s`` is when all was back and had time to recover.
     """
 
     calls: list[CallRecord] = field(factory=list)
     arrivals: list[EndpointArrival] = field(factory=list)
-    faults: list[PlayedFault] = field(factory=list)
+    faults: list[InjectedFault] = field(factory=list)
     stalls: list[tuple[float, float]] = field(factory=list)
     zone_of: dict[str, str] = field(factory=dict)
     revoked_s: dict[str, float] = field(factory=dict)
     crashing: frozenset[bytes] = frozenset()
-    settled_s: float = float("inf")
+    recovered_s: float = float("inf")
     exits: list[str] = field(factory=list)
     faulty_lines: list[str] = field(factory=list)
 
@@ -55,25 +55,27 @@
         return [
             call
             for call in self.calls
-            if call.sent_s > self.settled_s
+            if call.sent_s > self.recovered_s
             and call.key not in self.revoked_s
             and call.sent_body not in self.crashing
         ]
 
-    def is_in_touch(self, gateway: int, from_s: float, to_s: float) -> bool:
+    def is_unaffected(self, gateway: int, from_s: float, to_s: float) -> bool:
         """Tell whether nothing befell a gateway or the log, nor this process.
 
         One that the log alone turns away learns from the others, if any is in touch.
         """
-        since_s = from_s - CONTACT_S
+        since_s = from_s - SETTLING_S
         if any(a < to_s and b > since_s for a, b in self.stalls):
             return False
         faults = [f for f in self.faults if f.from_s < to_s and f.until_s > since_s]
-        if any(fault.kind in ON_LOG for fault in faults):
+        if any(fault.kind in LOG_FAULTS for fault in faults):
             return False
-        befallen = {f.subject for f in faults if f.kind in ON_GATEWAY | ON_GATEWAY_LOG}
-        turned_away = {f.subject for f in faults if f.kind is FaultKind.LOG_TURNS_AWAY}
-        if gateway in turned_away:
-            others = {call.gateway for call in self.calls} - befallen - turned_away
-            return gateway not in befallen and bool(others)
-        return gateway not in befallen
+        affected = {
+            f.subject for f in faults if f.kind in GATEWAY_FAULTS | LOG_LINK_FAULTS
+        }
+        refused = {f.subject for f in faults if f.kind is FaultKind.LOG_TURNS_AWAY}
+        if gateway in refused:
+            peers = {call.gateway for call in self.calls} - affected - refused
+            return gateway not in affected and bool(peers)
+        return gateway not in affected
--- a/acaciacove/soak/violation.py
+++ b/acaciacove/soak/violation.py
@@ -8,20 +8,20 @@
 class Promise(StrEnum):
     """What the checks of a soak stand for."""
 
-    ONCE = "runs at most once"
+    AT_MOST_ONCE = "runs at most once"
     NOT_RUN = "a refusal that says 'not run' is true"
-    WHOLE = "an answer is whole and its caller's own"
-    ALLOWED = "only for the organisation that holds the key, on a model of its route"
+    COMPLETE = "an answer is whole and its caller's own"
+    AUTHORISED = "only for the organisation that holds the key, on a model of its route"
     REVOKED = "a revoked key runs nothing"
     DRAINED = "a leaving endpoint gets no new work"
     ZONE_OUT = "a zone that is out gets no new work"
     BUDGET = "repeats keep to their budget over all processes"
     CRASHING = "a request that crashes endpoints is sent on three times more at most"
-    NOT_HELD = "a request that crashes nothing is not held back"
+    NOT_QUARANTINED = "a request that crashes nothing is not held back"
     LIMITED = "an endpoint gets no more than it states, from all that were told"
     STOPPED = "a planned stop cuts no request"
     RECOVERED = "requests are served again once all is back"
-    ALIVE = "no process ends by itself or logs a fault"
+    NO_PROCESS_FAILED = "no process ends by itself or logs a fault"
 
 
 @frozen
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -47,7 +47,7 @@
 
 
 @pytest.mark.parametrize("needed", [{5}, {2, 9}, {1, 2, 3}, set(range(1, 11))])
-def test_a_plan_is_shortened_to_the_faults_that_matter(needed):
+def test_a_plan_is_shortened_to_the_necessary_faults(needed):
     async def is_broken(numbers):
         return needed <= set(numbers)
 
@@ -55,7 +55,7 @@
     assert set(kept) == needed
 
 
-def test_faulty_numbers_of_a_plan_are_told():
+def test_invalid_fault_numbers_are_rejected():
     with pytest.raises(InvalidSettingsError):
         SoakSettings(only="2,x")
 
@@ -65,13 +65,13 @@
     assert decode_node_file(write_node_file(settings)) == settings
 
 
-def test_a_proxy_swallows_one_direction_and_resets():
+def test_a_proxy_discards_one_direction_and_resets():
     async def echo(reader, writer):
         while data := await reader.read(100):
             writer.write(data)
         writer.close()
 
-    async def story():
+    async def run():
         front, back = (("127.0.0.1", port) for port in free_ports(2))
         server = await asyncio.start_server(echo, *back)
         proxy = Proxy(front, back)
@@ -90,4 +90,4 @@
         proxy.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(run())
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -10,8 +10,8 @@
 from acaciacove.soak.check_crashes import check_crashes
 from acaciacove.soak.check_limits import check_limits
 from acaciacove.soak.check_operations import check_operations
-from acaciacove.soak.fault_kind import LEAVES, FaultKind
-from acaciacove.soak.played_fault import PlayedFault
+from acaciacove.soak.fault_kind import DEPARTURES, FaultKind
+from acaciacove.soak.injected_fault import InjectedFault
 from acaciacove.soak.soak_catalogue import organisation_of
 from acaciacove.soak.soak_trace import SoakTrace
 from acaciacove.soak.violation import Promise
@@ -71,7 +71,9 @@
 
 def test_a_booking_that_runs_twice_is_found():
     arrivals = [an_arrival(), an_arrival(instance="i-1")]
-    assert promises_broken(calls=[a_call()], arrivals=arrivals) == {Promise.ONCE}
+    assert promises_broken(calls=[a_call()], arrivals=arrivals) == {
+        Promise.AT_MOST_ONCE
+    }
     lookup = a_call(kind=CallKind.LOOK)
     assert promises_broken(calls=[lookup], arrivals=arrivals) == set()
 
@@ -96,9 +98,9 @@
         {"kind": CallKind.DRAFT, "body": EVENTS + b"id: 5"},
     ],
 )
-def test_an_answer_that_is_not_whole_or_another_s_is_found(changes):
+def test_an_incomplete_or_foreign_answer_is_found(changes):
     call = a_call(**changes)
-    assert promises_broken(calls=[call], arrivals=[an_arrival()]) == {Promise.WHOLE}
+    assert promises_broken(calls=[call], arrivals=[an_arrival()]) == {Promise.COMPLETE}
 
 
 def test_an_answer_that_ends_early_and_says_so_is_allowed():
@@ -106,13 +108,13 @@
     assert promises_broken(calls=[call], arrivals=[an_arrival()]) == set()
 
 
-def test_work_for_another_organisation_or_of_nobody_is_found():
+def test_work_for_another_organisation_or_without_a_call_is_found():
     fields = {names.ORGANISATION.decode(): "another"}
     other = an_arrival(fields=fields)
-    assert promises_broken(calls=[a_call()], arrivals=[other]) == {Promise.ALLOWED}
-    assert promises_broken(arrivals=[an_arrival()]) == {Promise.ALLOWED}
+    assert promises_broken(calls=[a_call()], arrivals=[other]) == {Promise.AUTHORISED}
+    assert promises_broken(arrivals=[an_arrival()]) == {Promise.AUTHORISED}
     model = an_arrival(fields={names.MODEL.decode(): "huge"})
-    assert promises_broken(calls=[a_call()], arrivals=[model]) == {Promise.ALLOWED}
+    assert promises_broken(calls=[a_call()], arrivals=[model]) == {Promise.AUTHORISED}
 
 
 def test_work_for_a_revoked_key_is_found_once_its_time_is_up():
@@ -121,23 +123,23 @@
     assert promises_broken(**run, revoked_s={KEY: 5.1}) == set()
 
 
-def left_at(at_s, kind=FaultKind.ENDPOINT_LEAVES):
-    return PlayedFault(kind, "i-0", at_s)
+def departure_at(at_s, kind=FaultKind.ENDPOINT_LEAVES):
+    return InjectedFault(kind, "i-0", at_s)
 
 
-@pytest.mark.parametrize("kind", sorted(LEAVES))
-def test_work_for_an_endpoint_that_has_left_is_found(kind):
+@pytest.mark.parametrize("kind", sorted(DEPARTURES))
+def test_work_for_a_departed_endpoint_is_found(kind):
     run = {"calls": [a_call()], "arrivals": [an_arrival()]}
-    assert promises_broken(**run, faults=[left_at(8.0, kind)]) == {Promise.DRAINED}
-    assert promises_broken(**run, faults=[left_at(8.2, kind)]) == set()
+    assert promises_broken(**run, faults=[departure_at(8.0, kind)]) == {Promise.DRAINED}
+    assert promises_broken(**run, faults=[departure_at(8.2, kind)]) == set()
 
 
-def test_a_gateway_that_is_turned_away_is_excused_only_where_nobody_can_tell_it():
+def test_a_gateway_that_the_log_refuses_is_excused_only_without_peers():
     run = {"arrivals": [an_arrival()]}
-    faults = [left_at(8.0), PlayedFault(FaultKind.LOG_TURNS_AWAY, 0, 7.0, 12.0)]
+    faults = [departure_at(8.0), InjectedFault(FaultKind.LOG_TURNS_AWAY, 0, 7.0, 12.0)]
     alone = [a_call()]
     others = [*alone, a_call(2, CallKind.LOOK, gateway=1, status=0, sent_s=3.0)]
-    paused = PlayedFault(FaultKind.PAUSE, 1, 7.0, 7.5)
+    paused = InjectedFault(FaultKind.PAUSE, 1, 7.0, 7.5)
     assert promises_broken(calls=alone, faults=faults, **run) == set()
     assert Promise.DRAINED in promises_broken(calls=others, faults=faults, **run)
     late = promises_broken(calls=others, faults=[*faults, paused], **run)
@@ -155,21 +157,19 @@
         (FaultKind.ENDPOINT_FAILS, "i-0", False),
     ],
 )
-def test_only_what_befell_the_gateway_itself_or_the_log_excuses_it(
-    kind, subject, excused
-):
-    fault = PlayedFault(kind, subject, 7.0, 7.5)
+def test_only_faults_of_the_gateway_or_the_log_excuse_it(kind, subject, excused):
+    fault = InjectedFault(kind, subject, 7.0, 7.5)
     found = promises_broken(
-        calls=[a_call()], arrivals=[an_arrival()], faults=[left_at(8.0), fault]
+        calls=[a_call()], arrivals=[an_arrival()], faults=[departure_at(8.0), fault]
     )
     assert found == (set() if excused else {Promise.DRAINED})
 
 
-def test_a_stall_of_this_machine_excuses_what_has_a_time():
+def test_a_stall_of_this_machine_excuses_time_limits():
     found = promises_broken(
         calls=[a_call()],
         arrivals=[an_arrival()],
-        faults=[left_at(8.0)],
+        faults=[departure_at(8.0)],
         stalls=[(9.0, 9.5)],
     )
     assert found == set()
@@ -177,9 +177,9 @@
 
 def test_work_in_a_zone_that_is_out_is_found():
     run = {"calls": [a_call()], "arrivals": [an_arrival()], "zone_of": {"i-0": "a"}}
-    out = PlayedFault(FaultKind.ZONE_OUT, "a", 5.0, 11.0)
+    out = InjectedFault(FaultKind.ZONE_OUT, "a", 5.0, 11.0)
     assert promises_broken(**run, faults=[out]) == {Promise.ZONE_OUT}
-    back = PlayedFault(FaultKind.ZONE_OUT, "a", 5.0, 10.0)
+    back = InjectedFault(FaultKind.ZONE_OUT, "a", 5.0, 10.0)
     assert promises_broken(**run, faults=[back]) == set()
 
 
@@ -196,7 +196,7 @@
 @pytest.mark.parametrize("ended", ["done", "cut"])
 def test_a_request_that_a_planned_stop_cut_is_found(ended):
     call = a_call(status=None, complete=False, closed=True, ended_s=12.0)
-    stop = PlayedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
+    stop = InjectedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
     run = {"calls": [call], "arrivals": [an_arrival(ended=ended)]}
     assert promises_broken(**run, faults=[stop]) == {Promise.STOPPED}
 
@@ -213,28 +213,28 @@
 )
 def test_only_another_fault_on_its_way_excuses_a_cut(kind, subject, excused):
     call = a_call(status=None, complete=False, closed=True, ended_s=12.0)
-    stop = PlayedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
-    other = PlayedFault(kind, subject, 11.5, 11.6)
+    stop = InjectedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
+    other = InjectedFault(kind, subject, 11.5, 11.6)
     found = promises_broken(calls=[call], arrivals=[an_arrival()], faults=[stop, other])
     assert found == (set() if excused else {Promise.STOPPED})
 
 
 def test_a_request_that_crossed_a_close_and_ran_nowhere_is_allowed():
     call = a_call(status=None, complete=False, closed=True, ended_s=12.0)
-    stop = PlayedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
+    stop = InjectedFault(FaultKind.TERMINATE, 0, 11.0, 13.0)
     assert promises_broken(calls=[call], faults=[stop]) == set()
 
 
 def test_a_fleet_that_serves_no_more_is_found():
     calls = [a_call(n, status=503) for n in range(30)]
-    found = promises_broken(calls=calls, settled_s=9.0)
+    found = promises_broken(calls=calls, recovered_s=9.0)
     assert found == {Promise.RECOVERED}
-    assert promises_broken(calls=calls, settled_s=11.0) == set()
+    assert promises_broken(calls=calls, recovered_s=11.0) == set()
 
 
 def test_processes_that_end_or_fail_are_found():
-    assert promises_broken(exits=["gateway-0"]) == {Promise.ALIVE}
-    assert promises_broken(faulty_lines=["Traceback"]) == {Promise.ALIVE}
+    assert promises_broken(exits=["gateway-0"]) == {Promise.NO_PROCESS_FAILED}
+    assert promises_broken(faulty_lines=["Traceback"]) == {Promise.NO_PROCESS_FAILED}
 
 
 def a_crash(number, at_s, ended="crashed"):
@@ -263,27 +263,27 @@
     early = [10.0, 10.1, 10.2, 12.0, 13.1]
     assert crashes_broken([*early, 20.0, 21.0, 22.0]) == set()
     assert crashes_broken([*early, 20.0, 21.0, 22.0, 23.0]) == {Promise.CRASHING}
-    frozen = PlayedFault(FaultKind.PAUSE, 0, 18.0, 19.0)
-    assert crashes_broken([*early, 20.0, 21.0, 23.0, 24.0], faults=[frozen]) == set()
+    paused = InjectedFault(FaultKind.PAUSE, 0, 18.0, 19.0)
+    assert crashes_broken([*early, 20.0, 21.0, 23.0, 24.0], faults=[paused]) == set()
 
 
-def test_a_held_request_that_crashes_nothing_is_found():
+def test_a_quarantined_request_without_crashes_is_found():
     """Guards against a caller losing a request for what another one did."""
-    held = a_call(status=503, body=b'{"reason":"request_quarantined"}')
-    found = [v.promise for v in check_crashes(SoakTrace(calls=[held]))]
-    assert found == [Promise.NOT_HELD]
-    bad = a_call(status=503, body=held.body, sent_body=CRASHING)
+    quarantined = a_call(status=503, body=b'{"reason":"request_quarantined"}')
+    found = [v.promise for v in check_crashes(SoakTrace(calls=[quarantined]))]
+    assert found == [Promise.NOT_QUARANTINED]
+    bad = a_call(status=503, body=quarantined.body, sent_body=CRASHING)
     crashing = frozenset({CRASHING})
     assert not list(check_crashes(SoakTrace(calls=[bad], crashing=crashing)))
 
 
-def limits_broken(per_s, gateways=2, told_s=0.1, **trace):
+def limits_broken(per_s, gateways=2, notified_s=0.1, **trace):
     """Send at an even pace to an endpoint that states its limit at 20 s."""
-    limited = PlayedFault(FaultKind.ENDPOINT_LIMITS, "i-0", 20.0, 30.0)
+    limited = InjectedFault(FaultKind.ENDPOINT_LIMITS, "i-0", 20.0, 30.0)
     calls, arrivals = [], []
     for number in range(int(12 * per_s)):
         at_s = 19.0 + number / per_s
-        times = {"sent_s": at_s, "ended_s": at_s + told_s}
+        times = {"sent_s": at_s, "ended_s": at_s + notified_s}
         calls.append(a_call(number, CallKind.LOOK, gateway=number % gateways, **times))
         arrivals.append(an_arrival(number, at_s=at_s))
     faults = [limited, *trace.pop("faults", [])]
@@ -296,7 +296,7 @@
     assert limits_broken(2.0 * LIMIT_OVERAGE) == set()
     assert limits_broken(6.0) == {Promise.LIMITED}
     # Answers that take nearly all the time have told nobody yet.
-    assert limits_broken(6.0, told_s=9.0) == set()
-    frozen = [PlayedFault(FaultKind.PAUSE, n, 22.0, 29.0) for n in (0, 1)]
-    assert limits_broken(6.0, faults=frozen) == set()
-    assert limits_broken(12.0, faults=frozen[:1]) == {Promise.LIMITED}
+    assert limits_broken(6.0, notified_s=9.0) == set()
+    paused = [InjectedFault(FaultKind.PAUSE, n, 22.0, 29.0) for n in (0, 1)]
+    assert limits_broken(6.0, faults=paused) == set()
+    assert limits_broken(12.0, faults=paused[:1]) == {Promise.LIMITED}
