--- a/acaciacove/soak/__init__.py
+++ b/acaciacove/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized runs of real processes under faults, judged from outside."""
+"""Randomised soak tests: gateway processes under faults, checked from outside."""
--- a/acaciacove/soak/addresses.py
+++ b/acaciacove/soak/addresses.py
@@ -1,4 +1,4 @@
-"""Loopback addresses of one soak, apart from those of another one beside it."""
+"""Loopback addresses of one soak, distinct from those of concurrent soaks."""
 
 from attrs import frozen
 
@@ -23,26 +23,26 @@
         return f"127.{self.block}.{net + more}.{place + 1}"
 
     def gateway(self, number: int) -> str:
-        """Return a gateway's own address."""
+        """Return the address that a gateway listens on."""
         return self._host(10, number)
 
     def log(self) -> str:
-        """Return the log's own address."""
+        """Return the address that the log listens on."""
         return self._host(1, 0)
 
     def log_for_gateway(self, number: int) -> str:
-        """Return the address at which one gateway finds the log."""
+        """Return the proxy address through which one gateway reaches the log."""
         return self._host(20, number)
 
     def endpoint(self, number: int) -> str:
-        """Return an endpoint's own address."""
+        """Return the address that an endpoint listens on."""
         return self._host(30, number)
 
     def advertised_endpoint(self, number: int) -> str:
-        """Return the address at which gateways find an endpoint."""
+        """Return the proxy address through which gateways reach an endpoint."""
         return self._host(60, number)
 
 
 def addresses_of(process_id: int) -> Addresses:
-    """Return the addresses of the soak that runs in a process."""
+    """Return the addresses for the soak that runs in the process with this id."""
     return Addresses(FIRST_BLOCK + process_id % BLOCKS)
--- a/acaciacove/soak/bounds.py
+++ b/acaciacove/soak/bounds.py
@@ -1,4 +1,4 @@
-"""Bounds that a soak's operator sets: gateways are told them, checks hold to them."""
+"""Bounds of a soak: gateways are configured with them or checked against them."""
 
 REVOCATION_S = 5.0
 DRAIN_S = 2.0
@@ -11,7 +11,8 @@
 LIMIT_WINDOW_S = 4.0
 LIMIT_OVERAGE = 1.5
 LIMIT_EXTRA = 5
-# What a gateway sends later than this after it got an answer counts as told.
+# A gateway counts as informed of a limit this long after its first answer from the
+# endpoint; what it sends before that is not counted.
 LIMIT_NOTICE_S = 0.5
 RETRY_RATIO = 0.2
 RETRY_EXTRA = 10.0
--- a/acaciacove/soak/call_kind.py
+++ b/acaciacove/soak/call_kind.py
@@ -1,4 +1,4 @@
-"""Kinds of requests that a soak's callers send."""
+"""Kinds of requests sent by the callers of a soak."""
 
 from enum import StrEnum
 
@@ -11,5 +11,5 @@
     DRAFT = "draft"
 
 
-# What may run at most once for each request.
+# Requests of these kinds may run at most once.
 AT_MOST_ONCE_KINDS = frozenset({CallKind.BOOK})
--- a/acaciacove/soak/call_record.py
+++ b/acaciacove/soak/call_record.py
@@ -1,4 +1,4 @@
-"""What a caller sent, and what it saw."""
+"""Record of one request and of the answer that its caller received."""
 
 from attrs import define
 
@@ -7,11 +7,12 @@
 
 @define(eq=False)
 class CallRecord:
-    """One request. Times are of the soak's loop.
+    """One request. Times are those of the soak's event loop.
 
-    ``sent_body`` is what the caller sent, ``body`` what it got.
-    ``status`` is None while no answer came; ``complete`` tells that the answer's
-    framing was whole. ``closed`` is set if the connection ended before that.
+    ``sent_body`` is what the caller sent, ``body`` what it received.
+    ``status`` is None while no answer came; ``complete`` is set when the
+    answer was received up to the end of its framing. ``closed`` is set if the
+    connection ended before that.
     """
 
     request_id: str
--- a/acaciacove/soak/check_answers.py
+++ b/acaciacove/soak/check_answers.py
@@ -1,4 +1,4 @@
-"""What callers may see: at most once, truth, wholeness, permission."""
+"""Checks answers: run at most once, truthful status, complete, authorised."""
 
 import re
 from collections.abc import Iterator
@@ -18,7 +18,7 @@
 
 
 def check_answers(trace: SoakTrace) -> Iterator[Violation]:
-    """Yield what callers and endpoints should not have seen."""
+    """Yield the broken promises about answers, and about arrivals at endpoints."""
     runs = trace.runs()
     for call in trace.calls:
         own = runs.get(call.request_id, [])
--- a/acaciacove/soak/check_crashes.py
+++ b/acaciacove/soak/check_crashes.py
@@ -1,4 +1,4 @@
-"""What requests that crash endpoints may do, and others beside them."""
+"""Checks that exactly the requests that crash endpoints are quarantined."""
 
 from collections.abc import Iterator
 
@@ -11,7 +11,7 @@
 
 
 def check_crashes(trace: SoakTrace) -> Iterator[Violation]:
-    """Yield requests that crashed endpoints for too long, and others held back."""
+    """Yield crashing requests sent too often, and others wrongly quarantined."""
     for body in sorted(trace.crashing):
         yield from _check_attempts(trace, body)
     for call in trace.calls:
--- a/acaciacove/soak/check_limits.py
+++ b/acaciacove/soak/check_limits.py
@@ -1,4 +1,4 @@
-"""What endpoints get that state a limit."""
+"""Checks the request rate at endpoints that state a limit."""
 
 from collections.abc import Iterator
 
@@ -19,7 +19,7 @@
 
 
 def check_limits(trace: SoakTrace) -> Iterator[Violation]:
-    """Yield endpoints that got more than they stated."""
+    """Yield endpoints that received more requests than their stated limit."""
     for fault in trace.faults:
         if fault.kind is FaultKind.ENDPOINT_LIMITS:
             yield from _check_limit(trace, fault)
@@ -54,7 +54,7 @@
 def _arrivals_while_limited(
     trace: SoakTrace, limited: InjectedFault
 ) -> list[EndpointArrival]:
-    """Return what reached the endpoint while it stated its limit, in order."""
+    """Return the endpoint's arrivals while it stated its limit, in order of time."""
     return sorted(
         (
             arrival
--- a/acaciacove/soak/check_operations.py
+++ b/acaciacove/soak/check_operations.py
@@ -1,4 +1,4 @@
-"""What operators may rely on: drains, zones, budgets, stops, recovery."""
+"""Checks operations: drains, zones, retry budget, planned stops, recovery."""
 
 from bisect import bisect_right
 from collections import defaultdict
@@ -19,12 +19,12 @@
 from acaciacove.soak.violation import Promise, Violation
 
 MIN_SERVED_SHARE = 0.25
-# Fewer requests after all is back say nothing of a share.
+# With fewer requests after recovery, the served share is not significant.
 MIN_CALLS_AFTER_RECOVERY = 20
 
 
 def check_operations(trace: SoakTrace) -> Iterator[Violation]:
-    """Yield what the fleet as a whole should not have done."""
+    """Yield the broken promises about the fleet's operation."""
     yield from _check_departures(trace)
     yield from _check_zones(trace)
     yield from _check_budget(trace)
@@ -70,7 +70,10 @@
 
 
 def _check_budget(trace: SoakTrace) -> Iterator[Violation]:
-    """Compare repeats with the requests of the best of three windows."""
+    """Compare repeats with requests in the most favourable of three windows.
+
+    The windows end at the repeat, half a window earlier and one window earlier.
+    """
     sent: dict[str, list[float]] = defaultdict(list)
     repeated: dict[str, list[float]] = defaultdict(list)
     calls = trace.by_id()
@@ -95,16 +98,16 @@
 
 
 def _count_in_window(moments: list[float], until_s: float) -> int:
-    """Count sorted moments in the window that ends then."""
+    """Count the sorted moments in the window that ends at ``until_s``."""
     begin = bisect_right(moments, until_s - RETRY_WINDOW_S)
     return bisect_right(moments, until_s) - begin
 
 
 def _check_stops(trace: SoakTrace) -> Iterator[Violation]:
-    """Look at requests that a stopping gateway had passed on.
+    """Check requests that a stopping gateway had forwarded.
 
-    One that crossed the closing of an idle connection has run nowhere, and may be
-    sent again.
+    A request that was sent while the gateway closed the idle connection has run
+    nowhere, and may be sent again.
     """
     runs = trace.runs()
     stops = [fault for fault in trace.faults if fault.kind is FaultKind.TERMINATE]
@@ -125,7 +128,10 @@
 def _has_other_cause(
     trace: SoakTrace, stop: InjectedFault, call: CallRecord, instances: set[str]
 ) -> bool:
-    """Tell whether something else may have cut a request: its gateway or endpoint."""
+    """Return whether a stall or another fault may have cut the request.
+
+    Only faults of its gateway or of an endpoint that ran it count.
+    """
     if any(a < call.ended_s and b > call.sent_s for a, b in trace.stalls):
         return True
     return any(
--- a/acaciacove/soak/fault_kind.py
+++ b/acaciacove/soak/fault_kind.py
@@ -1,10 +1,10 @@
-"""Faults that a soak injects from outside the processes."""
+"""Kinds of faults that a soak injects from outside the gateway processes."""
 
 from enum import StrEnum
 
 
 class FaultKind(StrEnum):
-    """What happens; the comment tells what its target is."""
+    """Kind of a fault; the comment above each group names its target."""
 
     # A gateway, by its number.
     TERMINATE = "terminate"
@@ -15,9 +15,10 @@
     LOG_RESET = "log_reset"
     LOG_SILENT = "log_silent"
     LOG_MUTE = "log_mute"
-    # The log refuses the gateway that last read of endpoints, and serves the others.
+    # The log refuses the gateway that last read the endpoints' stream, and serves the
+    # others.
     LOG_TURNS_AWAY = "log_turns_away"
-    # The log, for everybody.
+    # The log, for all gateways.
     LOG_AWAY = "log_away"
     LOG_REFUSES = "log_refuses"
     LOG_FORGETS = "log_forgets"
@@ -30,16 +31,17 @@
     # An endpoint, by its number.
     ENDPOINT_CRASHES = "endpoint_crashes"
     ENDPOINT_LEAVES = "endpoint_leaves"
-    # The same without a word: its entry is removed, and it serves on for a while.
+    # As before, but unannounced: the entry is removed at once, and the endpoint
+    # serves on for a while.
     ENDPOINT_REMOVED = "endpoint_removed"
     ENDPOINT_FAILS = "endpoint_fails"
     ENDPOINT_FULL = "endpoint_full"
     ENDPOINT_LIMITS = "endpoint_limits"
     ENDPOINT_LOSES_ANSWERS = "endpoint_loses_answers"
     ENDPOINT_CUTS = "endpoint_cuts"
-    # A request that crashes endpoints; callers send it until the end of the run.
+    # A request that crashes endpoints. Callers send it until the end of the run.
     REQUEST_CRASHES = "request_crashes"
-    # What an operator does; the target is drawn from what there is.
+    # Actions of an operator. The target is chosen among the existing keys or zones.
     KEY_REVOKED = "key_revoked"
     ZONE_OUT = "zone_out"
 
@@ -64,9 +66,9 @@
 )
 DELAYING = frozenset({FaultKind.LOG_DELAYED, FaultKind.ENDPOINT_DELAYED})
 RESETTING = frozenset({FaultKind.LOG_RESET, FaultKind.ENDPOINT_RESET})
-# Bytes towards the server are swallowed; of the other faults of a link, its answers.
+# Bytes towards the server are discarded. The mute faults discard those from it.
 SILENCING = frozenset({FaultKind.LOG_SILENT, FaultKind.ENDPOINT_SILENT})
-# Faults that end by themselves: nothing has to be undone after a time.
+# Faults without a duration: nothing has to be undone later.
 INSTANTANEOUS = frozenset(
     {
         FaultKind.KILL,
--- a/acaciacove/soak/fault_plan.py
+++ b/acaciacove/soak/fault_plan.py
@@ -1,4 +1,4 @@
-"""Draws the faults of a soak: a pure function of its settings."""
+"""Draws the fault plan of a soak, as a pure function of its settings."""
 
 from random import Random
 
@@ -6,38 +6,40 @@
 from acaciacove.soak.fault_kind import DEPARTURES, LOG_FAULTS, FaultKind
 from acaciacove.soak.planned_fault import PlannedFault
 
-# Faults begin once the fleet serves, and end in time for it to serve again.
+# Faults start once the fleet serves, and end early enough for it to recover.
 FIRST_FAULT_S = 2.0
 FAULTS_END_SHARE = 0.65
 MEAN_GAP_S = 0.8
 MIN_DURATION_S = 0.5
 MAX_DURATION_S = 5.0
-# Gateways that miss a revocation: they are kept from the log for longer than a key is
-# honoured without a proof, and the key is taken away right after that begins.
+# Gateways that miss a revocation: their access to the log fails for longer than they
+# accept a key without confirmation, and the key is revoked just after the start.
 LOG_OUTAGES = (FaultKind.LOG_AWAY, FaultKind.LOG_SILENT, FaultKind.LOG_MUTE)
 MISSED_REVOCATION_SHARE = 0.3
 MISSED_REVOCATION_OUTAGE_S = 9.0
 REVOCATION_AFTER_OUTAGE_START_S = 0.3
-# Long enough for all to know of a limit, and for windows in which it must hold.
+# Long enough for all gateways to learn of the limit, and for whole windows in which
+# it must hold afterwards.
 LIMIT_DURATION_S = 10.0
-# Leaves come right after one gateway's calls to the log began to fail, or as soon after
-# an outage as gateways are held to their bounds again.
+# Departures come right after one gateway's calls to the log began to fail, or as soon
+# after an outage as the time limits apply to gateways again.
 DEPARTURE_INTERVAL_S = (2.0, 5.0)
 LOG_REFUSAL_SHARE = 0.6
 LOG_REFUSAL_LEAD_S = (0.1, 0.9)
 AFTER_OUTAGE_SHARE = 0.2
 OUTAGE_DURATION_S = (2.5, 5.0)
 DEPARTURE_AFTER_OUTAGE_S = (3.05, 3.5)
-# One plan of so many leaves the log alone but for that: away, it excuses all gateways.
+# One in so many plans has no faults of the log except those before departures: an
+# outage of the log excuses all gateways from their time limits.
 NO_LOG_FAULTS_EVERY = 3
-# Restarts come in series, each shortly after the one before, and overlap with others.
+# Some restarts come in series, at short intervals, and overlap with other faults.
 RESTART_SERIES_SHARE = 0.2
 RESTART_SERIES_LENGTH = 3
 RESTART_SERIES_INTERVAL_S = 0.7
 
 
 DrawnFault = tuple[float, FaultKind, int, float]
-# Leaves without a word, and what stands beside them, are drawn for themselves.
+# Unannounced departures and the log's refusals before them are drawn separately.
 DRAWN_KINDS = [
     kind
     for kind in FaultKind
@@ -46,7 +48,7 @@
 
 
 def plan_faults(settings: SoakSettings) -> tuple[PlannedFault, ...]:
-    """Return the faults in order of time, without those that settings leave out."""
+    """Return the faults in order of time, restricted to ``settings.only`` if set."""
     random = Random(settings.seed)
     last_s = FAULTS_END_SHARE * settings.seconds
     at_s = FIRST_FAULT_S
@@ -86,7 +88,7 @@
 
 
 def _draw_departures(random: Random, last_s: float) -> list[DrawnFault]:
-    """Draw leaves with what comes before each, apart from a plan's other faults."""
+    """Draw departures, each with the fault before it, from a generator of their own."""
     drawn: list[DrawnFault] = []
     at_s = FIRST_FAULT_S + random.uniform(*DEPARTURE_INTERVAL_S)
     while at_s < last_s:
@@ -98,7 +100,7 @@
 
 
 def _draw_preceding_faults(random: Random, at_s: float) -> list[DrawnFault]:
-    """Draw what comes before a leave: failing calls, an outage, or nothing."""
+    """Draw the fault before a departure: refused calls, an outage of the log, or none."""
     share = random.random()
     if share < LOG_REFUSAL_SHARE:
         begin_s = at_s - random.uniform(*LOG_REFUSAL_LEAD_S)
--- a/acaciacove/soak/gateway_process.py
+++ b/acaciacove/soak/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway as a process of its own, as it is deployed."""
+"""One gateway in a separate process, started as in a deployment."""
 
 import asyncio
 import os
@@ -17,9 +17,9 @@
 
 @define(eq=False)
 class GatewayProcess:
-    """Starts, signals and ends the process; its lines go to a file of its own.
+    """Starts, signals and stops the process, and writes its output to a log file.
 
-    ``is_stop_expected`` tells that the soak itself has ended or stopped it.
+    ``is_stop_expected`` is set when the soak itself has killed or stopped it.
     """
 
     settings: GatewaySettings
@@ -31,11 +31,11 @@
 
     @property
     def log_path(self) -> Path:
-        """Where the process's lines are kept, over all its lives."""
+        """Path of the log file, which is kept across restarts."""
         return self.folder / f"{self.settings.name}.log"
 
     async def start(self) -> None:
-        """Start it anew."""
+        """Start a new process with these settings."""
         path = self.folder / f"{self.settings.name}.conf"
         path.write_text(write_node_file(self.settings), encoding="utf-8")
         environment = os.environ | {NODE_FILE_VARIABLE: str(path)}
@@ -58,24 +58,24 @@
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has been started and has not ended."""
+        """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
     def send(self, number: signal.Signals) -> None:
-        """Signal this one process; nothing happens if it has ended."""
+        """Send a signal to the process; do nothing if it has exited."""
         if self.is_running:
             assert self.process is not None
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End it at once and wait for its end."""
+        """Kill the process and wait until it has exited."""
         self.is_stop_expected = True
         self.send(signal.SIGKILL)
         if self._exit_task is not None:
             await self._exit_task
 
     async def terminate(self, grace_s: float) -> None:
-        """Stop it as the platform does: SIGTERM, and SIGKILL after the grace."""
+        """Stop it as the platform does: SIGTERM, then SIGKILL after the grace period."""
         self.is_stop_expected = True
         self.send(signal.SIGTERM)
         assert self._exit_task is not None
--- a/acaciacove/soak/inject_faults.py
+++ b/acaciacove/soak/inject_faults.py
@@ -1,4 +1,4 @@
-"""Plays the faults of a plan on a running soak."""
+"""Injects the faults of a plan into a running soak."""
 
 import asyncio
 import signal
@@ -27,7 +27,7 @@
 RESTART_S = 0.3
 LOST_ANSWERS = 5
 EVENTS_BEFORE_CUT = 2
-# How long an endpoint that has said that it leaves goes on serving.
+# How long an endpoint goes on serving after its departure.
 DEPARTING_SERVES_S = 3.0
 DEPARTURE_RETRY_S = 0.1
 MIN_KEYS = 3
@@ -36,7 +36,7 @@
 async def inject_faults(
     environment: SoakEnvironment, plan: Sequence[PlannedFault]
 ) -> None:
-    """Play all faults, each in a task of its own, until the last is undone."""
+    """Inject all faults, each in its own task; return once the last is undone."""
     began_s = asyncio.get_running_loop().time()
     async with asyncio.TaskGroup() as tasks:
         for fault in plan:
@@ -73,7 +73,7 @@
     subject: int | str,
     undo: Callable[[], None],
 ) -> None:
-    """Keep a fault in the record while it lasts, then undo it."""
+    """Record a fault, wait for its duration, then undo it."""
     loop = asyncio.get_running_loop()
     injected = InjectedFault(fault.kind, subject, loop.time())
     environment.faults.append(injected)
@@ -131,7 +131,7 @@
     def undo() -> None:
         state.delay_s = 0.0
         if state.up_silent or state.down_silent:
-            # Bytes are missing from what goes on: no connection may survive that.
+            # The discarded bytes are missing: no connection may be used further.
             state.up_silent = state.down_silent = False
             link.reset()
 
@@ -141,7 +141,7 @@
 async def _refuse_last_reader(
     environment: SoakEnvironment, fault: PlannedFault
 ) -> None:
-    """Turn away the gateway that last read the endpoints' stream."""
+    """Have the log refuse the gateway that last read the endpoints' stream."""
     store = environment.fleet.store
     name = store.last_readers.get(ENDPOINTS)
     names = [gateway.settings.name for gateway in environment.gateways]
@@ -182,7 +182,7 @@
 
 
 def _add_crashing_request(environment: SoakEnvironment, fault: PlannedFault) -> None:
-    """Have callers send a request that ends each endpoint that begins to run it."""
+    """Have callers send a request that crashes each endpoint that starts to run it."""
     body = f"crash-{fault.number}".encode()
     environment.crashing[body] = environment.keys[fault.target % len(environment.keys)]
     now_s = asyncio.get_running_loop().time()
@@ -257,7 +257,7 @@
 
 
 def _restore(behaviour: EndpointBehaviour) -> None:
-    """End what lasts; answers that are to be lost are counted down by themselves."""
+    """Undo lasting misbehaviour. The count of answers to lose runs down by itself."""
     behaviour.failing = behaviour.full = False
     behaviour.cut_after = None
 
@@ -274,7 +274,7 @@
 async def _crash(
     environment: SoakEnvironment, fault: PlannedFault, instance: str
 ) -> None:
-    """Replace an endpoint without a word by one with another name."""
+    """Crash an endpoint unannounced, and start a replacement with another name."""
     service = environment.servers[instance].report.service
     loop = asyncio.get_running_loop()
     environment.faults.append(
@@ -287,11 +287,11 @@
 async def _depart(
     environment: SoakEnvironment, fault: PlannedFault, instance: str
 ) -> None:
-    """Let an endpoint leave as planned, after another has taken its place."""
+    """Drain or deregister an endpoint, after its replacement has been started."""
     if environment.servers[instance].report.draining:
         return
     await environment.add_endpoint(environment.servers[instance].report.service)
-    # An endpoint says nothing while the log is away, and leaves once it was heard.
+    # While the log is unavailable the departure cannot be written, so it is retried.
     while not environment.depart(
         instance, is_announced=fault.kind is FaultKind.ENDPOINT_LEAVES
     ):
--- a/acaciacove/soak/injected_fault.py
+++ b/acaciacove/soak/injected_fault.py
@@ -1,4 +1,4 @@
-"""A fault as it was played, for the checks."""
+"""Record of an injected fault, for the checks."""
 
 from attrs import define
 
@@ -7,9 +7,10 @@
 
 @define(eq=False)
 class InjectedFault:
-    """``subject`` is the number of a gateway, or the name of what was met.
+    """One fault, with the time span during which it was in effect.
 
-    ``until_s`` is infinite until the fault is undone.
+    ``subject`` is the number of a gateway, or names the endpoint, zone, key, request
+    body or log that the fault applied to. ``until_s`` is infinite until the fault is undone.
     """
 
     kind: FaultKind
--- a/acaciacove/soak/planned_fault.py
+++ b/acaciacove/soak/planned_fault.py
@@ -7,9 +7,9 @@
 
 @frozen
 class PlannedFault:
-    """``kind`` befalls ``target`` at ``at_s`` of the run, for ``for_s``.
+    """A fault of ``target`` that starts at ``at_s`` of the run and lasts ``for_s``.
 
-    ``number`` is its place in the plan, by which it can be left out of a replay.
+    ``number`` is its position in the plan. A replay selects faults by it.
     """
 
     number: int
--- a/acaciacove/soak/proxy.py
+++ b/acaciacove/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that delays, swallows and resets."""
+"""A loopback proxy that delays or discards bytes and resets connections."""
 
 import asyncio
 import socket
@@ -12,10 +12,10 @@
 
 
 class Proxy:
-    """Forwards connections of one address to another, as ``state`` says."""
+    """Forwards connections of one address to another, with the faults in ``state``."""
 
     def __init__(self, address: tuple[str, int], target: tuple[str, int]) -> None:
-        """Forward from ``address`` to ``target`` once opened."""
+        """Configure forwarding from ``address`` to ``target``, started by ``open``."""
         self.state = LinkState()
         self._address = address
         self._target = target
@@ -23,20 +23,20 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        """Listen."""
+        """Start to listen for connections."""
         self._server = await asyncio.start_server(self._forward, *self._address)
 
     def reset(self) -> None:
         """Reset every connection."""
         for writer in list(self._writers):
             if not writer.is_closing():
-                # Closed without lingering, a socket sends a reset in place of its end.
+                # With a linger time of 0, close sends RST instead of FIN.
                 side = writer.get_extra_info("socket")
                 side.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ZERO_LINGER)
             writer.transport.abort()
 
     def close(self) -> None:
-        """Listen no more, and reset what is open."""
+        """Stop listening, and reset the open connections."""
         if self._server is not None:
             self._server.close()
         self.reset()
@@ -57,7 +57,7 @@
                 self._copy(target_reader, writer, lambda: self.state.down_silent),
             )
         except OSError:
-            # One side is gone: the other learns it by the reset below.
+            # One side has closed its connection: the other is aborted below.
             pass
         finally:
             self._writers -= pair
--- a/acaciacove/soak/run_soak.py
+++ b/acaciacove/soak/run_soak.py
@@ -1,4 +1,4 @@
-"""Runs one soak from its plan to its report."""
+"""Runs one soak: draws the plan, injects the faults, checks and reports."""
 
 import asyncio
 from collections import Counter
@@ -21,17 +21,17 @@
 from acaciacove.soak.soak_report import SoakReport
 from acaciacove.soak.soak_trace import SoakTrace
 
-# The balancer asks once a second, and two misses take a gateway out.
+# The load balancer probes once a second, and removes a gateway after two failures.
 PROBE_INTERVAL_S = 1.0
 PROBE_TIMEOUT_S = 0.9
 START_TIMEOUT_S = 60.0
-# After the last fault is undone the fleet has this long to serve again.
+# Time for the fleet to serve again after the last fault is undone.
 RECOVERY_S = 5.0
 READINESS = b"GET /-/readiness HTTP/1.1\r\nHost: g\r\nConnection: close\r\n\r\n"
 
 
 async def run_soak(settings: SoakSettings) -> SoakReport:
-    """Play the plan of these settings and check what was seen."""
+    """Run the fault plan of these settings and check the recorded trace."""
     plan = plan_faults(settings)
     folder = _folder(settings)
     environment = SoakEnvironment(settings, folder)
@@ -64,7 +64,7 @@
 async def _run_callers(
     environment: SoakEnvironment, plan: tuple[PlannedFault, ...]
 ) -> float:
-    """Let callers call under the plan; returns when the fleet had recovered."""
+    """Run callers and faults; return the time by which the fleet should serve again."""
     loop = asyncio.get_running_loop()
     until_s = loop.time() + environment.settings.seconds
     callers = [
@@ -83,7 +83,7 @@
 
 
 async def _probe_readiness(environment: SoakEnvironment) -> None:
-    """Keep to the gateways that say they are ready, as the platform does."""
+    """Track which gateways report readiness, as the platform does."""
     while True:
         await asyncio.gather(
             *(_probe_gateway(environment, n) for n in range(len(environment.gateways))),
@@ -103,7 +103,7 @@
             finally:
                 writer.transport.abort()
     except (OSError, TimeoutError):
-        # Not reached is not ready.
+        # A gateway that cannot be reached is not ready.
         status = 0
     if status == 200:
         environment.ready.add(number)
@@ -112,7 +112,7 @@
 
 
 def _status(line: bytes) -> int:
-    """Read a status line; 0 where it is none."""
+    """Return the status code of a status line, or 0 if the line is invalid."""
     parts = line.split()
     return int(parts[1]) if len(parts) > 1 and parts[1].isdigit() else 0
 
@@ -160,7 +160,7 @@
 
 
 def _faulty_lines(folder: Path) -> list[str]:
-    """Return log lines that tell of a fault, and tracebacks."""
+    """Return the log lines with a fault event or a traceback."""
     marks = (f'"event":"{Event.FAULT.value}"', "Traceback")
     return [
         f"{path.name}: {line[:300]}"
--- a/acaciacove/soak/shorten_plan.py
+++ b/acaciacove/soak/shorten_plan.py
@@ -1,18 +1,19 @@
-"""Finds few faults of a plan that still break a promise."""
+"""Reduces a plan to a small set of faults that still breaks a promise."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
-# Runs differ in time: a part of a plan counts as harmless only after this many.
+# Timing differs between runs: a subset counts as harmless only after this many runs.
 RUNS_PER_SUBSET = 2
 
 IsBroken = Callable[[Sequence[int]], Awaitable[bool]]
 
 
 async def shorten_plan(numbers: Sequence[int], is_broken: IsBroken) -> list[int]:
-    """Return few of these faults that still break a promise together.
+    """Return a small subset of these faults that still breaks a promise.
 
-    Halves are left out as long as what remains still breaks one, then quarters, down
-    to single faults; without any of those that are left, nothing was broken.
+    Delta debugging: halves are removed as long as the rest still breaks a promise,
+    then quarters, down to single faults. At the end no single remaining fault could
+    be removed: without any one of them no promise was broken.
     """
     kept = list(numbers)
     size = len(kept) // 2
--- a/acaciacove/soak/soak_caller.py
+++ b/acaciacove/soak/soak_caller.py
@@ -1,4 +1,4 @@
-"""Callers of a soak, who keep what they saw."""
+"""Callers of a soak, which record each request and its answer."""
 
 import asyncio
 from random import Random
@@ -13,23 +13,23 @@
 from acaciacove.soak.soak_environment import SoakEnvironment
 
 DEADLINE_S = 3.0
-# What a caller waits beyond its deadline before it gives up on an answer.
+# How long a caller waits for an answer beyond its deadline.
 ANSWER_GRACE_S = 1.0
 CONNECT_TIMEOUT_S = 1.0
 MEAN_THINK_TIME_S = 0.08
-# Some callers go on with a key that was taken away.
+# Share of calls that use a revoked key.
 REVOKED_SHARE = 0.15
-# Calls that are one more of a request that crashes endpoints.
+# Share of calls that repeat a request that crashes endpoints.
 CRASHING_SHARE = 0.1
 READ_BYTES = 65_536
 MS = 1000.0
 
 
 class SoakCaller:
-    """Sends one request after another, on a kept connection while there is one."""
+    """Sends one request after another, on a persistent connection if it has one."""
 
     def __init__(self, number: int, environment: SoakEnvironment) -> None:
-        """Begin without a connection."""
+        """Start without a connection."""
         self._number = number
         self._environment = environment
         self._random = Random(f"{environment.settings.seed}/caller/{number}")
@@ -63,7 +63,7 @@
                     host, FRONT_PORT
                 )
         except (OSError, TimeoutError):
-            # Nothing was sent: there is nothing to check.
+            # Nothing was sent, so there is nothing to record for the checks.
             return False
         return True
 
@@ -84,7 +84,7 @@
                 self._send(call)
                 await self._read(call)
         except TimeoutError:
-            # No answer in time; the record says so by its missing status.
+            # No complete answer in time: ``complete`` stays unset in the record.
             self._disconnect()
         except (OSError, h11.RemoteProtocolError):
             call.closed = True
@@ -105,7 +105,7 @@
         return self._random.choice(self._environment.keys or list(KEYS))
 
     def _make_crashing(self, call: CallRecord) -> None:
-        """Make of some calls one more of a request that crashes endpoints."""
+        """Turn some calls into repeats of a request that crashes endpoints."""
         crashing = list(self._environment.crashing.items())
         if not crashing or self._random.random() >= CRASHING_SHARE:
             return
--- a/acaciacove/soak/soak_catalogue.py
+++ b/acaciacove/soak/soak_catalogue.py
@@ -1,4 +1,4 @@
-"""The catalogue that a soak's operator publishes."""
+"""The catalogue published in a soak."""
 
 from collections.abc import Iterable
 
@@ -19,12 +19,12 @@
 
 
 def organisation_of(key: str) -> str:
-    """Return the organisation that holds a key."""
+    """Return the organisation that owns a key."""
     return f"org-of-{key}"
 
 
 def service_of(kind: CallKind) -> str:
-    """Return the service that a kind of request goes to."""
+    """Return the service that requests of this kind are routed to."""
     return MODEL if kind is CallKind.DRAFT else APP
 
 
--- a/acaciacove/soak/soak_environment.py
+++ b/acaciacove/soak/soak_environment.py
@@ -1,4 +1,4 @@
-"""Everything that a soak runs, and what it has seen."""
+"""Processes, servers and links of a soak, and the record of the run."""
 
 import asyncio
 import os
@@ -39,21 +39,21 @@
 from acaciacove.standins.gateway_fleet import BACK_S, ENDPOINTS, GatewayFleet
 
 ZONES = ("a", "b", "c")
-# Entries lapse after so many heartbeats that did not reach the log.
+# Entries expire after so many heartbeats that did not reach the log.
 EXPIRY_HEARTBEATS = 3
 HEARTBEAT_STEP_S = 0.1
-# The loop looks at its own clock this often; what is late by more is a stall of the
-# machine, in which times of the soak mean nothing.
+# The loop checks its clock at this interval. A delay beyond STALL_S is a stall of the
+# machine, during which the soak's time measurements are not valid.
 STALL_STEP_S = 0.05
 STALL_S = 0.25
 
 
 @define(eq=False)
 class SoakEnvironment:
-    """The stand-in platform, gateways, their links, and the record of the run.
+    """The simulated platform, the gateways, their links, and the record of the run.
 
-    ``crashing`` are bodies of requests that end what runs them, with the keys that
-    callers send them with.
+    ``crashing`` maps the bodies of requests that crash the endpoint that runs them to
+    the API keys that callers send them with.
     """
 
     settings: SoakSettings
@@ -79,11 +79,11 @@
     _restarts: set[asyncio.Task[None]] = field(factory=set)
 
     def __attrs_post_init__(self) -> None:
-        """Make what depends on the settings."""
+        """Create the fleet, whose address depends on ``addresses``."""
         self.fleet = GatewayFleet(store_host=self.addresses.log())
 
     async def open(self) -> None:
-        """Start log, endpoints and gateways."""
+        """Start the log, the endpoints and the gateways."""
         await self.fleet.open()
         self.publish()
         for number in range(self.settings.endpoints):
@@ -92,12 +92,12 @@
             await self._add_gateway(number)
 
     def publish(self) -> None:
-        """Put a catalogue with the keys of now in force."""
+        """Publish a new version of the catalogue with the currently valid keys."""
         self.versions += 1
         self.fleet.publish(soak_catalogue(self.versions, self.keys))
 
     async def add_endpoint(self, service: str) -> None:
-        """Start an endpoint with a new name behind a link of its own."""
+        """Start an endpoint with a new name behind its own proxy."""
         number = self._endpoints_started
         self._endpoints_started += 1
         report = EndpointReport(
@@ -133,7 +133,7 @@
         self._last_heartbeats_s[report.instance] = asyncio.get_running_loop().time()
 
     def _crash_on_request(self, instance: str) -> None:
-        """End an endpoint; another takes its place after a while."""
+        """Crash an endpoint, and start a replacement after ``BACK_S``."""
         server = self.servers.get(instance)
         if server is None:
             return
@@ -152,7 +152,7 @@
         await self.add_endpoint(service)
 
     def remove_endpoint(self, instance: str) -> None:
-        """End an endpoint with its connections; its record goes, too."""
+        """Stop an endpoint, close its connections and remove its entry."""
         if self.servers.pop(instance, None) is None:
             return
         self._last_heartbeats_s.pop(instance, None)
@@ -161,7 +161,10 @@
         self.endpoint_links.pop(instance).close()
 
     def depart(self, instance: str, is_announced: bool) -> bool:
-        """Have an endpoint's entry say that it leaves, or be removed; True if done."""
+        """Mark an endpoint's entry as draining, or remove the entry.
+
+        Return False if the log is unavailable, so that nothing was written.
+        """
         if self.fleet.store.down is not None:
             return False
         server = self.servers.get(instance)
@@ -209,7 +212,7 @@
         )
 
     async def send_heartbeats(self) -> None:
-        """Keep endpoints' entries in the log while heartbeats reach it.
+        """Renew endpoints' entries while heartbeats reach the log, and expire others.
 
         A heartbeat writes no record unless the entry is missing.
         """
@@ -235,7 +238,7 @@
             store.append(ENDPOINTS, instance, b"")
 
     async def watch_stalls(self) -> None:
-        """Note when this process itself was held up, until cancelled."""
+        """Record stalls of this process, until cancelled."""
         loop = asyncio.get_running_loop()
         while True:
             before_s = loop.time()
@@ -244,7 +247,7 @@
                 self.stalls.append((before_s, loop.time()))
 
     async def close(self) -> None:
-        """End the processes that this soak started, and its own servers."""
+        """Kill the gateway processes that this soak started, and close its servers."""
         await asyncio.gather(*(gateway.kill() for gateway in self.gateways))
         for link in [*self.log_links, *self.endpoint_links.values()]:
             link.close()
--- a/acaciacove/soak/soak_report.py
+++ b/acaciacove/soak/soak_report.py
@@ -1,4 +1,4 @@
-"""What a soak found."""
+"""Result of a soak."""
 
 from collections import Counter
 
@@ -11,9 +11,10 @@
 
 @frozen
 class SoakReport:
-    """Counts of a run, and the promises that it saw broken.
+    """Counts of a run, and the promises that were broken in it.
 
-    ``answers`` counts calls by status, "none" without one.
+    ``answers`` counts calls by status; calls without an answer count as "none".
+    ``served_after_recovery`` is the number of calls served and sent.
     """
 
     plan: tuple[PlannedFault, ...]
@@ -26,7 +27,7 @@
     log_folder: str
 
     def text(self) -> str:
-        """Return the report as lines for a person."""
+        """Return the report as human-readable lines."""
         served, sent = self.served_after_recovery
         answers = ", ".join(f"{k}: {n}" for k, n in sorted(self.answers.items()))
         faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.played.items()))
--- a/acaciacove/soak/soak_trace.py
+++ b/acaciacove/soak/soak_trace.py
@@ -1,4 +1,4 @@
-"""What a soak has recorded, as the checks read it."""
+"""Recorded trace of a soak, the input of the checks."""
 
 from collections import defaultdict
 
@@ -14,7 +14,7 @@
 from acaciacove.soak.injected_fault import InjectedFault
 from acaciacove.standins.endpoint_arrival import EndpointArrival
 
-# Rules with a time limit hold for gateways that nothing has befallen for this long.
+# Rules with a time limit apply to gateways without a fault for at least this long.
 SETTLING_S = 3.0
 
 
@@ -22,9 +22,10 @@
 class SoakTrace:
     """Calls, arrivals at endpoints, faults and stalls of one run, in loop time.
 
-    ``crashing`` are bodies of requests that end what runs them.
-    ``zone_of`` maps endpoints, ``revoked_s`` keys to when they were taken away.
-    ``recovered_s`` is when all was back and had time to recover.
+    ``crashing`` has the bodies of requests that crash the endpoint that runs them.
+    ``zone_of`` maps endpoints to zones, ``revoked_s`` keys to the time of their
+    revocation. ``recovered_s`` is when all faults were undone and the time allowed
+    for recovery had passed.
     """
 
     calls: list[CallRecord] = field(factory=list)
@@ -51,7 +52,7 @@
         return {call.request_id: call for call in self.calls}
 
     def calls_after_recovery(self) -> list[CallRecord]:
-        """Return the calls with a valid key that were sent once all was back."""
+        """Return the non-crashing calls with a valid key sent after ``recovered_s``."""
         return [
             call
             for call in self.calls
@@ -61,9 +62,10 @@
         ]
 
     def is_unaffected(self, gateway: int, from_s: float, to_s: float) -> bool:
-        """Tell whether nothing befell a gateway or the log, nor this process.
+        """Return whether no recent fault affects a gateway, the log or this process.
 
-        One that the log alone turns away learns from the others, if any is in touch.
+        A gateway that the log refuses still counts as unaffected if it has a peer
+        without a fault, since it receives the updates from that peer.
         """
         since_s = from_s - SETTLING_S
         if any(a < to_s and b > since_s for a, b in self.stalls):
--- a/acaciacove/soak/violation.py
+++ b/acaciacove/soak/violation.py
@@ -1,4 +1,4 @@
-"""A promise that a run has seen broken."""
+"""A violation of a promise, observed in a run."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class Promise(StrEnum):
-    """What the checks of a soak stand for."""
+    """Promises of the gateway that a soak checks."""
 
     AT_MOST_ONCE = "runs at most once"
     NOT_RUN = "a refusal that says 'not run' is true"
@@ -26,7 +26,7 @@
 
 @frozen
 class Violation:
-    """Which promise, and how it was seen."""
+    """The broken promise, and the observation that shows it."""
 
     promise: Promise
     detail: str
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, and what it is made of."""
+"""A short soak of real gateway processes, and tests of the soak's components."""
 
 import asyncio
 
@@ -16,9 +16,10 @@
 from acaciacove.soak.shorten_plan import shorten_plan
 from acaciacove.standins.gateway_fleet import gateway_settings
 
-# Seeds that once showed a fault, with a line on its cause, are listed here.
-# 3: a plan whose log is there for all but one, so that leaves are held to their time.
-# 302: an endpoint's pause doubled beyond what a number holds.
+# Seeds that once revealed a fault, each with its cause.
+# 3: a plan in which the log refuses only one gateway, so that the time limits of
+# departures are checked.
+# 302: the repeatedly doubled pause of an endpoint exceeded the range of a float.
 SEEDS = (1, 3, 302)
 
 
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -1,4 +1,4 @@
-"""Each check of a soak finds what it stands for, and passes what is allowed."""
+"""Each check of a soak finds its violation, and accepts allowed behaviour."""
 
 import pytest
 
@@ -238,7 +238,7 @@
 
 
 def a_crash(number, at_s, ended="crashed"):
-    """An arrival of a request that crashes endpoints, and its call."""
+    """Return the call and the arrival of a request that crashes endpoints."""
     call = a_call(number, CallKind.LOOK, sent_s=at_s, status=502, sent_body=CRASHING)
     run = an_arrival(number, at_s=at_s, ended_s=at_s, ended=ended, body=CRASHING)
     return call, run
@@ -259,7 +259,7 @@
 
 
 def test_a_request_that_goes_on_crashing_endpoints_is_found():
-    """Guards against a fleet that sends such a request on and on."""
+    """Guards against a fleet that forwards a crashing request without end."""
     early = [10.0, 10.1, 10.2, 12.0, 13.1]
     assert crashes_broken([*early, 20.0, 21.0, 22.0]) == set()
     assert crashes_broken([*early, 20.0, 21.0, 22.0, 23.0]) == {Promise.CRASHING}
@@ -268,7 +268,7 @@
 
 
 def test_a_quarantined_request_without_crashes_is_found():
-    """Guards against a caller losing a request for what another one did."""
+    """Guards against refusing a request because another one crashed endpoints."""
     quarantined = a_call(status=503, body=b'{"reason":"request_quarantined"}')
     found = [v.promise for v in check_crashes(SoakTrace(calls=[quarantined]))]
     assert found == [Promise.NOT_QUARANTINED]
@@ -278,7 +278,7 @@
 
 
 def limits_broken(per_s, gateways=2, notified_s=0.1, **trace):
-    """Send at an even pace to an endpoint that states its limit at 20 s."""
+    """Send at an even rate to an endpoint that states its limit from 20 s to 30 s."""
     limited = InjectedFault(FaultKind.ENDPOINT_LIMITS, "i-0", 20.0, 30.0)
     calls, arrivals = [], []
     for number in range(int(12 * per_s)):
@@ -292,10 +292,10 @@
 
 
 def test_an_endpoint_that_gets_more_than_it_states_is_found():
-    """Guards against gateways that together send more than an endpoint takes."""
+    """Guards against gateways that together exceed an endpoint's limit."""
     assert limits_broken(2.0 * LIMIT_OVERAGE) == set()
     assert limits_broken(6.0) == {Promise.LIMITED}
-    # Answers that take nearly all the time have told nobody yet.
+    # The gateways learn of the limit from answers, which arrive too late here.
     assert limits_broken(6.0, notified_s=9.0) == set()
     paused = [InjectedFault(FaultKind.PAUSE, n, 22.0, 29.0) for n in (0, 1)]
     assert limits_broken(6.0, faults=paused) == set()
