--- a/acaciacove/soak/call_record.py
+++ b/acaciacove/soak/call_record.py
@@ -10,9 +10,8 @@
     """One request. Times are those of the soak's event loop.
 
     ``sent_body`` is what the caller sent, ``body`` what it received.
-    ``status`` is None while no answer came; ``complete`` is set when the
-    answer was received up to the end of its framing. ``closed`` is set if the
-    connection ended before that.
+    ``status`` is None while no answer came. ``complete`` is set when the answer was
+    received up to the end of its framing, ``closed`` if the connection ended before.
     """
 
     request_id: str
--- a/acaciacove/soak/check_answers.py
+++ b/acaciacove/soak/check_answers.py
@@ -21,33 +21,35 @@
     """Yield the broken promises about answers, and about arrivals at endpoints."""
     runs = trace.runs()
     for call in trace.calls:
-        own = runs.get(call.request_id, [])
-        instances = [run.instance for run in own]
-        if call.kind in AT_MOST_ONCE_KINDS and len(own) > 1:
-            yield _of(Promise.AT_MOST_ONCE, call, f"ran on {instances}")
-        if call.status in NOT_RUN_STATUSES and own:
-            yield _of(Promise.NOT_RUN, call, f"{call.status}, ran on {instances}")
+        call_runs = runs.get(call.request_id, [])
+        instances = [run.instance for run in call_runs]
+        if call.kind in AT_MOST_ONCE_KINDS and len(call_runs) > 1:
+            yield _violation(Promise.AT_MOST_ONCE, call, f"ran on {instances}")
+        if call.status in NOT_RUN_STATUSES and call_runs:
+            yield _violation(
+                Promise.NOT_RUN, call, f"{call.status}, ran on {instances}"
+            )
         if call.status == SUCCESS and call.complete:
             yield from _check_complete(call, instances)
     yield from _check_permission(trace)
 
 
-def _of(promise: Promise, call: CallRecord, detail: str) -> Violation:
+def _violation(promise: Promise, call: CallRecord, detail: str) -> Violation:
     return Violation(promise, f"{call.kind.value} {call.request_id}: {detail}")
 
 
 def _check_complete(call: CallRecord, instances: list[str]) -> Iterator[Violation]:
     instance, _, request_id = call.receipt.partition("/")
     if request_id != call.request_id or instance not in instances:
-        yield _of(Promise.COMPLETE, call, f"receipt {call.receipt!r}")
+        yield _violation(Promise.COMPLETE, call, f"receipt {call.receipt!r}")
     elif call.kind is CallKind.DRAFT:
         events = EVENT.findall(call.body)
         numbers = [int(number) for number, _, _ in events]
         rest = EVENT.sub(b"", call.body)
         if numbers != list(range(1, EndpointBehaviour().events + 1)) or rest:
-            yield _of(Promise.COMPLETE, call, f"events {numbers}, rest {rest!r}")
+            yield _violation(Promise.COMPLETE, call, f"events {numbers}, rest {rest!r}")
     elif call.body != f"{instance} served {call.request_id}".encode():
-        yield _of(Promise.COMPLETE, call, f"body {call.body!r}")
+        yield _violation(Promise.COMPLETE, call, f"body {call.body!r}")
 
 
 def _check_permission(trace: SoakTrace) -> Iterator[Violation]:
@@ -60,11 +62,11 @@
             continue
         organisation = arrival.fields.get(names.ORGANISATION.decode())
         if organisation != organisation_of(call.key):
-            yield _of(Promise.AUTHORISED, call, f"ran for {organisation}")
+            yield _violation(Promise.AUTHORISED, call, f"ran for {organisation}")
         model = arrival.fields.get(names.MODEL.decode())
         if model is not None and model not in SIZES:
-            yield _of(Promise.AUTHORISED, call, f"ran on model {model}")
+            yield _violation(Promise.AUTHORISED, call, f"ran on model {model}")
         revoked_s = trace.revoked_s.get(call.key, float("inf"))
         if arrival.ran and call.sent_s > revoked_s + REVOCATION_S:
-            late_s = call.sent_s - revoked_s
-            yield _of(Promise.REVOKED, call, f"sent {late_s:.2f} s after")
+            elapsed_s = call.sent_s - revoked_s
+            yield _violation(Promise.REVOKED, call, f"sent {elapsed_s:.2f} s after")
--- a/acaciacove/soak/check_crashes.py
+++ b/acaciacove/soak/check_crashes.py
@@ -21,16 +21,16 @@
 
 
 def _check_attempts(trace: SoakTrace, body: bytes) -> Iterator[Violation]:
-    own = [arrival for arrival in trace.arrivals if arrival.body == body]
-    crashes = sorted(a.ended_s for a in own if a.ended == "crashed")
+    arrivals = [arrival for arrival in trace.arrivals if arrival.body == body]
+    crashes = sorted(a.ended_s for a in arrivals if a.ended == "crashed")
     if len(crashes) < CRASH_THRESHOLD:
         return
-    known_s = crashes[CRASH_THRESHOLD - 1] + SETTLING_S
+    quarantined_from_s = crashes[CRASH_THRESHOLD - 1] + SETTLING_S
     calls = trace.by_id()
     attempts = [
         arrival
-        for arrival in own
-        if arrival.at_s > known_s
+        for arrival in arrivals
+        if arrival.at_s > quarantined_from_s
         and (call := calls.get(arrival.request_id)) is not None
         and trace.is_unaffected(call.gateway, arrival.at_s, arrival.at_s)
     ]
--- a/acaciacove/soak/check_limits.py
+++ b/acaciacove/soak/check_limits.py
@@ -33,11 +33,11 @@
         call = calls.get(arrival.request_id)
         if call is None:
             continue
-        first_notified_s = notified_s.setdefault(
+        gateway_notified_s = notified_s.setdefault(
             call.gateway, call.ended_s + LIMIT_NOTICE_S
         )
-        is_late = arrival.at_s > limited.from_s + SETTLING_S
-        if not is_late or arrival.at_s < first_notified_s:
+        is_enforced = arrival.at_s > limited.from_s + SETTLING_S
+        if not is_enforced or arrival.at_s < gateway_notified_s:
             continue
         if trace.is_unaffected(call.gateway, arrival.at_s, arrival.at_s):
             counted.append(arrival.at_s)
--- a/acaciacove/soak/check_operations.py
+++ b/acaciacove/soak/check_operations.py
@@ -20,7 +20,7 @@
 
 MIN_SERVED_SHARE = 0.25
 # With fewer requests after recovery, the served share is not significant.
-MIN_CALLS_AFTER_RECOVERY = 20
+MIN_CALLS = 20
 
 
 def check_operations(trace: SoakTrace) -> Iterator[Violation]:
@@ -30,7 +30,7 @@
     yield from _check_budget(trace)
     yield from _check_stops(trace)
     yield from _check_recovery(trace)
-    for detail in [*trace.exits, *trace.faulty_lines]:
+    for detail in [*trace.unexpected_exits, *trace.fault_log_lines]:
         yield Violation(Promise.NO_PROCESS_FAILED, detail)
 
 
@@ -47,8 +47,8 @@
         if since_s is None or call is None or arrival.at_s <= since_s + DRAIN_S:
             continue
         if trace.is_unaffected(call.gateway, since_s, arrival.at_s):
-            late_s = arrival.at_s - since_s
-            detail = f"{call.request_id} at {arrival.instance} after {late_s:.2f} s"
+            elapsed_s = arrival.at_s - since_s
+            detail = f"{call.request_id} at {arrival.instance} after {elapsed_s:.2f} s"
             yield Violation(Promise.DRAINED, detail)
 
 
@@ -60,12 +60,12 @@
         if call is None:
             continue
         for out in outs:
-            is_late = out.from_s + ZONE_OUT_S < arrival.at_s < out.until_s
-            if out.subject != zone or not is_late:
+            is_out_enforced = out.from_s + ZONE_OUT_S < arrival.at_s < out.until_s
+            if out.subject != zone or not is_out_enforced:
                 continue
             if trace.is_unaffected(call.gateway, out.from_s, arrival.at_s):
-                late_s = arrival.at_s - out.from_s
-                detail = f"{call.request_id} in {zone} after {late_s:.2f} s"
+                elapsed_s = arrival.at_s - out.from_s
+                detail = f"{call.request_id} in {zone} after {elapsed_s:.2f} s"
                 yield Violation(Promise.ZONE_OUT, detail)
 
 
@@ -81,18 +81,20 @@
         sent[service_of(call.kind)].append(call.sent_s)
     seen: set[str] = set()
     for arrival in sorted(trace.arrivals, key=lambda a: a.at_s):
-        known = calls.get(arrival.request_id)
-        if known is not None and arrival.request_id in seen:
-            repeated[service_of(known.kind)].append(arrival.at_s)
+        repeated_call = calls.get(arrival.request_id)
+        if repeated_call is not None and arrival.request_id in seen:
+            repeated[service_of(repeated_call.kind)].append(arrival.at_s)
         seen.add(arrival.request_id)
     for service, moments in repeated.items():
         requests = sorted(sent[service])
         for at_s in moments:
             repeats = _count_in_window(moments, at_s)
             shifts = (0.0, RETRY_WINDOW_S / 2.0, RETRY_WINDOW_S)
-            most = max(_count_in_window(requests, at_s - shift) for shift in shifts)
-            if repeats > RETRY_RATIO * most + RETRY_EXTRA:
-                detail = f"{service}: {repeats} repeats for {most} requests"
+            request_count = max(
+                _count_in_window(requests, at_s - shift) for shift in shifts
+            )
+            if repeats > RETRY_RATIO * request_count + RETRY_EXTRA:
+                detail = f"{service}: {repeats} repeats for {request_count} requests"
                 yield Violation(Promise.BUDGET, detail)
                 break
 
@@ -112,16 +114,21 @@
     runs = trace.runs()
     stops = [fault for fault in trace.faults if fault.kind is FaultKind.TERMINATE]
     for call in trace.calls:
-        own = runs.get(call.request_id, [])
-        if not call.closed or not own:
+        call_runs = runs.get(call.request_id, [])
+        if not call.closed or not call_runs:
             continue
         for stop in stops:
             was_sent = call.sent_s < stop.from_s + DRAIN_S
-            was_there = was_sent and call.ended_s > stop.from_s
-            if stop.subject != call.gateway or not was_there:
+            was_open = was_sent and call.ended_s > stop.from_s
+            if stop.subject != call.gateway or not was_open:
                 continue
-            if not _has_other_cause(trace, stop, call, {run.instance for run in own}):
-                detail = f"{call.request_id} was cut, runs {[run.ended for run in own]}"
+            if not _has_other_cause(
+                trace, stop, call, {run.instance for run in call_runs}
+            ):
+                detail = (
+                    f"{call.request_id} was cut, "
+                    f"runs {[run.ended for run in call_runs]}"
+                )
                 yield Violation(Promise.STOPPED, detail)
 
 
@@ -149,8 +156,6 @@
 def _check_recovery(trace: SoakTrace) -> Iterator[Violation]:
     valid = trace.calls_after_recovery()
     served = sum(call.status == 200 and call.complete for call in valid)
-    if len(valid) >= MIN_CALLS_AFTER_RECOVERY and served < MIN_SERVED_SHARE * len(
-        valid
-    ):
+    if len(valid) >= MIN_CALLS and served < MIN_SERVED_SHARE * len(valid):
         detail = f"{served} of {len(valid)} served once all was back"
         yield Violation(Promise.RECOVERED, detail)
--- a/acaciacove/soak/fault_plan.py
+++ b/acaciacove/soak/fault_plan.py
@@ -29,7 +29,7 @@
 AFTER_OUTAGE_SHARE = 0.2
 OUTAGE_DURATION_S = (2.5, 5.0)
 DEPARTURE_AFTER_OUTAGE_S = (3.05, 3.5)
-# One in so many plans has no faults of the log except those before departures: an
+# One in so many plans has no faults of the log except outages before departures: an
 # outage of the log excuses all gateways from their time limits.
 NO_LOG_FAULTS_EVERY = 3
 # Some restarts come in series, at short intervals, and overlap with other faults.
@@ -56,9 +56,9 @@
     while at_s < last_s:
         kind = random.choice(DRAWN_KINDS)
         target = random.randrange(1_000_000)
-        for_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        duration_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
         if kind in LOG_OUTAGES and random.random() < MISSED_REVOCATION_SHARE:
-            for_s = MISSED_REVOCATION_OUTAGE_S
+            duration_s = MISSED_REVOCATION_OUTAGE_S
             revocation = (
                 at_s + REVOCATION_AFTER_OUTAGE_START_S,
                 FaultKind.KEY_REVOKED,
@@ -67,11 +67,16 @@
             )
             drawn.append(revocation)
         if kind is FaultKind.ENDPOINT_LIMITS:
-            for_s = LIMIT_DURATION_S
-        drawn.append((at_s, kind, target, for_s))
+            duration_s = LIMIT_DURATION_S
+        drawn.append((at_s, kind, target, duration_s))
         if kind is FaultKind.TERMINATE and random.random() < RESTART_SERIES_SHARE:
             drawn += [
-                (at_s + RESTART_SERIES_INTERVAL_S * step, kind, target + step, for_s)
+                (
+                    at_s + RESTART_SERIES_INTERVAL_S * step,
+                    kind,
+                    target + step,
+                    duration_s,
+                )
                 for step in range(1, RESTART_SERIES_LENGTH)
             ]
         at_s += random.expovariate(1.0 / MEAN_GAP_S)
@@ -88,7 +93,7 @@
 
 
 def _draw_departures(random: Random, last_s: float) -> list[DrawnFault]:
-    """Draw departures, each with the fault before it, from a generator of their own."""
+    """Draw departures with the faults before them, from a separate generator."""
     drawn: list[DrawnFault] = []
     at_s = FIRST_FAULT_S + random.uniform(*DEPARTURE_INTERVAL_S)
     while at_s < last_s:
@@ -100,16 +105,16 @@
 
 
 def _draw_preceding_faults(random: Random, at_s: float) -> list[DrawnFault]:
-    """Draw the fault before a departure: refused calls, an outage of the log, or none."""
+    """Draw the fault before a departure: refused calls, an outage, or none."""
     share = random.random()
     if share < LOG_REFUSAL_SHARE:
         begin_s = at_s - random.uniform(*LOG_REFUSAL_LEAD_S)
-        for_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
-        return [(begin_s, FaultKind.LOG_TURNS_AWAY, 0, for_s)]
+        duration_s = random.uniform(MIN_DURATION_S, MAX_DURATION_S)
+        return [(begin_s, FaultKind.LOG_TURNS_AWAY, 0, duration_s)]
     if share < LOG_REFUSAL_SHARE + AFTER_OUTAGE_SHARE:
-        away_s = random.uniform(*OUTAGE_DURATION_S)
+        outage_s = random.uniform(*OUTAGE_DURATION_S)
         begin_s = max(
-            FIRST_FAULT_S, at_s - random.uniform(*DEPARTURE_AFTER_OUTAGE_S) - away_s
+            FIRST_FAULT_S, at_s - random.uniform(*DEPARTURE_AFTER_OUTAGE_S) - outage_s
         )
-        return [(begin_s, FaultKind.LOG_AWAY, 0, away_s)]
+        return [(begin_s, FaultKind.LOG_AWAY, 0, outage_s)]
     return []
--- a/acaciacove/soak/gateway_process.py
+++ b/acaciacove/soak/gateway_process.py
@@ -61,11 +61,11 @@
         """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
+    def send(self, signal_number: signal.Signals) -> None:
         """Send a signal to the process; do nothing if it has exited."""
         if self.is_running:
             assert self.process is not None
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
         """Kill the process and wait until it has exited."""
@@ -75,7 +75,7 @@
             await self._exit_task
 
     async def terminate(self, grace_s: float) -> None:
-        """Stop it as the platform does: SIGTERM, then SIGKILL after the grace period."""
+        """Stop it as the platform does: SIGTERM, then SIGKILL after ``grace_s``."""
         self.is_stop_expected = True
         self.send(signal.SIGTERM)
         assert self._exit_task is not None
--- a/acaciacove/soak/inject_faults.py
+++ b/acaciacove/soak/inject_faults.py
@@ -78,7 +78,7 @@
     injected = InjectedFault(fault.kind, subject, loop.time())
     environment.faults.append(injected)
     if fault.kind not in INSTANTANEOUS:
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
     undo()
     injected.until_s = loop.time()
 
@@ -95,7 +95,7 @@
     environment.faults.append(injected)
     if fault.kind is FaultKind.PAUSE:
         gateway.send(signal.SIGSTOP)
-        await asyncio.sleep(fault.for_s)
+        await asyncio.sleep(fault.duration_s)
         gateway.send(signal.SIGCONT)
     else:
         await _end_and_restart(environment, fault, number)
@@ -214,10 +214,10 @@
         await _depart(environment, fault, instance)
     elif fault.kind in MISBEHAVIOURS:
         behaviour = environment.servers[instance].behaviour
-        if behaviour.limit_per_s is not None and fault.kind in RESTORES:
+        if behaviour.limit_per_s is not None and fault.kind in UNDO_FUNCTIONS:
             return
         MISBEHAVIOURS[fault.kind](behaviour)
-        restore = RESTORES.get(fault.kind, _restore)
+        restore = UNDO_FUNCTIONS.get(fault.kind, _restore)
         await _record_until_undone(
             environment, fault, instance, lambda: restore(behaviour)
         )
@@ -266,7 +266,7 @@
     behaviour.limit_per_s = None
 
 
-RESTORES: dict[FaultKind, Callable[[EndpointBehaviour], None]] = {
+UNDO_FUNCTIONS: dict[FaultKind, Callable[[EndpointBehaviour], None]] = {
     FaultKind.ENDPOINT_LIMITS: _remove_limit,
 }
 
@@ -274,7 +274,7 @@
 async def _crash(
     environment: SoakEnvironment, fault: PlannedFault, instance: str
 ) -> None:
-    """Crash an endpoint unannounced, and start a replacement with another name."""
+    """Start a replacement with another name, then crash the endpoint unannounced."""
     service = environment.servers[instance].report.service
     loop = asyncio.get_running_loop()
     environment.faults.append(
--- a/acaciacove/soak/injected_fault.py
+++ b/acaciacove/soak/injected_fault.py
@@ -10,7 +10,8 @@
     """One fault, with the time span during which it was in effect.
 
     ``subject`` is the number of a gateway, or names the endpoint, zone, key, request
-    body or log that the fault applied to. ``until_s`` is infinite until the fault is undone.
+    body or log that the fault applied to. ``until_s`` is infinite until the
+    fault is undone.
     """
 
     kind: FaultKind
--- a/acaciacove/soak/planned_fault.py
+++ b/acaciacove/soak/planned_fault.py
@@ -7,7 +7,7 @@
 
 @frozen
 class PlannedFault:
-    """A fault of ``target`` that starts at ``at_s`` of the run and lasts ``for_s``.
+    """A fault of ``target`` at ``at_s`` of the run, which lasts ``duration_s``.
 
     ``number`` is its position in the plan. A replay selects faults by it.
     """
@@ -16,11 +16,11 @@
     at_s: float
     kind: FaultKind
     target: int
-    for_s: float
+    duration_s: float
 
     def __str__(self) -> str:
         """Return one line of the printed plan."""
         return (
             f"{self.number:3d}  {self.at_s:7.2f} s  {self.kind.value} "
-            f"{self.target}  for {self.for_s:.2f} s"
+            f"{self.target}  for {self.duration_s:.2f} s"
         )
--- a/acaciacove/soak/run_soak.py
+++ b/acaciacove/soak/run_soak.py
@@ -125,7 +125,7 @@
     served = sum(call.status == 200 and call.complete for call in calls)
     return SoakReport(
         plan=plan,
-        played=Counter(fault.kind for fault in environment.faults),
+        injected=Counter(fault.kind for fault in environment.faults),
         answers=Counter(str(call.status or "none") for call in trace.calls),
         arrivals=len(trace.arrivals),
         stalls=len(trace.stalls),
@@ -150,16 +150,16 @@
         revoked_s=environment.revoked_s,
         crashing=frozenset(environment.crashing),
         recovered_s=recovered_s,
-        exits=[
+        unexpected_exits=[
             f"{gateway.settings.name} ended by itself, {gateway.unexpected_exits} times"
             for gateway in environment.gateways
             if gateway.unexpected_exits
         ],
-        faulty_lines=_faulty_lines(environment.folder),
+        fault_log_lines=_fault_log_lines(environment.folder),
     )
 
 
-def _faulty_lines(folder: Path) -> list[str]:
+def _fault_log_lines(folder: Path) -> list[str]:
     """Return the log lines with a fault event or a traceback."""
     marks = (f'"event":"{Event.FAULT.value}"', "Traceback")
     return [
--- a/acaciacove/soak/soak_environment.py
+++ b/acaciacove/soak/soak_environment.py
@@ -73,7 +73,7 @@
     revoked_s: dict[str, float] = field(factory=dict)
     crashing: dict[bytes, str] = field(factory=dict)
     zones_out: set[str] = field(factory=set)
-    versions: int = 1
+    catalogue_version: int = 1
     _last_heartbeats_s: dict[str, float] = field(factory=dict)
     _endpoints_started: int = 0
     _restarts: set[asyncio.Task[None]] = field(factory=set)
@@ -93,8 +93,8 @@
 
     def publish(self) -> None:
         """Publish a new version of the catalogue with the currently valid keys."""
-        self.versions += 1
-        self.fleet.publish(soak_catalogue(self.versions, self.keys))
+        self.catalogue_version += 1
+        self.fleet.publish(soak_catalogue(self.catalogue_version, self.keys))
 
     async def add_endpoint(self, service: str) -> None:
         """Start an endpoint with a new name behind its own proxy."""
@@ -122,9 +122,9 @@
             self.fleet.arrivals,
             lambda: self._crash_on_request(report.instance),
         )
-        own = (self.addresses.endpoint(number), ENDPOINT_PORT)
-        await self.fleet.listen(report.instance, *own, server.serve)
-        link = Proxy((report.host, report.port), own)
+        listen_address = (self.addresses.endpoint(number), ENDPOINT_PORT)
+        await self.fleet.listen(report.instance, *listen_address, server.serve)
+        link = Proxy((report.host, report.port), listen_address)
         await link.open()
         self.endpoint_links[report.instance] = link
         self.servers[report.instance] = server
--- a/acaciacove/soak/soak_report.py
+++ b/acaciacove/soak/soak_report.py
@@ -18,7 +18,7 @@
     """
 
     plan: tuple[PlannedFault, ...]
-    played: Counter[FaultKind]
+    injected: Counter[FaultKind]
     answers: Counter[str]
     arrivals: int
     stalls: int
@@ -30,7 +30,7 @@
         """Return the report as human-readable lines."""
         served, sent = self.served_after_recovery
         answers = ", ".join(f"{k}: {n}" for k, n in sorted(self.answers.items()))
-        faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.played.items()))
+        faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.injected.items()))
         lines = [
             f"requests by answer: {answers}",
             f"arrivals at endpoints: {self.arrivals}",
--- a/acaciacove/soak/soak_trace.py
+++ b/acaciacove/soak/soak_trace.py
@@ -36,8 +36,8 @@
     revoked_s: dict[str, float] = field(factory=dict)
     crashing: frozenset[bytes] = frozenset()
     recovered_s: float = float("inf")
-    exits: list[str] = field(factory=list)
-    faulty_lines: list[str] = field(factory=list)
+    unexpected_exits: list[str] = field(factory=list)
+    fault_log_lines: list[str] = field(factory=list)
 
     def runs(self) -> dict[str, list[EndpointArrival]]:
         """Return the arrivals that ran, by request id."""
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -19,7 +19,7 @@
 # Seeds that once revealed a fault, each with its cause.
 # 3: a plan in which the log refuses only one gateway, so that the time limits of
 # departures are checked.
-# 302: the repeatedly doubled pause of an endpoint exceeded the range of a float.
+# 302: the repeatedly doubled pause of an endpoint overflowed.
 SEEDS = (1, 3, 302)
 
 
@@ -30,7 +30,7 @@
     )
     report = asyncio.run(run_soak(settings))
     assert report.violations == (), report.text()
-    assert report.played
+    assert report.injected
 
 
 def test_a_plan_is_the_same_for_the_same_seed_and_can_be_shortened():
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -233,8 +233,10 @@
 
 
 def test_processes_that_end_or_fail_are_found():
-    assert promises_broken(exits=["gateway-0"]) == {Promise.NO_PROCESS_FAILED}
-    assert promises_broken(faulty_lines=["Traceback"]) == {Promise.NO_PROCESS_FAILED}
+    assert promises_broken(unexpected_exits=["gateway-0"]) == {
+        Promise.NO_PROCESS_FAILED
+    }
+    assert promises_broken(fault_log_lines=["Traceback"]) == {Promise.NO_PROCESS_FAILED}
 
 
 def a_crash(number, at_s, ended="crashed"):
@@ -277,13 +279,13 @@
     assert not list(check_crashes(SoakTrace(calls=[bad], crashing=crashing)))
 
 
-def limits_broken(per_s, gateways=2, notified_s=0.1, **trace):
+def limits_broken(per_s, gateways=2, answer_after_s=0.1, **trace):
     """Send at an even rate to an endpoint that states its limit from 20 s to 30 s."""
     limited = InjectedFault(FaultKind.ENDPOINT_LIMITS, "i-0", 20.0, 30.0)
     calls, arrivals = [], []
     for number in range(int(12 * per_s)):
         at_s = 19.0 + number / per_s
-        times = {"sent_s": at_s, "ended_s": at_s + notified_s}
+        times = {"sent_s": at_s, "ended_s": at_s + answer_after_s}
         calls.append(a_call(number, CallKind.LOOK, gateway=number % gateways, **times))
         arrivals.append(an_arrival(number, at_s=at_s))
     faults = [limited, *trace.pop("faults", [])]
@@ -296,7 +298,7 @@
     assert limits_broken(2.0 * LIMIT_OVERAGE) == set()
     assert limits_broken(6.0) == {Promise.LIMITED}
     # The gateways learn of the limit from answers, which arrive too late here.
-    assert limits_broken(6.0, notified_s=9.0) == set()
+    assert limits_broken(6.0, answer_after_s=9.0) == set()
     paused = [InjectedFault(FaultKind.PAUSE, n, 22.0, 29.0) for n in (0, 1)]
     assert limits_broken(6.0, faults=paused) == set()
     assert limits_broken(12.0, faults=paused[:1]) == {Promise.LIMITED}
