--- a/acaciacove/soak/gateway_process.py
+++ b/acaciacove/soak/gateway_process.py
@@ -1,4 +1,4 @@
-"""One gateway as a process of its own, as it is deployed."""
+"""One gateway in a separate process, started as in a deployment."""
 
 import asyncio
 import os
@@ -17,25 +17,25 @@
 
 @define(eq=False)
 class GatewayProcess:
-    """Starts, signals and ends the process; its lines go to a file of its own.
+    """Starts, signals and stops the process, and writes its output to a log file.
 
-    ``asked_to_end`` tells that the soak itself has ended or stopped it.
+    ``is_stop_expected`` is set when the soak itself has killed or stopped it.
     """
 
     settings: GatewaySettings
     folder: Path
-    asked_to_end: bool = False
-    exits_of_its_own: int = 0
+    is_stop_expected: bool = False
+    unexpected_exits: int = 0
     process: asyncio.subprocess.Process | None = None
-    _watch: asyncio.Task[None] | None = field(default=None)
+    _exit_task: asyncio.Task[None] | None = field(default=None)
 
     @property
     def log_path(self) -> Path:
-        """Where the process's lines are kept, over all its lives."""
+        """Path of the log file, which is kept across restarts."""
         return self.folder / f"{self.settings.name}.log"
 
     async def start(self) -> None:
-        """Start it anew."""
+        """Start a new process with these settings."""
         path = self.folder / f"{self.settings.name}.conf"
         path.write_text(write_node_file(self.settings), encoding="utf-8")
         environment = os.environ | {NODE_FILE_VARIABLE: str(path)}
@@ -48,37 +48,37 @@
                 stderr=lines,
                 env=environment,
             )
-        self.asked_to_end = False
-        self._watch = asyncio.create_task(self._note_exit(self.process))
+        self.is_stop_expected = False
+        self._exit_task = asyncio.create_task(self._record_exit(self.process))
 
-    async def _note_exit(self, process: asyncio.subprocess.Process) -> None:
+    async def _record_exit(self, process: asyncio.subprocess.Process) -> None:
         await process.wait()
-        if not self.asked_to_end:
-            self.exits_of_its_own += 1
+        if not self.is_stop_expected:
+            self.unexpected_exits += 1
 
     @property
     def is_running(self) -> bool:
-        """Tell whether the process has been started and has not ended."""
+        """Return whether the process has been started and has not exited."""
         return self.process is not None and self.process.returncode is None
 
-    def send(self, number: signal.Signals) -> None:
-        """Signal this one process; nothing happens if it has ended."""
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal to the process; do nothing if it has exited."""
         if self.is_running:
             assert self.process is not None
-            self.process.send_signal(number)
+            self.process.send_signal(signal_number)
 
     async def kill(self) -> None:
-        """End it at once and wait for its end."""
-        self.asked_to_end = True
+        """Kill the process and wait until it has exited."""
+        self.is_stop_expected = True
         self.send(signal.SIGKILL)
-        if self._watch is not None:
-            await self._watch
+        if self._exit_task is not None:
+            await self._exit_task
 
     async def terminate(self, grace_s: float) -> None:
-        """Stop it as the platform does: SIGTERM, and SIGKILL after the grace."""
-        self.asked_to_end = True
+        """Stop it as the platform does: SIGTERM, then SIGKILL after ``grace_s``."""
+        self.is_stop_expected = True
         self.send(signal.SIGTERM)
-        assert self._watch is not None
-        done, _ = await asyncio.wait({self._watch}, timeout=grace_s)
+        assert self._exit_task is not None
+        done, _ = await asyncio.wait({self._exit_task}, timeout=grace_s)
         if not done:
             await self.kill()
--- a/acaciacove/soak/soak_report.py
+++ b/acaciacove/soak/soak_report.py
@@ -1,4 +1,4 @@
-"""What a soak found."""
+"""Result of a soak."""
 
 from collections import Counter
 
@@ -11,33 +11,34 @@
 
 @frozen
 class SoakReport:
-    """Counts of a run, and the promises that it saw broken.
+    """Counts of a run, and the promises that were broken in it.
 
-    ``answers`` counts calls by status, "none" without one.
+    ``answers`` counts calls by status; calls without an answer count as "none".
+    ``served_after_recovery`` is the number of calls served and sent.
     """
 
     plan: tuple[PlannedFault, ...]
-    played: Counter[FaultKind]
+    injected: Counter[FaultKind]
     answers: Counter[str]
     arrivals: int
     stalls: int
-    served_after: tuple[int, int]
+    served_after_recovery: tuple[int, int]
     violations: tuple[Violation, ...]
     log_folder: str
 
     def text(self) -> str:
-        """Return the report as lines for a person."""
-        served, asked = self.served_after
+        """Return the report as human-readable lines."""
+        served, sent = self.served_after_recovery
         answers = ", ".join(f"{k}: {n}" for k, n in sorted(self.answers.items()))
-        faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.played.items()))
-        told = [
+        faults = ", ".join(f"{k.value}: {n}" for k, n in sorted(self.injected.items()))
+        lines = [
             f"requests by answer: {answers}",
             f"arrivals at endpoints: {self.arrivals}",
             f"faults played: {faults or 'none'}",
-            f"served once all was back: {served} of {asked}",
+            f"served once all was back: {served} of {sent}",
             f"stalls of this machine, left out of checks with a time: {self.stalls}",
             f"logs: {self.log_folder}",
         ]
-        told += [f"BROKEN {v.promise.value}: {v.detail}" for v in self.violations]
-        told.append(f"{len(self.violations)} violations")
-        return "\n".join(told)
+        lines += [f"BROKEN {v.promise.value}: {v.detail}" for v in self.violations]
+        lines.append(f"{len(self.violations)} violations")
+        return "\n".join(lines)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak of real processes, and what it is made of."""
+"""A short soak of real gateway processes, and tests of the soak's components."""
 
 import asyncio
 
@@ -16,9 +16,10 @@
 from acaciacove.soak.shorten_plan import shorten_plan
 from acaciacove.standins.gateway_fleet import gateway_settings
 
-# Seeds that once showed a fault, with a line on its cause, are listed here.
-# 3: a plan whose log is there for all but one, so that leaves are held to their time.
-# 302: an endpoint's pause doubled beyond what a number holds.
+# Seeds that once revealed a fault, each with its cause.
+# 3: a plan in which the log refuses only one gateway, so that the time limits of
+# departures are checked.
+# 302: the repeatedly doubled pause of an endpoint overflowed.
 SEEDS = (1, 3, 302)
 
 
@@ -29,7 +30,7 @@
     )
     report = asyncio.run(run_soak(settings))
     assert report.violations == (), report.text()
-    assert report.played
+    assert report.injected
 
 
 def test_a_plan_is_the_same_for_the_same_seed_and_can_be_shortened():
@@ -47,7 +48,7 @@
 
 
 @pytest.mark.parametrize("needed", [{5}, {2, 9}, {1, 2, 3}, set(range(1, 11))])
-def test_a_plan_is_shortened_to_the_faults_that_matter(needed):
+def test_a_plan_is_shortened_to_the_necessary_faults(needed):
     async def is_broken(numbers):
         return needed <= set(numbers)
 
@@ -55,7 +56,7 @@
     assert set(kept) == needed
 
 
-def test_faulty_numbers_of_a_plan_are_told():
+def test_invalid_fault_numbers_are_rejected():
     with pytest.raises(InvalidSettingsError):
         SoakSettings(only="2,x")
 
@@ -65,13 +66,13 @@
     assert decode_node_file(write_node_file(settings)) == settings
 
 
-def test_a_proxy_swallows_one_direction_and_resets():
+def test_a_proxy_discards_one_direction_and_resets():
     async def echo(reader, writer):
         while data := await reader.read(100):
             writer.write(data)
         writer.close()
 
-    async def story():
+    async def run():
         front, back = (("127.0.0.1", port) for port in free_ports(2))
         server = await asyncio.start_server(echo, *back)
         proxy = Proxy(front, back)
@@ -90,4 +91,4 @@
         proxy.close()
         server.close()
 
-    asyncio.run(story())
+    asyncio.run(run())
