--- a/acaciacove/demo.py
+++ b/acaciacove/demo.py
@@ -45,10 +45,10 @@
     lines = StringIO()
     start_log(lines)
     async with AsyncExitStack() as stack:
-        fleets = [await _started(deployment, stack) for deployment in DEPLOYMENTS]
+        fleets = [await _start_fleet(deployment, stack) for deployment in DEPLOYMENTS]
         failed = 0
         for fleet in fleets:
-            failed += await _show(fleet, lines, env)
+            failed += await _run_samples(fleet, lines, env)
         if failed:
             env.log_error(f"{failed} sample request(s) were not answered")
             return ExitStatus.ERROR
@@ -58,13 +58,13 @@
     return ExitStatus.SUCCESS
 
 
-async def _started(deployment: Deployment, stack: AsyncExitStack) -> LocalFleet:
+async def _start_fleet(deployment: Deployment, stack: AsyncExitStack) -> LocalFleet:
     """Start a deployment, which runs until the stack is closed."""
     platform = await stack.enter_async_context(running_platform(deployment))
     return await stack.enter_async_context(running_fleet(platform))
 
 
-async def _show(fleet: LocalFleet, lines: StringIO, env: Environment) -> int:
+async def _run_samples(fleet: LocalFleet, lines: StringIO, env: Environment) -> int:
     """Send the samples, then take a zone out and send one more; count failures."""
     deployment = fleet.platform.deployment
     env.print(f"\n{deployment.title}")
@@ -79,10 +79,12 @@
         failed += await _send(sample, fleet, number, lines, env)
     zone = deployment.availability_zones[0]
     offset = fleet.publish(ZoneDecision("demo-out", zone, True, "demo"))
-    await fleet.in_force(offset)
+    await fleet.wait_until_applied(offset)
     env.print(f"\n  availability zone {zone} is taken out")
     failed += await _send(samples[0], fleet, 0, lines, env)
-    await fleet.in_force(fleet.publish(ZoneDecision("demo-in", zone, False, "demo")))
+    await fleet.wait_until_applied(
+        fleet.publish(ZoneDecision("demo-in", zone, False, "demo"))
+    )
     env.print("\n  Try it yourself:\n" + _curl(fleet))
     return failed
 
--- a/acaciacove/soak/play_faults.py
+++ b/acaciacove/soak/play_faults.py
@@ -132,18 +132,18 @@
     store = world.fleet.store
     name = store.last_readers.get(ENDPOINTS)
     names = [gateway.settings.name for gateway in world.gateways]
-    if name not in names or name in store.turned_away:
+    if name not in names or name in store.rejected_callers:
         return
-    store.turned_away.add(name)
+    store.rejected_callers.add(name)
     number = names.index(name)
-    await _lasting(world, fault, number, lambda: store.turned_away.discard(name))
+    await _lasting(world, fault, number, lambda: store.rejected_callers.discard(name))
 
 
 async def _on_log(world: SoakWorld, fault: PlannedFault) -> None:
     store = world.fleet.store
     if fault.kind is FaultKind.LOG_FORGETS:
         for stream in list(store.records):
-            store.forget_history(stream)
+            store.truncate_history(stream)
     elif fault.kind is FaultKind.LOG_LOSES_REPLIES:
         store.lost_replies += 1
     else:
@@ -179,10 +179,10 @@
     if world.zones_out:
         return
     world.zones_out.add(zone)
-    world.fleet.take_zone_out(zone)
+    world.fleet.evacuate_zone(zone)
 
     def undo() -> None:
-        world.fleet.take_zone_in(zone)
+        world.fleet.restore_zone(zone)
         world.zones_out.discard(zone)
 
     await _lasting(world, fault, zone, undo)
--- a/acaciacove/soak/soak_world.py
+++ b/acaciacove/soak/soak_world.py
@@ -36,7 +36,7 @@
 from acaciacove.soak.soak_catalogue import APP, KEYS, MODEL, SIZES, soak_catalogue
 from acaciacove.standins.endpoint_behaviour import EndpointBehaviour
 from acaciacove.standins.endpoint_server import EndpointServer
-from acaciacove.standins.gateway_fleet import BACK_S, ENDPOINTS, GatewayFleet
+from acaciacove.standins.gateway_fleet import ENDPOINTS, RESTART_DELAY_S, GatewayFleet
 
 ZONES = ("a", "b", "c")
 # Entries lapse after so many heartbeats that did not reach the log.
@@ -148,7 +148,7 @@
         restart.add_done_callback(self._restarts.discard)
 
     async def _replace(self, service: str) -> None:
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         await self.add_endpoint(service)
 
     def remove_endpoint(self, instance: str) -> None:
--- a/acaciacove/standins/datagram_network.py
+++ b/acaciacove/standins/datagram_network.py
@@ -10,38 +10,40 @@
 from acaciacove.gateway.peers.datagrams import DatagramSocket, OnDatagram
 from acaciacove.gateway.peers.serve_peers import serve_peers
 
-TRAVEL_S = 0.001
+LATENCY_S = 0.001
 
 
 @define(eq=False)
 class DatagramNetwork:
-    """Carries datagrams, loses ``loss`` of them, and all between ``cut`` hosts."""
+    """Delivers datagrams; drops a share ``loss`` and those of ``isolated_hosts``."""
 
     loss: float = 0.0
-    cut: set[str] = field(factory=set)
+    isolated_hosts: set[str] = field(factory=set)
     random: Random = field(factory=lambda: Random(1))
-    _takers: dict[tuple[str, int], OnDatagram] = field(factory=dict)
+    _receivers: dict[tuple[str, int], OnDatagram] = field(factory=dict)
 
-    async def open(self, host: str, port: int, take: OnDatagram) -> DatagramSocket:
+    async def open(
+        self, host: str, port: int, on_datagram: OnDatagram
+    ) -> DatagramSocket:
         """Open a socket."""
-        self._takers[(host, port)] = take
+        self._receivers[(host, port)] = on_datagram
         return _Socket(self, host, port)
 
-    def carry(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
+    def deliver(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
         """Deliver one datagram after its travel, or lose it."""
-        if sender in self.cut or address[0] in self.cut:
+        if sender in self.isolated_hosts or address[0] in self.isolated_hosts:
             return
         if self.random.random() < self.loss:
             return
-        take = self._takers.get(address)
-        if take is not None:
-            asyncio.get_running_loop().call_later(TRAVEL_S, take, data)
+        on_datagram = self._receivers.get(address)
+        if on_datagram is not None:
+            asyncio.get_running_loop().call_later(LATENCY_S, on_datagram, data)
 
     def close(self, host: str, port: int) -> None:
         """Close a socket."""
-        self._takers.pop((host, port), None)
+        self._receivers.pop((host, port), None)
 
-    async def talk(self, gateway: Gateway, metadata: MetadataLog) -> None:
+    async def serve_gossip(self, gateway: Gateway, metadata: MetadataLog) -> None:
         """Run the reports of one gateway over this network."""
         await serve_peers(gateway, metadata, self.open)
 
@@ -55,7 +57,7 @@
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
         """Send one datagram."""
-        self.network.carry(self.host, data, address)
+        self.network.deliver(self.host, data, address)
 
     def is_closing(self) -> bool:
         """Tell whether the socket is closed."""
--- a/acaciacove/standins/endpoint_server.py
+++ b/acaciacove/standins/endpoint_server.py
@@ -35,14 +35,14 @@
         self.arrivals = arrivals
         self.crash = crash
         self.running = 0
-        self._counted = 0
+        self._matching_requests = 0
 
     async def serve(self, request: CallerRequest, front: FrontConnection) -> None:
         """Answer one request."""
-        arrival = self._note(request)
-        own = self.report.instance
-        expected = arrival.fields.get(names.EXPECTED_INSTANCE.decode(), own)
-        if expected != own:
+        arrival = self._record_arrival(request)
+        local = self.report.instance
+        expected = arrival.fields.get(names.EXPECTED_INSTANCE.decode(), local)
+        if expected != local:
             await self._refuse(front, arrival, MISDIRECTED)
             return
         if self.behaviour.full:
@@ -60,7 +60,7 @@
             arrival.ended_s = asyncio.get_running_loop().time()
             self.running -= 1
 
-    def _note(self, request: CallerRequest) -> EndpointArrival:
+    def _record_arrival(self, request: CallerRequest) -> EndpointArrival:
         arrival = EndpointArrival(
             at_s=asyncio.get_running_loop().time(),
             instance=self.report.instance,
@@ -76,7 +76,7 @@
         self, front: FrontConnection, arrival: EndpointArrival, status: int
     ) -> None:
         fields = [*self._fields(arrival), (names.NOT_RUN, b"1")]
-        await _whole(front, status, fields, b"")
+        await _send_response(front, status, fields, b"")
 
     async def _run(self, arrival: EndpointArrival, front: FrontConnection) -> None:
         behaviour = self.behaviour
@@ -93,11 +93,11 @@
         if not behaviour.unsigned:
             fields.append((names.RECEIPT, self._receipt(arrival)))
         if behaviour.failing or self._fails_by_count(arrival):
-            await _whole(front, 500, fields, b"failed")
+            await _send_response(front, 500, fields, b"failed")
         elif names.MODEL.decode() in arrival.fields:
             await self._stream(arrival, front, fields)
         else:
-            await self._plain(arrival, front, fields)
+            await self._answer_service(arrival, front, fields)
 
     async def _crash(self, arrival: EndpointArrival) -> None:
         await asyncio.sleep(CRASH_AFTER_S)
@@ -110,8 +110,8 @@
             return False
         if not arrival.target.startswith(behaviour.failing_path):
             return False
-        self._counted += 1
-        return self._counted % behaviour.failing_every == 0
+        self._matching_requests += 1
+        return self._matching_requests % behaviour.failing_every == 0
 
     def _fields(self, arrival: EndpointArrival) -> Fields:
         load = f"{self.running},0,{self.report.slots}"
@@ -126,21 +126,21 @@
     def _receipt(self, arrival: EndpointArrival) -> bytes:
         return f"{self.report.instance}/{arrival.request_id}".encode()
 
-    async def _plain(
+    async def _answer_service(
         self, arrival: EndpointArrival, front: FrontConnection, fields: Fields
     ) -> None:
         body = f"{self.report.instance} served {arrival.request_id}".encode()
         if self.behaviour.late_answer:
-            self._send_foreign(front)
+            self._send_foreign_answer(front)
         if self.behaviour.early_end:
             front.start_response(200, b"", [*fields, (b"Content-Length", b"999")])
             await front.write(body)
             front.close()
             arrival.ended = "broken"
             return
-        await _whole(front, 200, fields, body)
+        await _send_response(front, 200, fields, body)
 
-    def _send_foreign(self, front: FrontConnection) -> None:
+    def _send_foreign_answer(self, front: FrontConnection) -> None:
         """Write an answer of another request in front of the own one."""
         assert front.transport is not None
         other = b"HTTP/1.1 200 OK\r\n" + names.REQUEST_ID + b": somebody-else\r\n"
@@ -171,7 +171,7 @@
         front.finish_response()
 
 
-async def _whole(
+async def _send_response(
     front: FrontConnection, status: int, fields: Fields, body: bytes
 ) -> None:
     headers = [*fields, (b"Content-Length", str(len(body)).encode())]
--- a/acaciacove/standins/engine_app.py
+++ b/acaciacove/standins/engine_app.py
@@ -14,11 +14,11 @@
 from acaciacove.standins.drop import drop_connection
 from acaciacove.standins.dropping_protocol import TRANSPORT
 from acaciacove.standins.engine_chat import (
-    CONTENT_PLACE,
+    CONTENT_PLACEHOLDER,
     DONE,
     GARBAGE,
     Chat,
-    FellOver,
+    EngineCrashedError,
     generate,
     prepare,
 )
@@ -28,7 +28,7 @@
     orders_endpoint,
 )
 from acaciacove.standins.engine_state import EngineState
-from acaciacove.standins.faults import Handler, faults_endpoint, take
+from acaciacove.standins.faults import Handler, consume_fault, faults_endpoint
 from acaciacove.standins.json_response import json_response
 
 REQUEST_ID = "x-request-id"
@@ -55,25 +55,25 @@
 def _chat(state: EngineState) -> Handler:
     async def chat(request: Request) -> Response:
         body = orjson.loads(await request.body())
-        refusal = _refusal(state, body)
+        refusal = _refuse_unknown_model(state, body)
         if refusal is not None:
             return refusal
         _start(state, request, body)
-        if take(state.faults, "late"):
+        if consume_fault(state.faults, "late"):
             await asyncio.sleep(state.faults.late_s)
-        if take(state.faults, "fail"):
+        if consume_fault(state.faults, "fail"):
             state.counters.failed += 1
             return json_response({"error": "failed"}, 500)
         if body.get("stream"):
             answer = _stream(state, request, body)
             headers = {REQUEST_ID: _request_id(request)}
             return StreamingResponse(answer, media_type=EVENT_STREAM, headers=headers)
-        return await _whole(state, request, body)
+        return await _answer_complete(state, request, body)
 
     return chat
 
 
-def _refusal(state: EngineState, body: dict[str, Any]) -> Response | None:
+def _refuse_unknown_model(state: EngineState, body: dict[str, Any]) -> Response | None:
     """Refuse a version that is not loaded."""
     if body.get("model") in state.versions:
         return None
@@ -87,57 +87,57 @@
     state.counters.started_by_request[_request_id(request)] += 1
 
 
-async def _unless_gone(request: Request, work: Awaitable[Any]) -> bool:
+async def _run_until_disconnect(request: Request, work: Awaitable[Any]) -> bool:
     """Do some work unless the caller leaves first; tell whether it was done."""
     working = asyncio.ensure_future(work)
-    leaving = asyncio.ensure_future(request.receive())
+    disconnected = asyncio.ensure_future(request.receive())
     try:
-        await asyncio.wait({working, leaving}, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait({working, disconnected}, return_when=asyncio.FIRST_COMPLETED)
         if not working.done():
             return False
         working.result()
         return True
     finally:
         working.cancel()
-        leaving.cancel()
+        disconnected.cancel()
 
 
-async def _whole(
+async def _answer_complete(
     state: EngineState, request: Request, body: dict[str, Any]
 ) -> Response:
     """Answer in one JSON document."""
     chat = prepare(state, _request_id(request), body)
-    if not await _unless_gone(request, state.enter(_priority(body))):
+    if not await _run_until_disconnect(request, state.acquire_slot(_priority(body))):
         state.counters.cancelled += 1
         return Response(status_code=CLIENT_CLOSED)
-    pieces: list[str] = []
+    tokens: list[str] = []
 
     async def collect() -> None:
         async for token in generate(state, chat):
-            pieces.append(token)
+            tokens.append(token)
 
     try:
-        if not await _unless_gone(request, collect()):
+        if not await _run_until_disconnect(request, collect()):
             state.counters.cancelled += 1
             return Response(status_code=CLIENT_CLOSED)
-    except FellOver:
+    except EngineCrashedError:
         state.counters.failed += 1
         return json_response({"error": "fell over"}, 500)
     finally:
-        state.leave()
-    if take(state.faults, "garbage"):
+        state.release_slot()
+    if consume_fault(state.faults, "garbage"):
         return Response(GARBAGE, media_type="application/json")
-    if take(state.faults, "stalled"):
+    if consume_fault(state.faults, "stalled"):
         await asyncio.sleep(state.faults.stall_s)
-    if take(state.faults, "dropped"):
+    if consume_fault(state.faults, "dropped"):
         return await drop_connection(request)
     state.counters.finished += 1
-    return json_response(_document(chat, pieces), x_request_id=chat.request_id)
+    return json_response(_document(chat, tokens), x_request_id=chat.request_id)
 
 
-def _document(chat: Chat, pieces: list[str]) -> dict[str, Any]:
+def _document(chat: Chat, tokens: list[str]) -> dict[str, Any]:
     finish_reason = "stop" if chat.stop_after is None else None
-    message = {"role": "assistant", "content": "".join(pieces)}
+    message = {"role": "assistant", "content": "".join(tokens)}
     return {
         "id": chat.answer_id,
         "object": "chat.completion",
@@ -153,12 +153,12 @@
     """Answer token by token as server-sent events."""
     done = False
     chat = prepare(state, _request_id(request), body)
-    await state.enter(_priority(body))
+    await state.acquire_slot(_priority(body))
     try:
         before, after = _event_frame(chat)
         sent = 0
         async for token in generate(state, chat):
-            if await _play_stream_faults(state, sent):
+            if await _inject_stream_faults(state, sent):
                 yield GARBAGE
             sent += 1
             yield before + orjson.dumps(token) + after
@@ -167,32 +167,32 @@
             state.counters.finished += 1
             yield _last_event(chat)
             yield DONE
-    except FellOver:
+    except EngineCrashedError:
         done = True
         state.counters.failed += 1
         request.scope[TRANSPORT].abort()
     finally:
-        state.leave()
+        state.release_slot()
         if not done:
             state.counters.cancelled += 1
 
 
-async def _play_stream_faults(state: EngineState, sent: int) -> bool:
+async def _inject_stream_faults(state: EngineState, sent: int) -> bool:
     """Break the stream at the token where the faults say so; True for garbage."""
     faults = state.faults
     if sent != faults.after_tokens:
         return False
-    if take(faults, "dropped"):
-        raise FellOver
-    if take(faults, "stalled"):
+    if consume_fault(faults, "dropped"):
+        raise EngineCrashedError
+    if consume_fault(faults, "stalled"):
         await asyncio.sleep(faults.stall_s)
-    return take(faults, "garbage")
+    return consume_fault(faults, "garbage")
 
 
 def _event_frame(chat: Chat) -> tuple[bytes, bytes]:
     """Return what stands before and after the text of every event."""
-    event = orjson.dumps(_event(chat, {"content": CONTENT_PLACE}, None))
-    before, after = event.split(orjson.dumps(CONTENT_PLACE))
+    event = orjson.dumps(_event(chat, {"content": CONTENT_PLACEHOLDER}, None))
+    before, after = event.split(orjson.dumps(CONTENT_PLACEHOLDER))
     return b"data: " + before, after + b"\n\n"
 
 
--- a/acaciacove/standins/engine_chat.py
+++ b/acaciacove/standins/engine_chat.py
@@ -8,16 +8,16 @@
 
 from acaciacove.standins.engine_state import EngineState
 from acaciacove.standins.engine_text import generated_tokens, prompt_words
-from acaciacove.standins.faults import take
+from acaciacove.standins.faults import consume_fault
 
 COMPLETION_ID = "chatcmpl-"
 FOREIGN_ID = "request-of-someone-else"
 DONE = b"data: [DONE]\n\n"
 GARBAGE = b"<html>bad gateway</html>\n\n"
-CONTENT_PLACE = "acaciacove-content-place"
+CONTENT_PLACEHOLDER = "acaciacove-content-place"
 
 
-class FellOver(Exception):  # noqa: N818
+class EngineCrashedError(Exception):  # noqa: N818
     """The engine lost this answer half-way, as when its process restarts."""
 
 
@@ -49,8 +49,8 @@
     """Look the prompt up in the cache and decide what will be said."""
     version = str(body["model"])
     words = prompt_words(body)
-    crossed = take(state.faults, "crossed")
-    cut = take(state.faults, "truncated")
+    crossed = consume_fault(state.faults, "crossed")
+    cut = consume_fault(state.faults, "truncated")
     return Chat(
         request_id=request_id,
         answer_id=COMPLETION_ID + (FOREIGN_ID if crossed else request_id),
@@ -65,13 +65,13 @@
 
 
 async def generate(state: EngineState, chat: Chat) -> AsyncIterator[str]:
-    """Generate token by token at the pace of the batch; raises FellOver."""
+    """Generate token by token at the pace of the batch; raises EngineCrashedError."""
     uncached = chat.prompt_tokens - chat.cached_tokens
     await asyncio.sleep(uncached * state.profile.prefill_token_s)
     for number, token in enumerate(chat.tokens[chat.resume_from :]):
         await asyncio.sleep(state.token_time_s())
         if state.incarnation != chat.incarnation:
-            raise FellOver
+            raise EngineCrashedError
         if number == chat.stop_after:
             return
         state.counters.tokens += 1
--- a/acaciacove/standins/engine_orders.py
+++ b/acaciacove/standins/engine_orders.py
@@ -27,14 +27,14 @@
         if fence < state.fence and state.profile.refuses_old_fences:
             return json_response({"error": "stale fence", "fence": state.fence}, 409)
         state.fence = max(state.fence, fence)
-        if not await _obey(state, order):
+        if not await _execute(state, order):
             return json_response({"error": "unknown action"}, 400)
         return json_response({"done": True, "fence": state.fence})
 
     return orders
 
 
-async def _obey(state: EngineState, order: dict[str, Any]) -> bool:
+async def _execute(state: EngineState, order: dict[str, Any]) -> bool:
     """Do what an order says; False when there is no such action."""
     match order.get("action"):
         case "load_version":
@@ -71,7 +71,7 @@
         blocks = base64.b64decode(document["blocks"])
         for start in range(0, len(blocks), BLOCK_BYTES):
             block = blocks[start : start + BLOCK_BYTES]
-            state.cache.keep(int.from_bytes(block, "big", signed=True))
+            state.cache.insert(int.from_bytes(block, "big", signed=True))
         return json_response({"imported": len(blocks) // BLOCK_BYTES})
 
     return import_blocks
--- a/acaciacove/standins/engine_state.py
+++ b/acaciacove/standins/engine_state.py
@@ -11,7 +11,7 @@
 from acaciacove.standins.engine_profile import EngineProfile
 from acaciacove.standins.prefix_cache import PrefixCache
 
-NEVER_COLD_S = float("-inf")
+NOT_COLD_S = float("-inf")
 Waiting = tuple[int, int, asyncio.Future[None]]
 
 
@@ -24,7 +24,7 @@
     faults: EngineFaults = field(factory=EngineFaults)
     counters: EngineCounters = field(factory=EngineCounters)
     cache: PrefixCache = field(init=False)
-    cold_until_s: float = NEVER_COLD_S
+    cold_until_s: float = NOT_COLD_S
     in_flight: int = 0
     queue: list[Waiting] = field(factory=list)
     arrivals: int = 0
@@ -45,34 +45,34 @@
         """Start the warm-up anew, as after a restart."""
         self.cold_until_s = now_s + self.profile.warm_up_s
 
-    def fall_over(self, now_s: float) -> None:
+    def crash(self, now_s: float) -> None:
         """Lose everything in flight and be cold again."""
         self.counters.fell_over += 1
         self.incarnation += 1
         self.cache = PrefixCache(self.profile.cache_blocks)
         self.turn_cold(now_s)
 
-    async def enter(self, priority: int) -> None:
+    async def acquire_slot(self, priority: int) -> None:
         """Wait for a place in the batch; a lower priority number goes first."""
         if self.in_flight >= self.profile.max_batch:
             await self._queue(priority)
         else:
             self.in_flight += 1
-        self._note_load()
+        self._record_load()
         now_s = asyncio.get_running_loop().time()
         if self.is_cold(now_s) and self.in_flight > self.profile.cold_bears:
-            self.fall_over(now_s)
+            self.crash(now_s)
 
-    def leave(self) -> None:
+    def release_slot(self) -> None:
         """Give the place to the first that waits, or free it."""
         while self.queue:
-            _, _, turn = heapq.heappop(self.queue)
-            if not turn.done():
-                turn.set_result(None)
-                self._note_load()
+            _, _, slot = heapq.heappop(self.queue)
+            if not slot.done():
+                slot.set_result(None)
+                self._record_load()
                 return
         self.in_flight -= 1
-        self._note_load()
+        self._record_load()
 
     def reported_load(self, now_s: float) -> tuple[int, int]:
         """Return in-flight and queued counts as they were a lag ago."""
@@ -89,18 +89,18 @@
         return self.profile.token_s + peers * self.profile.token_per_peer_s
 
     async def _queue(self, priority: int) -> None:
-        turn = asyncio.get_running_loop().create_future()
+        slot = asyncio.get_running_loop().create_future()
         self.arrivals += 1
-        heapq.heappush(self.queue, (priority, self.arrivals, turn))
-        self._note_load()
+        heapq.heappush(self.queue, (priority, self.arrivals, slot))
+        self._record_load()
         try:
-            await turn
+            await slot
         except asyncio.CancelledError:
-            if turn.done() and not turn.cancelled():
-                self.leave()
+            if slot.done() and not slot.cancelled():
+                self.release_slot()
             raise
 
-    def _note_load(self) -> None:
+    def _record_load(self) -> None:
         now_s = asyncio.get_running_loop().time()
         self.loads.append((now_s, self.in_flight, len(self.queue)))
         counters = self.counters
--- a/acaciacove/standins/faults.py
+++ b/acaciacove/standins/faults.py
@@ -15,12 +15,12 @@
 Handler = Callable[[Request], Awaitable[Response]]
 
 
-def take(faults: Any, name: str) -> bool:
+def consume_fault(faults: Any, name: str) -> bool:
     """Use up one occurrence of a counted fault; ``ALWAYS`` never runs out."""
-    left: int = getattr(faults, name)
-    if left > 0:
-        setattr(faults, name, left - 1)
-    return left != 0
+    remaining: int = getattr(faults, name)
+    if remaining > 0:
+        setattr(faults, name, remaining - 1)
+    return remaining != 0
 
 
 def faults_endpoint(faults: Any) -> Handler:
--- a/acaciacove/standins/gateway_fleet.py
+++ b/acaciacove/standins/gateway_fleet.py
@@ -41,14 +41,14 @@
 # Stand-ins take whatever a gateway may send.
 STANDIN_LIMITS = CallerLimits(max_header_bytes=65_536, idle_timeout_s=10.0)
 # From a crash to the restart.
-BACK_S = 2.0
+RESTART_DELAY_S = 2.0
 OPERATOR = names.STREAMS[LogStream.OPERATOR]
 ENDPOINTS = names.STREAMS[LogStream.ENDPOINTS]
 OUTCOMES = names.STREAMS[LogStream.OUTCOMES]
-TalkToPeers = Callable[[Gateway, MetadataLog], Awaitable[None]]
+ServeGossip = Callable[[Gateway, MetadataLog], Awaitable[None]]
 
 
-async def talk_to_nobody(gateway: Gateway, metadata: MetadataLog) -> None:
+async def serve_no_gossip(gateway: Gateway, metadata: MetadataLog) -> None:
     """Leave a gateway without peers, where the loop has no datagrams."""
     await asyncio.Event().wait()
 
@@ -101,7 +101,7 @@
             report,
             behaviour or EndpointBehaviour(),
             self.arrivals,
-            lambda: self.crash_for_a_while(report.instance),
+            lambda: self.crash_and_restart(report.instance),
         )
         self.endpoints[report.instance] = server
         await self.listen(report.instance, report.host, report.port, server.serve)
@@ -112,7 +112,7 @@
         """Write an endpoint's record."""
         self.store.append(ENDPOINTS, report.instance, write_endpoint(report))
 
-    def announce_leaving(self, instance: str) -> None:
+    def announce_draining(self, instance: str) -> None:
         """Let an endpoint say that it leaves; it goes on serving."""
         report = evolve(self.endpoints[instance].report, draining=True)
         self.register(report)
@@ -123,22 +123,26 @@
         for connection in list(self._connections.pop(instance)):
             connection.abort()
 
-    def crash_for_a_while(self, instance: str) -> None:
+    def crash_and_restart(self, instance: str) -> None:
         """Crash an endpoint, and start it again later under a new name."""
         if instance not in self._servers:
             return
         self.crash(instance)
         loop = asyncio.get_running_loop()
-        loop.call_later(BACK_S, lambda: self._keep(self._start_again(instance)))
+        loop.call_later(
+            RESTART_DELAY_S, lambda: self._start_task(self._restart(instance))
+        )
 
-    async def _start_again(self, instance: str) -> None:
+    async def _restart(self, instance: str) -> None:
         before = self.endpoints.pop(instance)
-        name, _, life = instance.partition(".")
-        again = f"{name}.{int(life or 0) + 1}"
+        name, _, incarnation = instance.partition(".")
+        restarted = f"{name}.{int(incarnation or 0) + 1}"
         self.store.append(ENDPOINTS, instance, b"")
-        await self.add_endpoint(evolve(before.report, instance=again), before.behaviour)
+        await self.add_endpoint(
+            evolve(before.report, instance=restarted), before.behaviour
+        )
 
-    def _keep(self, coroutine: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, coroutine: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(coroutine)
         self._restarts.add(task)
         task.add_done_callback(self._restarts.discard)
@@ -153,18 +157,18 @@
         record = write_catalogue(catalogue)
         self.store.append(OPERATOR, names.CATALOGUE_KEY, record)
 
-    def take_zone_out(self, zone: str) -> None:
+    def evacuate_zone(self, zone: str) -> None:
         """Evacuate a zone."""
         self.store.append(OPERATOR, names.ZONE_OUT_KEY + zone, b"{}")
 
-    def take_zone_in(self, zone: str) -> None:
+    def restore_zone(self, zone: str) -> None:
         """Take a zone back."""
         self.store.append(OPERATOR, names.ZONE_OUT_KEY + zone, b"")
 
-    def roll_out(self, wish: RolloutSpec) -> None:
+    def roll_out(self, spec: RolloutSpec) -> None:
         """Order a roll-out."""
-        key = names.ROLLOUT_KEY + wish.service
-        self.store.append(OPERATOR, key, write_rollout(wish))
+        key = names.ROLLOUT_KEY + spec.service
+        self.store.append(OPERATOR, key, write_rollout(spec))
 
     def outcome(self, service: str) -> str:
         """Return the recorded state of a roll-out, or nothing."""
@@ -174,7 +178,7 @@
     async def add_gateway(
         self,
         settings: GatewaySettings,
-        talk: TalkToPeers = talk_to_nobody,
+        serve_gossip: ServeGossip = serve_no_gossip,
         seed: int = 0,
     ) -> RunningGateway:
         """Start a gateway; it serves when it is ready."""
@@ -187,7 +191,7 @@
             metadata,
             log,
             clock_s=self.boot_time_s,
-            open_peers=talk,
+            open_peers=serve_gossip,
         )
         running.gateway.random = running.gateway.guard.random = Random(seed)
         stop = asyncio.Event()
--- a/acaciacove/standins/instance_list_app.py
+++ b/acaciacove/standins/instance_list_app.py
@@ -20,8 +20,8 @@
         if state.faults.outage:
             return json_response({"error": "outage"}, 503)
         state.fetches += 1
-        seen = state.seen(asyncio.get_running_loop().time())
-        return json_response({"instances": [instance_to_document(i) for i in seen]})
+        listed = state.listed(asyncio.get_running_loop().time())
+        return json_response({"instances": [instance_to_document(i) for i in listed]})
 
     return Starlette(
         routes=[
--- a/acaciacove/standins/instance_list_state.py
+++ b/acaciacove/standins/instance_list_state.py
@@ -19,16 +19,18 @@
         """Set the list that is true from now on."""
         self.history.append((now_s, instances))
 
-    def seen(self, now_s: float) -> list[Instance]:
+    def listed(self, now_s: float) -> list[Instance]:
         """Return the list as a reader sees it: late, and with its errors."""
         as_of_s = now_s - self.faults.lag_s
-        known: tuple[Instance, ...] = ()
+        current: tuple[Instance, ...] = ()
         for since_s, instances in self.history:
             if since_s <= as_of_s:
-                known = instances
-        return [self._shown(i) for i in known if i.name not in self.faults.hidden]
+                current = instances
+        return [
+            self._with_faults(i) for i in current if i.name not in self.faults.hidden
+        ]
 
-    def _shown(self, instance: Instance) -> Instance:
+    def _with_faults(self, instance: Instance) -> Instance:
         if instance.name in self.faults.called_live:
             return evolve(instance, status=InstanceStatus.LIVE)
         return instance
--- a/acaciacove/standins/keyed_log_server.py
+++ b/acaciacove/standins/keyed_log_server.py
@@ -44,12 +44,12 @@
 
     async def _fails(self, front: FrontConnection, caller: str) -> bool:
         state = self.state
-        if caller in state.turned_away:
+        if caller in state.rejected_callers:
             await _answer(front, 503, b"{}")
             return True
         if state.down is None:
             return False
-        if state.refused_callers and caller not in state.refused_callers:
+        if state.failing_callers and caller not in state.failing_callers:
             return False
         if state.down == "busy":
             await _answer(front, 503, b"{}")
--- a/acaciacove/standins/keyed_log_state.py
+++ b/acaciacove/standins/keyed_log_state.py
@@ -12,8 +12,8 @@
 
     Faults: ``down`` is how calls fail ("busy" answers 503, "reset" closes the
     connection, "silent" says nothing); ``lost_replies`` is how many of the next
-    appends take effect without an answer; ``refused_callers`` alone meet ``down``,
-    when there are any, by the name in their User-Agent field. ``turned_away`` are
+    appends take effect without an answer; ``failing_callers`` alone meet ``down``,
+    when there are any, by the name in their User-Agent field. ``rejected_callers`` are
     callers that are answered 503 whatever else is the matter. ``last_readers`` are
     those who last read each stream.
     """
@@ -26,8 +26,8 @@
         factory=lambda: defaultdict(dict)
     )
     down: str | None = None
-    refused_callers: frozenset[str] = frozenset()
-    turned_away: set[str] = field(factory=set)
+    failing_callers: frozenset[str] = frozenset()
+    rejected_callers: set[str] = field(factory=set)
     last_readers: dict[str, str] = field(factory=dict)
     lost_replies: int = 0
     reads: int = 0
@@ -50,7 +50,7 @@
         self._changed = asyncio.Event()
         return offset + 1
 
-    def forget_history(self, stream: str) -> None:
+    def truncate_history(self, stream: str) -> None:
         """Drop all records; the newest of each key stays known."""
         self.first[stream] = self.end(stream)
         self.records[stream].clear()
@@ -58,11 +58,11 @@
     async def wait_for(self, stream: str, offset: int, wait_s: float) -> None:
         """Wait until a record is at ``offset``, at most ``wait_s``."""
         loop = asyncio.get_running_loop()
-        until_s = loop.time() + wait_s
-        while self.end(stream) <= offset and loop.time() < until_s:
+        deadline_s = loop.time() + wait_s
+        while self.end(stream) <= offset and loop.time() < deadline_s:
             changed = self._changed
             try:
-                async with asyncio.timeout_at(until_s):
+                async with asyncio.timeout_at(deadline_s):
                     await changed.wait()
             except TimeoutError:
                 return
--- a/acaciacove/standins/local_fleet.py
+++ b/acaciacove/standins/local_fleet.py
@@ -25,7 +25,7 @@
 
 Starter = Callable[[AbstractAsyncContextManager[Any]], Awaitable[Any]]
 
-START_LIMIT_S = 20.0
+START_TIMEOUT_S = 20.0
 POLL_S = 0.01
 SESSION_SECRET = "a-secret-for-the-demo-only-0123456789"
 
@@ -44,11 +44,11 @@
         stream = log.stream(RELEASE_STREAM)
         return stream.append(encode_record(record), log.faults.keep_records)
 
-    async def in_force(self, offset: int) -> None:
+    async def wait_until_applied(self, offset: int) -> None:
         """Wait until every process holds the record at an offset."""
         holders = [sidecar.state.fleet_store for sidecar in self.sidecars.values()]
         holders += [entry.state.fleet_store for entry in self.entries]
-        await _until(lambda: all(h.state.revision >= offset for h in holders))
+        await _wait_until(lambda: all(h.state.revision >= offset for h in holders))
 
 
 @asynccontextmanager
@@ -59,7 +59,7 @@
     deployment = platform.deployment
     sidecars: dict[str, RunningSidecar] = {}
     running: list[RunningEntry] = []
-    async with stopped_together() as start:
+    async with shut_down_together() as start:
         fleet = LocalFleet(platform, sidecars, tuple(running))
         fleet.publish(deployment.note)
         for spec in deployment.endpoints:
@@ -72,12 +72,12 @@
             )
         fleet = LocalFleet(platform, sidecars, tuple(running))
         platform.list_instances(_instances(platform, sidecars) + _entries(fleet))
-        await _until(lambda: _is_ready(fleet))
+        await _wait_until(lambda: _is_ready(fleet))
         yield fleet
 
 
 @asynccontextmanager
-async def stopped_together() -> AsyncIterator[Starter]:
+async def shut_down_together() -> AsyncIterator[Starter]:
     """Yield what starts daemons; they are all told to stop at the same moment."""
     stacks: list[AsyncExitStack] = []
 
@@ -98,8 +98,8 @@
     return all(state.accepts_callers for state in states)
 
 
-async def _until(condition: Callable[[], bool]) -> None:
-    async with asyncio.timeout(START_LIMIT_S):
+async def _wait_until(condition: Callable[[], bool]) -> None:
+    async with asyncio.timeout(START_TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_S)
 
--- a/acaciacove/standins/log_app.py
+++ b/acaciacove/standins/log_app.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from acaciacove.standins.drop import drop_connection
-from acaciacove.standins.faults import Handler, faults_endpoint, take
+from acaciacove.standins.faults import Handler, consume_fault, faults_endpoint
 from acaciacove.standins.json_response import json_response
 from acaciacove.standins.log_state import LogState, LogStream
 
@@ -42,7 +42,7 @@
         stream = state.stream(request.path_params["stream"])
         offset = stream.append(payload, state.faults.keep_records)
         state.appends += 1
-        if take(state.faults, "lose_replies"):
+        if consume_fault(state.faults, "lose_replies"):
             return await drop_connection(request)
         return json_response({"offset": offset}, 201)
 
@@ -75,24 +75,24 @@
     request: Request, stream: LogStream, offset: int, wait_s: float
 ) -> None:
     """Wait until the stream holds the offset, the time is up, or the reader left."""
-    leaving = asyncio.create_task(_left(request))
+    disconnected = asyncio.create_task(_wait_for_disconnect(request))
     try:
         async with asyncio.timeout(wait_s):
-            while stream.next_offset <= offset and not leaving.done():
+            while stream.next_offset <= offset and not disconnected.done():
                 grown = asyncio.create_task(stream.grown.wait())
                 try:
                     await asyncio.wait(
-                        {grown, leaving}, return_when=asyncio.FIRST_COMPLETED
+                        {grown, disconnected}, return_when=asyncio.FIRST_COMPLETED
                     )
                 finally:
                     grown.cancel()
     except TimeoutError:
         return
     finally:
-        leaving.cancel()
+        disconnected.cancel()
 
 
-async def _left(request: Request) -> None:
+async def _wait_for_disconnect(request: Request) -> None:
     """Return once the reader has closed its connection."""
     while (await request.receive())["type"] != "http.disconnect":
         pass
--- a/acaciacove/standins/prefix_cache.py
+++ b/acaciacove/standins/prefix_cache.py
@@ -22,10 +22,10 @@
         while hits < len(prefixes) and prefixes[hits] in self.blocks:
             hits += 1
         for prefix in prefixes:
-            self.keep(prefix)
+            self.insert(prefix)
         return hits * BLOCK_TOKENS
 
-    def keep(self, prefix: int) -> None:
+    def insert(self, prefix: int) -> None:
         """Keep one block and evict the oldest when memory is full."""
         self.blocks[prefix] = None
         self.blocks.move_to_end(prefix)
--- a/acaciacove/standins/serve.py
+++ b/acaciacove/standins/serve.py
@@ -15,10 +15,10 @@
 BACKLOG = 2048
 START_POLL_S = 0.005
 KEEP_ALIVE_S = 75
-CLOSE_LIMIT_S = 1
+SHUTDOWN_TIMEOUT_S = 1
 
 
-class _QuietServer(Server):
+class _ServerWithoutSignals(Server):
     """A server that leaves the process's signal handlers alone."""
 
     @contextmanager
@@ -44,7 +44,7 @@
 ) -> AsyncIterator[list[int]]:
     """Serve several applications, which start and stop together."""
     listeners = [_listen(host, port) for port in ports or [ANY_PORT] * len(apps)]
-    servers = [_QuietServer(_config(app)) for app in apps]
+    servers = [_ServerWithoutSignals(_config(app)) for app in apps]
     running = [
         asyncio.create_task(server.serve(sockets=[listener]))
         for server, listener in zip(servers, listeners, strict=True)
@@ -84,7 +84,7 @@
         log_level="critical",
         access_log=False,
         timeout_keep_alive=KEEP_ALIVE_S,
-        timeout_graceful_shutdown=CLOSE_LIMIT_S,
+        timeout_graceful_shutdown=SHUTDOWN_TIMEOUT_S,
     )
 
 
--- a/acaciacove/standins/service_app.py
+++ b/acaciacove/standins/service_app.py
@@ -10,7 +10,7 @@
 from starlette.routing import Route
 
 from acaciacove.standins.drop import drop_connection
-from acaciacove.standins.faults import Handler, faults_endpoint, take
+from acaciacove.standins.faults import Handler, consume_fault, faults_endpoint
 from acaciacove.standins.json_response import json_response
 from acaciacove.standins.service_state import ServiceState
 
@@ -50,20 +50,20 @@
         reference = _reference(await request.body())
         await asyncio.sleep(faults.delay_s)
         answer_id = _echoed_id(request)
-        if take(faults, "foreign_id"):
+        if consume_fault(faults, "foreign_id"):
             answer_id = FOREIGN_ID
-        if take(faults, "drop_before_effect"):
+        if consume_fault(faults, "drop_before_effect"):
             return await drop_connection(request)
-        if take(faults, "fail"):
+        if consume_fault(faults, "fail"):
             return json_response({"error": "failed"}, 500, x_request_id=answer_id)
         if request.method in READING_METHODS:
             document = {"path": request.url.path, "effects": state.effects}
             return json_response(document, x_request_id=answer_id)
         key = request.headers.get("idempotency-key", "")
-        effect = state.take_effect(key, reference)
-        if take(faults, "drop_after_effect"):
+        effect = state.record_effect(key, reference)
+        if consume_fault(faults, "drop_after_effect"):
             return await drop_connection(request)
-        if take(faults, "hang_after_effect"):
+        if consume_fault(faults, "hang_after_effect"):
             await asyncio.sleep(faults.hang_s)
         document = {"effect": effect, REFERENCE: reference}
         return json_response(document, x_request_id=answer_id)
--- a/acaciacove/standins/service_state.py
+++ b/acaciacove/standins/service_state.py
@@ -17,7 +17,7 @@
     effects: int = 0
     calls: int = 0
 
-    def take_effect(self, key: str, reference: str) -> int:
+    def record_effect(self, key: str, reference: str) -> int:
         """Count one effect and return its number."""
         self.effects += 1
         if key:
--- a/acaciacove/standins/weight_store_app.py
+++ b/acaciacove/standins/weight_store_app.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from acaciacove.standins.drop import drop_connection
-from acaciacove.standins.faults import faults_endpoint, take
+from acaciacove.standins.faults import consume_fault, faults_endpoint
 from acaciacove.standins.json_response import json_response
 from acaciacove.standins.weight_store_state import WeightStoreState
 
@@ -23,7 +23,7 @@
         if state.faults.outage:
             return json_response({"error": "outage"}, 503)
         wait_s = state.acquire(weights, asyncio.get_running_loop().time())
-        if take(state.faults, "lose_replies"):
+        if consume_fault(state.faults, "lose_replies"):
             return await drop_connection(request)
         return json_response({"wait_s": wait_s})
 
--- a/acaciacove/standins/weight_store_state.py
+++ b/acaciacove/standins/weight_store_state.py
@@ -12,12 +12,12 @@
     faults: WeightStoreFaults = field(factory=WeightStoreFaults)
     load_interval_s: float = 1.0
     next_at_s: float = 0.0
-    asked: int = 0
+    acquire_calls: int = 0
     permits: dict[str, int] = field(factory=dict)
 
     def acquire(self, weights: str, now_s: float) -> float:
         """Grant a load and return 0, or return the seconds until one is free."""
-        self.asked += 1
+        self.acquire_calls += 1
         if now_s < self.next_at_s:
             return self.next_at_s - now_s
         self.next_at_s = now_s + self.load_interval_s
--- a/features/steps/fleet.py
+++ b/features/steps/fleet.py
@@ -71,7 +71,9 @@
         out = StringIO()
         environment = Environment(StringIO(stdin), out, out, env)
         status = await asyncio.to_thread(main, args, environment)
-        await self.local.in_force(platform.log.stream(RELEASE_STREAM).next_offset - 1)
+        await self.local.wait_until_applied(
+            platform.log.stream(RELEASE_STREAM).next_offset - 1
+        )
         return status, out.getvalue()
 
     async def ask(self, organisation, model, stream=False, entry=0):
--- a/tests/gateway_world.py
+++ b/tests/gateway_world.py
@@ -210,7 +210,7 @@
     for number in range(gateways):
         base = gateway_settings(f"gateway-{number}", f"10.0.1.{number + 1}", "a")
         config = evolve(base, **settings)
-        await fleet.add_gateway(config, fleet.network.talk, seed=number)
+        await fleet.add_gateway(config, fleet.network.serve_gossip, seed=number)
     await asyncio.sleep(0.2)
     try:
         yield fleet
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -22,7 +22,7 @@
         (SOUK, 3, {"darija": 9, "payments": 3}),
     ],
 )
-def test_a_deployment_has_its_size_of_today(deployment, zones, replicas):
+def test_deployment_has_the_expected_size(deployment, zones, replicas):
     counts = {api: sum(e.api == api for e in deployment.endpoints) for api in replicas}
     assert counts == replicas
     assert len(deployment.availability_zones) == zones
@@ -33,7 +33,7 @@
 
 
 @pytest.mark.parametrize("deployment", [SWIMHOLE, SOUK])
-def test_its_first_note_declares_everything_that_is_served(deployment):
+def test_first_release_note_declares_every_served_version(deployment):
     folded = fold(FleetState(), 0, decode_record(encode_record(deployment.note)))
     assert folded.verdict is Verdict.ACCEPTED
     for endpoint in deployment.endpoints:
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -50,7 +50,7 @@
         (RUN, evolve(VIEW, served=frozenset()), Reason.NO_ENDPOINT),
     ],
 )
-def test_what_is_wrong_is_refused_as_not_run(run, view, reason):
+def test_invalid_runs_are_refused_as_not_run(run, view, reason):
     # The entry's view is behind, or its message is wrong. The caller must get no
     # answer from a version it may not use, and must be told that nothing ran.
     refusal = refuse_run(run, view)
@@ -76,7 +76,7 @@
         ),
     ],
 )
-def test_what_operators_or_evidence_stopped_gets_no_work(change, reason):
+def test_runs_on_stopped_targets_are_refused_as_not_run(change, reason):
     # An operator takes something out, and a request chosen before that arrives
     # after it. Without the check the caller is served by what was taken out.
     refusal = refuse_run(RUN, evolve(VIEW, fleet=evolve(FLEET, **change)))
--- a/tests/test_gateway_crashing_requests.py
+++ b/tests/test_gateway_crashing_requests.py
@@ -118,7 +118,7 @@
         for crash_count in range(1, 4):
             await asyncio.sleep(0.1)
             (run,) = [a for a in fleet.arrivals if a.ran and not a.ended]
-            fleet.crash_for_a_while(run.instance)
+            fleet.crash_and_restart(run.instance)
             await asyncio.sleep(0.1)
             assert len(crash_lines(fleet)) == crash_count
         assert (await first).status == 502
@@ -144,7 +144,7 @@
         ]
         await asyncio.sleep(0.1)
         for instance in ("app-0", "app-3", "app-6", "app-1", "app-4"):
-            fleet.crash_for_a_while(instance)
+            fleet.crash_and_restart(instance)
         statuses = [(await each).status for each in calls]
         assert statuses.count(200) == len(statuses)
         assert not lines(fleet, "request_quarantined")
@@ -193,7 +193,7 @@
     await asyncio.sleep(0.5)
     for name in names:
         settings = fleet.gateways[name].settings
-        await fleet.add_gateway(settings, fleet.network.talk)
+        await fleet.add_gateway(settings, fleet.network.serve_gossip)
 
 
 ALL_GATEWAYS = tuple(f"gateway-{number}" for number in range(4))
@@ -237,13 +237,13 @@
     """Guards against a gateway that missed the gossip while it was partitioned."""
 
     async def scenario(fleet):
-        fleet.network.cut.add(HOSTS[0])
+        fleet.network.isolated_hosts.add(HOSTS[0])
         set_crashing_body(fleet)
         for number in range(4):
             await call("/look/7", f"bad-{number}", body=CRASHING, host=HOSTS[1])
             await asyncio.sleep(0.7)
         third_s = crashes(fleet)[MAX_CRASHES - 1]
-        fleet.network.cut.clear()
+        fleet.network.isolated_hosts.clear()
         await asyncio.sleep(GOSSIP_S)
         for number in range(4):
             await call("/look/7", f"late-{number}", body=CRASHING, host=HOSTS[0])
--- a/tests/test_gateway_peers.py
+++ b/tests/test_gateway_peers.py
@@ -106,7 +106,7 @@
     async def scenario(fleet):
         await asyncio.sleep(2.0)
         fleet.store.down = "busy"
-        fleet.store.refused_callers = frozenset({"gateway-0"})
+        fleet.store.failing_callers = frozenset({"gateway-0"})
         for number in range(80):
             answer = await call("/look/1", f"r-{number}", method="GET")
             assert answer.status == 200
@@ -125,7 +125,7 @@
         await asyncio.sleep(2.0)
         fleet.gateways["gateway-0"].metadata.members = dict
         fleet.store.down = "busy"
-        fleet.store.refused_callers = frozenset({"gateway-0"})
+        fleet.store.failing_callers = frozenset({"gateway-0"})
         await asyncio.sleep(0.2)
         fleet.publish(catalogue(version=2, keys=("other",)))
         published_s = asyncio.get_running_loop().time()
@@ -165,10 +165,10 @@
         )
         fleet.store.down = "silent"
         before = view.confirmed_boot_s
-        fleet.network.cut.add("10.0.1.1")
+        fleet.network.isolated_hosts.add("10.0.1.1")
         await asyncio.sleep(3.0)
-        fleet.network.cut.clear()
-        fleet.network.carry("10.0.1.2", encode(stale), ("10.0.1.1", PEER_PORT))
+        fleet.network.isolated_hosts.clear()
+        fleet.network.deliver("10.0.1.2", encode(stale), ("10.0.1.1", PEER_PORT))
         await asyncio.sleep(0.01)
         assert view.confirmed_boot_s == before
 
@@ -178,7 +178,7 @@
 def test_undecodable_datagrams_are_ignored():
     async def scenario(fleet):
         for data in (b"", b"\x00" * 64, b"hello", bytes(range(200))):
-            fleet.network.carry("10.9.9.9", data, ("10.0.1.1", PEER_PORT))
+            fleet.network.deliver("10.9.9.9", data, ("10.0.1.1", PEER_PORT))
         await asyncio.sleep(0.1)
         assert (await call("/look/1", "r-1", method="GET")).status == 200
 
@@ -187,7 +187,7 @@
 
 def test_limits_are_split_among_unreachable_gateways_too():
     async def scenario(fleet):
-        fleet.network.cut.update({"10.0.1.1", "10.0.1.2", "10.0.1.3"})
+        fleet.network.isolated_hosts.update({"10.0.1.1", "10.0.1.2", "10.0.1.3"})
         await asyncio.sleep(20.0)
         assert fleet.gateways["gateway-0"].gateway.gateway_count == 3
 
@@ -276,7 +276,7 @@
         gateway = fleet.gateways["gateway-0"].gateway
         for work_s in (float("nan"), float("inf"), -1.0, 1e9):
             data = encode(WorkSent(endpoint_id("model-0"), work_s, ()))
-            fleet.network.carry("10.0.1.2", data, ("10.0.1.1", PEER_PORT))
+            fleet.network.deliver("10.0.1.2", data, ("10.0.1.1", PEER_PORT))
         await asyncio.sleep(0.1)
         now_s = asyncio.get_running_loop().time()
         for state in gateway.states.all():
--- a/tests/test_gateway_relay.py
+++ b/tests/test_gateway_relay.py
@@ -202,7 +202,7 @@
 
         async def scenario(fleet, how=how):
             await asyncio.sleep(2.0)
-            fleet.store.refused_callers = frozenset({reader_of(fleet)})
+            fleet.store.failing_callers = frozenset({reader_of(fleet)})
             fleet.store.down = how
             fleet.publish(catalogue(version=2))
             await asyncio.sleep(2.0)
@@ -348,7 +348,7 @@
 
     async def scenario(fleet):
         await asyncio.sleep(2.0)
-        fleet.store.refused_callers = frozenset({reader_of(fleet)})
+        fleet.store.failing_callers = frozenset({reader_of(fleet)})
         fleet.store.down = "reset"
         # A new record ends the reader's waiting read, whose retry then fails at once.
         fleet.register(fleet.endpoints["model-0"].report)
@@ -489,7 +489,7 @@
         for _ in range(5):
             fleet.register(report("app-0", "app", 10, "a"))
             await asyncio.sleep(0.17)
-        fleet.announce_leaving("app-0")
+        fleet.announce_draining("app-0")
         await asyncio.sleep(0.5 * 2.0)
         assert all(v.endpoints["app-0"].draining for v in views)
 
--- a/tests/test_gateway_removals.py
+++ b/tests/test_gateway_removals.py
@@ -36,7 +36,7 @@
 
 
 def reject_calls(fleet, how, *names):
-    fleet.store.down, fleet.store.refused_callers = how, frozenset(names)
+    fleet.store.down, fleet.store.failing_callers = how, frozenset(names)
 
 
 def restore_log(fleet):
--- a/tests/test_gateway_rollouts.py
+++ b/tests/test_gateway_rollouts.py
@@ -154,7 +154,7 @@
 
 def test_bad_version_is_rolled_back_while_gateways_are_partitioned():
     async def scenario(fleet):
-        fleet.network.cut.update(GATEWAYS)
+        fleet.network.isolated_hosts.update(GATEWAYS)
         await add_new_version(fleet, failing_every=2)
         start_rollout(fleet)
         await send_drafts(fleet, DURATION_S)
--- a/tests/test_gateway_routing_view.py
+++ b/tests/test_gateway_routing_view.py
@@ -33,12 +33,12 @@
 
 def test_an_excluded_zone_gets_no_requests():
     async def scenario(fleet):
-        fleet.take_zone_out("a")
+        fleet.evacuate_zone("a")
         await asyncio.sleep(0.3)
         for number in range(6):
             await call("/look/1", f"r-{number}", method="GET")
         assert {a.instance for a in fleet.arrivals} == {"app-1"}
-        fleet.take_zone_in("a")
+        fleet.restore_zone("a")
         await asyncio.sleep(0.3)
         fleet.arrivals.clear()
         for number in range(6):
@@ -50,7 +50,7 @@
 
 def test_a_draining_endpoint_gets_no_requests():
     async def scenario(fleet):
-        fleet.announce_leaving("app-0")
+        fleet.announce_draining("app-0")
         await asyncio.sleep(0.5)
         for number in range(6):
             await call("/look/1", f"r-{number}", method="GET")
@@ -94,9 +94,9 @@
 def test_an_expired_offset_leads_to_a_new_snapshot():
     async def scenario(fleet):
         fleet.publish(catalogue(version=2, keys=("second",)))
-        fleet.store.forget_history(OPERATOR)
+        fleet.store.truncate_history(OPERATOR)
         fleet.store.append(ENDPOINTS, "app-0", b"")
-        fleet.store.forget_history(ENDPOINTS)
+        fleet.store.truncate_history(ENDPOINTS)
         await asyncio.sleep(2.0)
         assert (await call("/look/1", "r-1", method="GET")).status == 401
         for number in range(4):
--- a/tests/test_gateway_stated_limits.py
+++ b/tests/test_gateway_stated_limits.py
@@ -151,7 +151,7 @@
         fleet.kill_gateway("gateway-0")
         await asyncio.sleep(0.3)
         settings = fleet.gateways["gateway-0"].settings
-        await fleet.add_gateway(settings, fleet.network.talk)
+        await fleet.add_gateway(settings, fleet.network.serve_gossip)
         await asyncio.sleep(0.5)
         now_s = asyncio.get_running_loop().time()
         await send_lookups(fleet, 8.0, 60, 4, number=1000)
@@ -171,7 +171,7 @@
         if upset == "log":
             fleet.store.down = "reset"
         else:
-            fleet.network.cut.add("10.0.1.1")
+            fleet.network.isolated_hosts.add("10.0.1.1")
         await send_lookups(fleet, CONTACT_S, 60, 4, number=500)
         now_s = asyncio.get_running_loop().time()
         await send_lookups(fleet, 10.0, 60, 4, number=1000)
--- a/tests/test_path_rollout.py
+++ b/tests/test_path_rollout.py
@@ -113,7 +113,7 @@
             fleet.weights.next_at_s = asyncio.get_running_loop().time() + 2.0
             version = Version(NEW, "guide", 0.5, 0.7, 8, 8, replaces=SMALL)
             fleet.publish(ReleaseNote("note-2", 0, versions=(version,)))
-            await until(lambda: fleet.weights.asked > 0)
+            await until(lambda: fleet.weights.acquire_calls > 0)
             offset = fleet.publish(ReleaseNote("note-3", 1, withdrawn=(NEW,)))
             fleet_store = fleet.sidecars["guide-0"].shared.fleet_store
             await until(lambda: fleet_store.revision == offset)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -40,7 +40,7 @@
         run_promises(1, 1, "luck")
 
 
-def test_a_process_that_was_paused_decides_nothing_before_it_has_heard_anew():
+def test_paused_process_makes_no_decision_until_confirmed_up_to_date():
     # A machine freezes for a minute. The messages in its socket buffers are a
     # minute old; a release that withdrew a version has come meanwhile.
     pause_detector = PauseDetector()
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -38,7 +38,7 @@
 from acaciacove.standins.weight_store_state import WeightStoreState
 
 
-def with_service(app, use):
+def run_with_app(app, use):
     """Run ``use(url, client)`` against an application."""
 
     async def run():
@@ -51,7 +51,7 @@
     return asyncio.run(run())
 
 
-def test_the_log_keeps_records_in_order_and_wakes_a_waiting_reader():
+def test_log_retains_order_and_wakes_waiting_readers():
     async def use(url, client):
         log = HttpLog(url, client)
         waiting = asyncio.create_task(log.read("release", 0, 10, wait_s=30))
@@ -59,7 +59,7 @@
         first = await waiting
         return offsets, first, await log.read("release", 0, 10)
 
-    offsets, first, records = with_service(build_log_app(LogState()), use)
+    offsets, first, records = run_with_app(build_log_app(LogState()), use)
     assert offsets == [0, 1, 2]
     assert first[0].payload == b"\x00"
     assert [(r.offset, r.payload) for r in records] == list(
@@ -67,7 +67,7 @@
     )
 
 
-def test_a_lost_reply_of_the_log_hides_a_record_that_is_there():
+def test_append_with_a_lost_reply_is_stored():
     # The log takes a record and its reply gets lost. A program that believes the
     # failure appends twice, or tells a caller that nothing was done.
     state = LogState()
@@ -79,7 +79,7 @@
             await log.append("claims", b"c")
         return caught.value, await log.read("claims", 0, 1)
 
-    error, records = with_service(build_log_app(state), use)
+    error, records = run_with_app(build_log_app(state), use)
     assert not isinstance(error, PlatformRefusedError)
     assert [record.payload for record in records] == [b"c"]
 
@@ -102,10 +102,10 @@
             await log.read("s", 4, 10)
         return caught.value.earliest_offset
 
-    assert with_service(build_log_app(state), use) == 3
+    assert run_with_app(build_log_app(state), use) == 3
 
 
-def test_the_instance_list_lags_hides_and_errs():
+def test_instance_list_faults_delay_hide_and_misreport():
     entry = Instance("e1", Role.ENTRY, "r", "ozark", "127.0.0.1", 1, versions=())
     sidecar = Instance(
         "s1", Role.ENDPOINT, "r", "ozark", "127.0.0.1", 2, 7, InstanceStatus.LEAVING,
@@ -125,25 +125,25 @@
         state.faults.called_live = ["s1"]
         return fresh, late, await instances.fetch()
 
-    fresh, late, wrong = with_service(build_instance_list_app(state), use)
+    fresh, late, wrong = run_with_app(build_instance_list_app(state), use)
     assert fresh == [entry]
     assert late == [entry, sidecar]
     assert [(i.name, i.status) for i in wrong] == [("s1", InstanceStatus.LIVE)]
 
 
-def test_the_weight_store_spaces_loads():
+def test_weight_store_grants_one_load_per_interval():
     async def use(url, client):
         store = HttpWeightStore(url, client)
         return [await store.acquire("m@1") for _ in range(3)]
 
     state = WeightStoreState(load_interval_s=9)
-    waits = with_service(build_weight_store_app(state), use)
+    waits = run_with_app(build_weight_store_app(state), use)
     assert waits[0] == 0
     assert 0 < waits[2] <= waits[1] <= 9
     assert state.permits == {"m@1": 1}
 
 
-def test_ratings_come_late_for_a_sample_and_biased():
+def test_ratings_are_delayed_sampled_and_biased():
     state = RatingState(Random(1), qualities={"m@1": 0.6})
     state.faults.sampled_share = 0.5
     state.faults.bias = 0.3
@@ -157,7 +157,7 @@
         await ratings.submit("late", "m@1", "chat", "text")
         return seen, await ratings.fetch(seen[-1].sequence, 1000)
 
-    seen, later = with_service(build_rating_app(state), use)
+    seen, later = run_with_app(build_rating_app(state), use)
     assert 30 < len(seen) < 70
     assert 0.8 < sum(r.score for r in seen) / len(seen) < 1.0
     assert later == []
@@ -188,35 +188,35 @@
         await once.aclose()
         return outcome
 
-    outcome = with_service(build_service_app(state), use)
+    outcome = run_with_app(build_service_app(state), use)
     assert outcome.reason is reason
     assert not outcome.not_run
     assert state.effects_by_reference["b1"] == effects
 
 
-def test_urgent_requests_pass_waiting_ones():
+def test_queued_requests_start_in_order_of_priority():
     async def run():
         state = EngineState({"m@1"}, EngineProfile(max_batch=1))
-        await state.enter(0)
+        await state.acquire_slot(0)
         order = []
 
         async def wait(name, priority):
-            await state.enter(priority)
+            await state.acquire_slot(priority)
             order.append(name)
-            state.leave()
+            state.release_slot()
 
         waiting = [asyncio.create_task(wait("batch", 5))]
         await asyncio.sleep(0)
         waiting.append(asyncio.create_task(wait("chat", 0)))
         await asyncio.sleep(0)
-        state.leave()
+        state.release_slot()
         await asyncio.gather(*waiting)
         return order, state.in_flight
 
     assert asyncio.run(run()) == (["chat", "batch"], 0)
 
 
-def test_the_prefix_cache_finds_shared_prefixes_and_forgets_the_oldest():
+def test_prefix_cache_matches_shared_prefixes_and_evicts_the_oldest():
     cache = PrefixCache(capacity_blocks=4)
     shared = [f"w{n}" for n in range(32)]
     assert cache.lookup("m@1", [*shared, "a"]) == 0
