--- a/acaciacove/demo.py
+++ b/acaciacove/demo.py
@@ -1,4 +1,4 @@
-"""Both deployments of today in one process, with a few requests sent through."""
+"""Runs both example deployments in one process and sends sample requests."""
 
 from contextlib import AsyncExitStack
 from io import StringIO
@@ -29,7 +29,7 @@
 
 @frozen
 class Sample:
-    """A request to send, and what a person would call it."""
+    """A sample request with a title for people to read."""
 
     title: str
     path: str
@@ -38,9 +38,9 @@
 
 
 async def run_demo(env: Environment) -> ExitStatus:
-    """Run both deployments, send their sample requests, and say where they went.
+    """Run both deployments, send sample requests and print where they were routed.
 
-    On a terminal they go on serving, so that curl can be tried.
+    If stdout is a terminal, they continue to serve, so that users can try curl.
     """
     lines = StringIO()
     start_log(lines)
@@ -59,13 +59,13 @@
 
 
 async def _start_fleet(deployment: Deployment, stack: AsyncExitStack) -> LocalFleet:
-    """Start a deployment, which runs until the stack is closed."""
+    """Start a deployment, which runs until ``stack`` is closed."""
     platform = await stack.enter_async_context(running_platform(deployment))
     return await stack.enter_async_context(running_fleet(platform))
 
 
 async def _run_samples(fleet: LocalFleet, lines: StringIO, env: Environment) -> int:
-    """Send the samples, then take a zone out and send one more; count failures."""
+    """Send the samples, and one more with a zone out; return the failures."""
     deployment = fleet.platform.deployment
     env.print(f"\n{deployment.title}")
     env.print(
@@ -90,7 +90,7 @@
 
 
 def _samples(deployment: Deployment) -> list[Sample]:
-    """Make up requests: two chats, one of them streamed, and a call sent twice."""
+    """Return sample requests: a chat, a streamed chat and a service call."""
     model = _first_api(deployment, ApiKind.MODEL)
     service = _first_api(deployment, ApiKind.SERVICE)
     question = {"role": "user", "content": deployment.prompts[0]}
@@ -121,7 +121,7 @@
     lines: StringIO,
     env: Environment,
 ) -> int:
-    """Send a sample and print what was decided; 1 if it was not answered."""
+    """Send a sample and print the decision; return 1 if it was not answered."""
     lines.seek(0)
     lines.truncate()
     organisation, token = list(fleet.platform.deployment.tokens.items())[number]
@@ -141,7 +141,7 @@
 
 
 def _print_decision(event: dict[str, Any], env: Environment) -> None:
-    """Print what was chosen, and why the others were not."""
+    """Print the choices with their reasons, or the refusal."""
     match event["event"]:
         case "route":
             for kind in ("version", "endpoint"):
@@ -164,7 +164,7 @@
 
 
 def _curl(fleet: LocalFleet) -> str:
-    """Write a command line that sends a chat request."""
+    """Return a command line that sends a chat request."""
     deployment = fleet.platform.deployment
     token = next(iter(deployment.tokens.values()))
     model = _first_api(deployment, ApiKind.MODEL).name
--- a/acaciacove/standins/__init__.py
+++ b/acaciacove/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for the platform, used by tests and the demo only."""
+"""Stand-ins for the platform and its endpoints, for tests and the demo only."""
--- a/acaciacove/standins/datagram_network.py
+++ b/acaciacove/standins/datagram_network.py
@@ -1,4 +1,4 @@
-"""A network of datagrams inside one event loop."""
+"""A simulated datagram network inside one event loop."""
 
 import asyncio
 from random import Random
@@ -25,12 +25,12 @@
     async def open(
         self, host: str, port: int, on_datagram: OnDatagram
     ) -> DatagramSocket:
-        """Open a socket."""
+        """Open a socket that passes received datagrams to ``on_datagram``."""
         self._receivers[(host, port)] = on_datagram
         return _Socket(self, host, port)
 
     def deliver(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
-        """Deliver one datagram after its travel, or lose it."""
+        """Deliver one datagram after the latency, or drop it."""
         if sender in self.isolated_hosts or address[0] in self.isolated_hosts:
             return
         if self.random.random() < self.loss:
@@ -44,7 +44,7 @@
         self._receivers.pop((host, port), None)
 
     async def serve_gossip(self, gateway: Gateway, metadata: MetadataLog) -> None:
-        """Run the reports of one gateway over this network."""
+        """Serve the gossip of one gateway over this network."""
         await serve_peers(gateway, metadata, self.open)
 
 
@@ -60,7 +60,7 @@
         self.network.deliver(self.host, data, address)
 
     def is_closing(self) -> bool:
-        """Tell whether the socket is closed."""
+        """Return whether the socket is closed."""
         return self.closed
 
     def close(self) -> None:
--- a/acaciacove/standins/deployment.py
+++ b/acaciacove/standins/deployment.py
@@ -1,4 +1,4 @@
-"""A whole deployment: what stands where, and who may reach it."""
+"""A complete deployment: its endpoints, zones and organisations."""
 
 from attrs import frozen
 
@@ -8,11 +8,11 @@
 
 @frozen
 class Deployment:
-    """A deployment at its size of today.
+    """An example deployment at its present size.
 
     ``note`` is its first release note and ``tokens`` the bearer token of each
     organisation in it. ``qualities`` maps a version to the true mean rating of its
-    answers, which only the rating service's stand-in knows.
+    answers, known only to the stand-in of the rating service.
     """
 
     name: str
--- a/acaciacove/standins/drop.py
+++ b/acaciacove/standins/drop.py
@@ -1,4 +1,4 @@
-"""Dropping a caller's connection in place of an answer."""
+"""Closes a caller's connection instead of sending a response."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
 
 
 async def drop_connection(request: Request) -> Response:
-    """Close the caller's connection; the response returned is never sent."""
+    """Abort the caller's connection; the returned response is never sent."""
     request.scope[TRANSPORT].abort()
     await asyncio.sleep(CONNECTION_LOSS_S)
     return Response(status_code=500)
--- a/acaciacove/standins/dropping_protocol.py
+++ b/acaciacove/standins/dropping_protocol.py
@@ -1,4 +1,4 @@
-"""A server protocol that lets an application drop its connection."""
+"""A server protocol that lets an application abort its connection."""
 
 from typing import Any
 
@@ -8,10 +8,10 @@
 
 
 class DroppingProtocol(HttpToolsProtocol):
-    """Hands the transport to the application in its scope.
+    """Passes the transport to the application in the ASGI scope.
 
-    The usual interface between server and application has no way to close a
-    connection without an answer, and that is the failure to be played.
+    ASGI has no way to close a connection without a response, which is the failure
+    to simulate.
     """
 
     def on_message_begin(self) -> None:
--- a/acaciacove/standins/endpoint_arrival.py
+++ b/acaciacove/standins/endpoint_arrival.py
@@ -1,16 +1,16 @@
-"""One request as it arrived at a stand-in endpoint."""
+"""One request that a stand-in endpoint received."""
 
 from attrs import define
 
 
 @define(eq=False)
 class EndpointArrival:
-    """What came when, and what became of it.
+    """A received request, its time of arrival and its outcome.
 
-    ``fields`` are the header fields by lower-case name. ``ended`` tells how
-    the run ended: "done", "cut" when its caller left, "broken" when the endpoint
-    broke its answer off, "crashed" when it crashed under the run, or "" while it
-    runs.
+    ``fields`` maps lower-case header names to values. ``ran`` is false for a refused
+    request. ``ended`` is how the run ended: "done", "cut" when the caller
+    disconnected, "broken" when the endpoint truncated its answer, "crashed" when
+    the endpoint crashed during the run, or "" while it runs.
     """
 
     at_s: float
@@ -25,5 +25,5 @@
 
     @property
     def request_id(self) -> str:
-        """The caller's id of the request."""
+        """The attempt id that the caller sent, or an empty string."""
         return self.fields.get("acaciacove-attempt-id", "")
--- a/acaciacove/standins/endpoint_behaviour.py
+++ b/acaciacove/standins/endpoint_behaviour.py
@@ -1,4 +1,4 @@
-"""How a stand-in for an endpoint of the users' platform behaves."""
+"""Timing and faults of a stand-in for an endpoint of the users' platform."""
 
 from collections.abc import Container
 
@@ -7,18 +7,24 @@
 
 @define(eq=False)
 class EndpointBehaviour:
-    """Faults that a test or demo switches on; all off by default.
+    """Timing of answers, and faults that a test or demo switches on (default: off).
 
-    ``work_s`` passes before an answer or the first event, ``gap_s`` between
-    events. ``failing`` answers 500, ``failing_every`` does so for each n-th request
-    (of ``failing_path`` only, if given), ``full`` says that it has not run,
-    ``mute`` never answers, ``cut_after`` breaks the connection after so many
-    events and half of another (0: before the head), ``late_answer`` sends another
-    request's answer first, ``unsigned`` leaves the receipt out, ``confidence`` by
-    model is told with the head. ``lost_answers`` requests are run, and their
-    connections closed without an answer. ``early_end`` ends a body short of its
-    length. A run of a request with one of ``crashing_bodies`` ends the
-    endpoint. ``limit_per_s`` is stated in each answer.
+    - ``work_s``: time before an answer or the first event; ``gap_s``: time between
+      events
+    - ``failing``: answers 500; ``failing_every``: does so for each n-th request, of
+      ``failing_path`` only if that is set
+    - ``full``: answers 503 and marks the request as not run
+    - ``mute``: never answers
+    - ``cut_after``: closes the connection in the middle of the event after this many
+      (0: before the response head)
+    - ``late_answer``: sends the answer of another request first
+    - ``unsigned``: omits the receipt
+    - ``early_end``: closes the connection before Content-Length is reached
+    - ``lost_answers``: number of requests that run and get no answer, since their
+      connections are closed
+    - ``limit_per_s``: rate limit stated in each answer
+    - ``crashing_bodies``: requests with such a body crash the endpoint
+    - ``confidence``: value by model, sent in the response head
     """
 
     work_s: float = 0.02
--- a/acaciacove/standins/endpoint_entry.py
+++ b/acaciacove/standins/endpoint_entry.py
@@ -1,4 +1,4 @@
-"""One endpoint to stand in for."""
+"""One endpoint of a fleet file."""
 
 from attrs import frozen
 
@@ -8,7 +8,7 @@
 
 @frozen
 class EndpointEntry:
-    """A model engine with its versions and their true quality, or a service."""
+    """A model engine with its versions and their true quality, or a plain service."""
 
     port: int
     kind: ApiKind
--- a/acaciacove/standins/endpoint_server.py
+++ b/acaciacove/standins/endpoint_server.py
@@ -12,12 +12,12 @@
 
 Fields = list[tuple[bytes, bytes]]
 MISDIRECTED = 421
-# From the begin of a run to the crash that it causes.
+# Time from the start of a run to the crash that it causes.
 CRASH_AFTER_S = 0.05
 
 
 class EndpointServer:
-    """Runs requests as its behaviour says, and keeps what arrived."""
+    """Answers requests according to its behaviour and records them."""
 
     def __init__(
         self,
@@ -26,9 +26,9 @@
         arrivals: list[EndpointArrival],
         crash: Callable[[], None],
     ) -> None:
-        """Answer as ``report.instance``; ``arrivals`` is shared by a fleet.
+        """Initialise the server of ``report.instance``; a fleet shares ``arrivals``.
 
-        ``crash`` ends the endpoint with all its connections.
+        ``crash`` stops the endpoint and aborts all its connections.
         """
         self.report = report
         self.behaviour = behaviour
@@ -141,7 +141,7 @@
         await _send_response(front, 200, fields, body)
 
     def _send_foreign_answer(self, front: FrontConnection) -> None:
-        """Write an answer of another request in front of the own one."""
+        """Write the answer of another request before that of this one."""
         assert front.transport is not None
         other = b"HTTP/1.1 200 OK\r\n" + names.REQUEST_ID + b": somebody-else\r\n"
         other += names.RECEIPT + b": x\r\nContent-Length: 5\r\n\r\nother"
--- a/acaciacove/standins/endpoint_spec.py
+++ b/acaciacove/standins/endpoint_spec.py
@@ -9,7 +9,7 @@
 
 @frozen
 class EndpointSpec:
-    """Where an endpoint stands, what it serves, and how fast its engine is."""
+    """An endpoint's zone, its versions and the performance of its engine."""
 
     name: str
     api: str
--- a/acaciacove/standins/engine_app.py
+++ b/acaciacove/standins/engine_app.py
@@ -37,7 +37,7 @@
 
 
 def build_engine_app(state: EngineState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
     return Starlette(
         routes=[
             Route("/v1/chat/completions", _chat(state), methods=["POST"]),
@@ -74,7 +74,7 @@
 
 
 def _refuse_unknown_model(state: EngineState, body: dict[str, Any]) -> Response | None:
-    """Refuse a version that is not loaded."""
+    """Return a 404 response for a version that is not loaded, else None."""
     if body.get("model") in state.versions:
         return None
     state.counters.refused += 1
@@ -88,7 +88,7 @@
 
 
 async def _run_until_disconnect(request: Request, work: Awaitable[Any]) -> bool:
-    """Do some work unless the caller leaves first; tell whether it was done."""
+    """Run work until the caller disconnects; return whether it was completed."""
     working = asyncio.ensure_future(work)
     disconnected = asyncio.ensure_future(request.receive())
     try:
@@ -178,7 +178,7 @@
 
 
 async def _inject_stream_faults(state: EngineState, sent: int) -> bool:
-    """Break the stream at the token where the faults say so; True for garbage."""
+    """Inject faults at ``after_tokens``; return whether to send garbage."""
     faults = state.faults
     if sent != faults.after_tokens:
         return False
@@ -190,7 +190,7 @@
 
 
 def _event_frame(chat: Chat) -> tuple[bytes, bytes]:
-    """Return what stands before and after the text of every event."""
+    """Return the bytes before and after the text of every event."""
     event = orjson.dumps(_event(chat, {"content": CONTENT_PLACEHOLDER}, None))
     before, after = event.split(orjson.dumps(CONTENT_PLACEHOLDER))
     return b"data: " + before, after + b"\n\n"
--- a/acaciacove/standins/engine_chat.py
+++ b/acaciacove/standins/engine_chat.py
@@ -1,4 +1,4 @@
-"""How the engine stand-in generates one answer."""
+"""Generation of one answer by the engine stand-in."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -18,12 +18,12 @@
 
 
 class EngineCrashedError(Exception):  # noqa: N818
-    """The engine lost this answer half-way, as when its process restarts."""
+    """The engine crashed while it generated this answer."""
 
 
 @define
 class Chat:
-    """One answer in the making."""
+    """One answer that is being generated."""
 
     request_id: str
     answer_id: str
@@ -46,7 +46,7 @@
 
 
 def prepare(state: EngineState, request_id: str, body: dict[str, Any]) -> Chat:
-    """Look the prompt up in the cache and decide what will be said."""
+    """Look the prompt up in the cache and determine the complete answer."""
     version = str(body["model"])
     words = prompt_words(body)
     crossed = consume_fault(state.faults, "crossed")
@@ -65,7 +65,10 @@
 
 
 async def generate(state: EngineState, chat: Chat) -> AsyncIterator[str]:
-    """Generate token by token at the pace of the batch; raises EngineCrashedError."""
+    """Generate tokens at the speed of the batch.
+
+    Raises EngineCrashedError when the engine crashes meanwhile.
+    """
     uncached = chat.prompt_tokens - chat.cached_tokens
     await asyncio.sleep(uncached * state.profile.prefill_token_s)
     for number, token in enumerate(chat.tokens[chat.resume_from :]):
--- a/acaciacove/standins/engine_counters.py
+++ b/acaciacove/standins/engine_counters.py
@@ -7,7 +7,7 @@
 
 @define
 class EngineCounters:
-    """What an engine has done since it was made."""
+    """Counts since the engine stand-in was created."""
 
     started: int = 0
     finished: int = 0
--- a/acaciacove/standins/engine_faults.py
+++ b/acaciacove/standins/engine_faults.py
@@ -7,10 +7,11 @@
 class EngineFaults:
     """How many of the next answers fail in each way (-1: all).
 
-    ``crossed`` carries the id of another request; ``truncated`` ends after
-    ``after_tokens`` without a finish; ``dropped`` closes the connection there;
-    ``stalled`` says nothing more from there on for ``stall_s``; ``garbage`` is no
-    JSON; ``late`` starts ``late_s`` later; ``fail`` answers 500.
+    ``crossed`` sends the id of another request. ``truncated`` ends after
+    ``after_tokens`` without a finish reason. In a stream after so many tokens, or
+    else in place of the document, ``dropped`` closes the connection, ``stalled``
+    pauses for ``stall_s``, and ``garbage`` sends text that is not JSON. ``late``
+    starts ``late_s`` later. ``fail`` answers 500.
     """
 
     crossed: int = 0
--- a/acaciacove/standins/engine_orders.py
+++ b/acaciacove/standins/engine_orders.py
@@ -35,7 +35,7 @@
 
 
 async def _execute(state: EngineState, order: dict[str, Any]) -> bool:
-    """Do what an order says; False when there is no such action."""
+    """Execute an order; return False if its action is unknown."""
     match order.get("action"):
         case "load_version":
             await asyncio.sleep(state.profile.load_version_s)
@@ -51,7 +51,7 @@
 
 
 def export_endpoint(state: EngineState) -> Handler:
-    """Build the handler of ``GET /kv``: the cached prefix blocks as bytes."""
+    """Build the handler of ``GET /kv``, which exports the cached prefix blocks."""
 
     async def export(_: Request) -> Response:
         blocks = b"".join(
@@ -64,7 +64,7 @@
 
 
 def import_endpoint(state: EngineState) -> Handler:
-    """Build the handler of ``POST /kv``: blocks that another engine exported."""
+    """Build the handler of ``POST /kv``, which imports exported prefix blocks."""
 
     async def import_blocks(request: Request) -> Response:
         document = orjson.loads(await request.body())
--- a/acaciacove/standins/engine_profile.py
+++ b/acaciacove/standins/engine_profile.py
@@ -1,18 +1,20 @@
-"""How fast an engine stand-in is and what it bears."""
+"""Performance and capacity of an engine stand-in."""
 
 from attrs import frozen
 
 
 @frozen
 class EngineProfile:
-    """Times of one engine.
+    """Performance and capacity of one engine.
 
     A token takes ``token_s`` and ``token_per_peer_s`` more for every other request
-    in the batch; prefill takes ``prefill_token_s`` a token that is not cached.
-    While cold, an engine that is given more than ``cold_bears`` requests at once
-    falls over: it loses all of them and is cold for ``warm_up_s`` anew. At most
-    ``max_batch`` requests run at once, the rest wait by priority, lowest first.
-    ``refuses_old_fences`` tells whether it minds the fencing number of orders.
+    in the batch. Prefill takes ``prefill_token_s`` per token that is not cached.
+    A cold engine with more than ``cold_bears`` concurrent requests crashes: it loses
+    all of them and is cold for another ``warm_up_s``. At most ``max_batch`` requests
+    run at once. The others queue by priority, lowest number first.
+    ``load_lag_s`` is the age of the reported load, ``load_version_s`` the time to
+    load a version. With ``refuses_old_fences`` the engine refuses orders whose
+    fencing token is older than the newest it has seen.
     """
 
     token_s: float = 0.0
--- a/acaciacove/standins/engine_state.py
+++ b/acaciacove/standins/engine_state.py
@@ -17,7 +17,7 @@
 
 @define
 class EngineState:
-    """One engine: its versions, batch, cache, temperature and counters."""
+    """One engine: its versions, batch, prefix cache, warm-up and counters."""
 
     versions: set[str] = field(factory=set)
     profile: EngineProfile = field(factory=EngineProfile)
@@ -34,26 +34,26 @@
     loads: deque[tuple[float, int, int]] = field(factory=deque)
 
     def __attrs_post_init__(self) -> None:
-        """Size the prefix cache as the profile says."""
+        """Create the prefix cache in the size of the profile."""
         self.cache = PrefixCache(self.profile.cache_blocks)
 
     def is_cold(self, now_s: float) -> bool:
-        """Tell whether the engine still bears only a little load."""
+        """Return whether the engine is warming up and has only its cold capacity."""
         return now_s < self.cold_until_s
 
     def turn_cold(self, now_s: float) -> None:
-        """Start the warm-up anew, as after a restart."""
+        """Restart the warm-up, as after a process restart."""
         self.cold_until_s = now_s + self.profile.warm_up_s
 
     def crash(self, now_s: float) -> None:
-        """Lose everything in flight and be cold again."""
+        """Lose all requests in flight and the cache, and restart the warm-up."""
         self.counters.fell_over += 1
         self.incarnation += 1
         self.cache = PrefixCache(self.profile.cache_blocks)
         self.turn_cold(now_s)
 
     async def acquire_slot(self, priority: int) -> None:
-        """Wait for a place in the batch; a lower priority number goes first."""
+        """Wait for a batch slot; lower priority numbers are served first."""
         if self.in_flight >= self.profile.max_batch:
             await self._queue(priority)
         else:
@@ -64,7 +64,7 @@
             self.crash(now_s)
 
     def release_slot(self) -> None:
-        """Give the place to the first that waits, or free it."""
+        """Pass the slot to the first queued request, or free it."""
         while self.queue:
             _, _, slot = heapq.heappop(self.queue)
             if not slot.done():
@@ -75,7 +75,7 @@
         self._record_load()
 
     def reported_load(self, now_s: float) -> tuple[int, int]:
-        """Return in-flight and queued counts as they were a lag ago."""
+        """Return in-flight and queued counts as of ``load_lag_s`` ago."""
         as_of_s = now_s - self.profile.load_lag_s
         while len(self.loads) > 1 and self.loads[1][0] <= as_of_s:
             self.loads.popleft()
@@ -84,7 +84,7 @@
         return self.loads[0][1], self.loads[0][2]
 
     def token_time_s(self) -> float:
-        """Return how long one token takes in a batch of this size."""
+        """Return the time per token at the current batch size."""
         peers = max(0, self.in_flight - 1)
         return self.profile.token_s + peers * self.profile.token_per_peer_s
 
--- a/acaciacove/standins/engine_text.py
+++ b/acaciacove/standins/engine_text.py
@@ -1,4 +1,4 @@
-"""The text that an engine stand-in generates: known in advance."""
+"""The deterministic text that an engine stand-in generates."""
 
 import hashlib
 from random import Random
@@ -13,10 +13,10 @@
 
 
 def generated_tokens(version: str, body: dict[str, Any]) -> list[str]:
-    """Return the whole answer, token by token, of a version to a request.
+    """Return the tokens of the complete answer of a version to a request.
 
-    It depends on nothing but the version, the messages and ``max_tokens``, so that
-    whoever knows the request can check an answer for wholeness.
+    The answer depends only on the version, the messages and ``max_tokens``, so that
+    a test can check from the request whether an answer is complete.
     """
     messages = orjson.dumps([version, body.get("messages", [])])
     random = Random(hashlib.sha256(messages).digest())
@@ -25,7 +25,7 @@
 
 
 def prompt_words(body: dict[str, Any]) -> list[str]:
-    """Split the messages of a request into what counts as its prompt tokens."""
+    """Split the messages of a request into words, which count as prompt tokens."""
     words: list[str] = []
     for message in body.get("messages", []):
         words.extend(str(message.get("content", "")).split())
--- a/acaciacove/standins/example_organisations.py
+++ b/acaciacove/standins/example_organisations.py
@@ -1,4 +1,4 @@
-"""Organisations of the example deployments, with tokens anyone can guess."""
+"""Organisations of the example deployments, with predictable tokens."""
 
 from hashlib import sha256
 
@@ -15,7 +15,7 @@
 def example_organisation(
     name: str, models: tuple[str, ...], weight: float = 1.0
 ) -> Organisation:
-    """Allow an organisation every version of some models."""
+    """Return an organisation that may use every version of ``models``."""
     return Organisation(
         name=name,
         token_sha256=(sha256(example_token(name).encode()).hexdigest(),),
--- a/acaciacove/standins/faults.py
+++ b/acaciacove/standins/faults.py
@@ -1,4 +1,4 @@
-"""Faults of stand-ins, set from tests or over HTTP."""
+"""Fault injection of stand-ins, set by tests or over HTTP."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -16,7 +16,10 @@
 
 
 def consume_fault(faults: Any, name: str) -> bool:
-    """Use up one occurrence of a counted fault; ``ALWAYS`` never runs out."""
+    """Use up one occurrence of a fault and return whether it occurs.
+
+    A count of ``ALWAYS`` never runs out.
+    """
     remaining: int = getattr(faults, name)
     if remaining > 0:
         setattr(faults, name, remaining - 1)
--- a/acaciacove/standins/fleet_file.py
+++ b/acaciacove/standins/fleet_file.py
@@ -1,4 +1,4 @@
-"""The file that tells ``acaciacove standins`` what to stand in for."""
+"""The configuration file of ``acaciacove standins``."""
 
 from attrs import frozen
 
--- a/acaciacove/standins/gateway_fleet.py
+++ b/acaciacove/standins/gateway_fleet.py
@@ -1,4 +1,4 @@
-"""Gateways, endpoints and the log of a stand-in platform in one event loop."""
+"""Gateways, endpoints and the platform's log, simulated in one event loop."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Coroutine
@@ -38,9 +38,9 @@
 READINESS_PORT = 8001
 PEER_PORT = 8002
 ENDPOINT_PORT = 9000
-# Stand-ins take whatever a gateway may send.
+# Wide enough for every request that a gateway may send.
 STANDIN_LIMITS = CallerLimits(max_header_bytes=65_536, idle_timeout_s=10.0)
-# From a crash to the restart.
+# Time from a crash to the restart.
 RESTART_DELAY_S = 2.0
 OPERATOR = names.STREAMS[LogStream.OPERATOR]
 ENDPOINTS = names.STREAMS[LogStream.ENDPOINTS]
@@ -49,13 +49,13 @@
 
 
 async def serve_no_gossip(gateway: Gateway, metadata: MetadataLog) -> None:
-    """Leave a gateway without peers, where the loop has no datagrams."""
+    """Run a gateway without peers, for event loops without datagrams."""
     await asyncio.Event().wait()
 
 
 @define(eq=False, slots=False)
 class GatewayFleet:
-    """A small platform; tests change ``store``, behaviours and catalogue."""
+    """A small platform; tests change ``store``, the behaviours and the catalogue."""
 
     store_host: str = "10.0.0.1"
     store: KeyedLogState = field(factory=KeyedLogState)
@@ -70,18 +70,18 @@
     _stops: dict[str, asyncio.Event] = field(factory=dict)
 
     def boot_time_s(self) -> float:
-        """Read the clock that goes on while machines are suspended."""
+        """Return the simulated boot time, which includes time spent suspended."""
         return asyncio.get_running_loop().time() + self.suspended_s
 
     async def open(self) -> None:
-        """Start the log."""
+        """Start the server of the log."""
         await self.listen("", self.store_host, STORE_PORT, self._log_server().serve)
 
     def _log_server(self) -> KeyedLogServer:
         return KeyedLogServer(self.store)
 
     async def listen(self, name: str, host: str, port: int, serve: Serve) -> None:
-        """Serve HTTP at an address until ``name`` crashes or all is closed."""
+        """Serve HTTP at an address until ``name`` crashes or the fleet is closed."""
         connections: set[FrontConnection] = set()
 
         def protocol() -> FrontConnection:
@@ -109,22 +109,22 @@
         return server
 
     def register(self, report: EndpointReport) -> None:
-        """Write an endpoint's record."""
+        """Append an endpoint's record to the log."""
         self.store.append(ENDPOINTS, report.instance, write_endpoint(report))
 
     def announce_draining(self, instance: str) -> None:
-        """Let an endpoint say that it leaves; it goes on serving."""
+        """Register an endpoint as draining; it continues to serve."""
         report = evolve(self.endpoints[instance].report, draining=True)
         self.register(report)
 
     def crash(self, instance: str) -> None:
-        """End an endpoint and all its connections; its record stays."""
+        """Stop an endpoint and abort its connections; its record remains."""
         self._servers.pop(instance).close()
         for connection in list(self._connections.pop(instance)):
             connection.abort()
 
     def crash_and_restart(self, instance: str) -> None:
-        """Crash an endpoint, and start it again later under a new name."""
+        """Crash an endpoint and restart it after a delay under a new name."""
         if instance not in self._servers:
             return
         self.crash(instance)
@@ -148,21 +148,21 @@
         task.add_done_callback(self._restarts.discard)
 
     def cut_connections(self, instance: str) -> None:
-        """Break an endpoint's connections; it goes on listening."""
+        """Abort an endpoint's connections; it continues to listen."""
         for connection in list(self._connections[instance]):
             connection.abort()
 
     def publish(self, catalogue: Catalogue) -> None:
-        """Put a catalogue in force."""
+        """Append a catalogue, which takes effect once gateways read it."""
         record = write_catalogue(catalogue)
         self.store.append(OPERATOR, names.CATALOGUE_KEY, record)
 
     def evacuate_zone(self, zone: str) -> None:
-        """Evacuate a zone."""
+        """Take an availability zone out of service."""
         self.store.append(OPERATOR, names.ZONE_OUT_KEY + zone, b"{}")
 
     def restore_zone(self, zone: str) -> None:
-        """Take a zone back."""
+        """Return an availability zone to service."""
         self.store.append(OPERATOR, names.ZONE_OUT_KEY + zone, b"")
 
     def roll_out(self, spec: RolloutSpec) -> None:
@@ -171,7 +171,7 @@
         self.store.append(OPERATOR, key, write_rollout(spec))
 
     def outcome(self, service: str) -> str:
-        """Return the recorded state of a roll-out, or nothing."""
+        """Return the recorded state of a roll-out, or an empty string."""
         found = self.store.newest[OUTCOMES].get(names.ROLLOUT_KEY + service)
         return found[1].decode() if found else ""
 
@@ -181,7 +181,7 @@
         serve_gossip: ServeGossip = serve_no_gossip,
         seed: int = 0,
     ) -> RunningGateway:
-        """Start a gateway; it serves when it is ready."""
+        """Start a gateway; it accepts callers once it is ready."""
         metadata = LogClient(self.store_host, STORE_PORT, settings.name)
         log = EventLog(settings.name, descriptor=None)
         running = RunningGateway(
@@ -201,16 +201,16 @@
         return running
 
     async def stop_gateway(self, name: str) -> None:
-        """Tell a gateway to stop and wait until it has."""
+        """Shut a gateway down and wait until it has stopped."""
         self._stops[name].set()
         await self._tasks[name]
 
     def kill_gateway(self, name: str) -> None:
-        """End a gateway without a word."""
+        """Kill a gateway without a graceful shutdown."""
         self._tasks.pop(name).cancel()
 
     async def close(self) -> None:
-        """End everything."""
+        """Stop all gateways and servers."""
         for task in self._tasks.values():
             task.cancel()
         await asyncio.gather(*self._tasks.values(), return_exceptions=True)
@@ -222,7 +222,7 @@
 
 
 def gateway_settings(name: str, host: str, zone: str) -> GatewaySettings:
-    """Return settings of a gateway at the stand-in platform's ports."""
+    """Return the settings of a gateway for the ports of this platform."""
     return GatewaySettings(
         name=name,
         availability_zone=zone,
--- a/acaciacove/standins/instance_list_app.py
+++ b/acaciacove/standins/instance_list_app.py
@@ -14,7 +14,7 @@
 
 
 def build_instance_list_app(state: InstanceListState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
 
     async def instances(_: Request) -> Response:
         if state.faults.outage:
--- a/acaciacove/standins/instance_list_faults.py
+++ b/acaciacove/standins/instance_list_faults.py
@@ -5,10 +5,10 @@
 
 @define
 class InstanceListFaults:
-    """What is wrong with the list.
+    """Outage, delay and errors of the list.
 
-    It shows the fleet as it was ``lag_s`` ago; it leaves out ``hidden`` names, and
-    calls ``live`` those that are named in ``called_live``, whatever they are.
+    The list is ``lag_s`` old. It omits the instances named in ``hidden`` and reports
+    those named in ``called_live`` as live, whatever their status is.
     """
 
     outage: bool = False
--- a/acaciacove/standins/instance_list_state.py
+++ b/acaciacove/standins/instance_list_state.py
@@ -9,18 +9,18 @@
 
 @define
 class InstanceListState:
-    """Every list that was ever set, with the time it was set at."""
+    """Every published list with the time of its publication."""
 
     faults: InstanceListFaults = field(factory=InstanceListFaults)
     history: list[tuple[float, tuple[Instance, ...]]] = field(factory=list)
     fetches: int = 0
 
     def publish(self, now_s: float, instances: tuple[Instance, ...]) -> None:
-        """Set the list that is true from now on."""
+        """Publish the list that holds from ``now_s`` on."""
         self.history.append((now_s, instances))
 
     def listed(self, now_s: float) -> list[Instance]:
-        """Return the list as a reader sees it: late, and with its errors."""
+        """Return the list as readers get it, with its lag and errors."""
         as_of_s = now_s - self.faults.lag_s
         current: tuple[Instance, ...] = ()
         for since_s, instances in self.history:
--- a/acaciacove/standins/json_response.py
+++ b/acaciacove/standins/json_response.py
@@ -1,4 +1,4 @@
-"""JSON answers of the stand-ins."""
+"""JSON responses of the stand-ins."""
 
 from typing import Any
 
@@ -9,6 +9,6 @@
 
 
 def json_response(document: Any, status: int = 200, **headers: str) -> Response:
-    """Answer with a document; underscores in header names become hyphens."""
+    """Return a JSON response; underscores in header names become hyphens."""
     named = {name.replace("_", "-"): value for name, value in headers.items()}
     return Response(orjson.dumps(document), status, named, media_type=JSON)
--- a/acaciacove/standins/keyed_log_server.py
+++ b/acaciacove/standins/keyed_log_server.py
@@ -1,4 +1,4 @@
-"""A stand-in for the users' platform's log, over HTTP."""
+"""HTTP server that stands in for the log of the users' platform."""
 
 import asyncio
 from base64 import b64encode
@@ -21,11 +21,11 @@
     """Answers the calls that a gateway makes to the log."""
 
     def __init__(self, state: KeyedLogState) -> None:
-        """Serve ``state``, which tests change meanwhile."""
+        """Initialise a server of ``state``, which tests change while it runs."""
         self.state = state
 
     async def serve(self, request: CallerRequest, front: FrontConnection) -> None:
-        """Answer one call, or fail as the state says."""
+        """Answer one call, or fail according to the state's faults."""
         caller = dict(request.headers).get(b"user-agent", b"").decode()
         if await self._fails(front, caller):
             return
--- a/acaciacove/standins/keyed_log_state.py
+++ b/acaciacove/standins/keyed_log_state.py
@@ -11,11 +11,11 @@
     """Records of each stream from ``first`` on, and the newest of each key.
 
     Faults: ``down`` is how calls fail ("busy" answers 503, "reset" closes the
-    connection, "silent" says nothing); ``lost_replies`` is how many of the next
-    appends take effect without an answer; ``failing_callers`` alone meet ``down``,
-    when there are any, by the name in their User-Agent field. ``rejected_callers`` are
-    callers that are answered 503 whatever else is the matter. ``last_readers`` are
-    those who last read each stream.
+    connection, "silent" never answers). If ``failing_callers`` is not empty, only
+    those callers are affected by ``down``. ``rejected_callers`` always get 503.
+    Callers are known by the name in their User-Agent field. ``lost_replies`` is the
+    number of coming appends that take effect without an answer. ``last_readers``
+    maps a stream to the last caller that read it.
     """
 
     records: dict[str, list[tuple[str, bytes]]] = field(
@@ -35,11 +35,11 @@
     _changed: asyncio.Event = field(factory=asyncio.Event)
 
     def end(self, stream: str) -> int:
-        """Return the offset behind the last record."""
+        """Return the offset that the next record gets."""
         return self.first[stream] + len(self.records[stream])
 
     def append(self, stream: str, key: str, value: bytes) -> int:
-        """Add a record, or with no value remove the key; returns the end."""
+        """Append a record and return the new end; an empty value removes the key."""
         offset = self.end(stream)
         self.records[stream].append((key, value))
         if value:
@@ -51,12 +51,12 @@
         return offset + 1
 
     def truncate_history(self, stream: str) -> None:
-        """Drop all records; the newest of each key stays known."""
+        """Drop all records, but retain the newest of each key."""
         self.first[stream] = self.end(stream)
         self.records[stream].clear()
 
     async def wait_for(self, stream: str, offset: int, wait_s: float) -> None:
-        """Wait until a record is at ``offset``, at most ``wait_s``."""
+        """Wait for a record at ``offset``, for at most ``wait_s``."""
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + wait_s
         while self.end(stream) <= offset and loop.time() < deadline_s:
--- a/acaciacove/standins/local_fleet.py
+++ b/acaciacove/standins/local_fleet.py
@@ -1,4 +1,4 @@
-"""A deployment's sidecars and entries in one process, over running stand-ins."""
+"""Runs a deployment's sidecars and entries in one process, against stand-ins."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -39,13 +39,13 @@
     entries: tuple[RunningEntry, ...]
 
     def publish(self, record: Record) -> int:
-        """Append a record as an operator's command would, and return its offset."""
+        """Append a record as an operator's command does, and return its offset."""
         log = self.platform.log
         stream = log.stream(RELEASE_STREAM)
         return stream.append(encode_record(record), log.faults.keep_records)
 
     async def wait_until_applied(self, offset: int) -> None:
-        """Wait until every process holds the record at an offset."""
+        """Wait until every process has applied the record at an offset."""
         holders = [sidecar.state.fleet_store for sidecar in self.sidecars.values()]
         holders += [entry.state.fleet_store for entry in self.entries]
         await _wait_until(lambda: all(h.state.revision >= offset for h in holders))
@@ -55,7 +55,7 @@
 async def running_fleet(
     platform: RunningPlatform, entries: int = 2
 ) -> AsyncIterator[LocalFleet]:
-    """Publish the first release note and run the fleet until every part is ready."""
+    """Publish the first release note, start the fleet and wait until it is ready."""
     deployment = platform.deployment
     sidecars: dict[str, RunningSidecar] = {}
     running: list[RunningEntry] = []
@@ -78,7 +78,7 @@
 
 @asynccontextmanager
 async def shut_down_together() -> AsyncIterator[Starter]:
-    """Yield what starts daemons; they are all told to stop at the same moment."""
+    """Yield a function that starts daemons; all are shut down concurrently."""
     stacks: list[AsyncExitStack] = []
 
     async def start(context: AbstractAsyncContextManager[Any]) -> Any:
@@ -143,7 +143,7 @@
 def _instances(
     platform: RunningPlatform, sidecars: dict[str, RunningSidecar]
 ) -> tuple[Instance, ...]:
-    """List the endpoints as the platform's list would."""
+    """Return the endpoints as the platform's instance list has them."""
     return tuple(
         Instance(
             name=spec.name,
--- a/acaciacove/standins/log_app.py
+++ b/acaciacove/standins/log_app.py
@@ -19,7 +19,7 @@
 
 
 def build_log_app(state: LogState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
     records = "/streams/{stream:path}/records"
     return Starlette(
         routes=[
@@ -74,7 +74,7 @@
 async def _wait_for_record(
     request: Request, stream: LogStream, offset: int, wait_s: float
 ) -> None:
-    """Wait until the stream holds the offset, the time is up, or the reader left."""
+    """Wait for a record at ``offset``, the time-out, or the reader to disconnect."""
     disconnected = asyncio.create_task(_wait_for_disconnect(request))
     try:
         async with asyncio.timeout(wait_s):
@@ -93,7 +93,7 @@
 
 
 async def _wait_for_disconnect(request: Request) -> None:
-    """Return once the reader has closed its connection."""
+    """Return when the reader has closed its connection."""
     while (await request.receive())["type"] != "http.disconnect":
         pass
 
--- a/acaciacove/standins/log_faults.py
+++ b/acaciacove/standins/log_faults.py
@@ -5,11 +5,11 @@
 
 @define
 class LogFaults:
-    """What goes wrong with the log.
+    """Outage, delay, lost replies and limits of the log.
 
-    ``lose_replies`` counts appends that take effect and whose reply is lost (-1 for
-    all); ``keep_records`` is how many records a stream keeps (0 keeps all), and
-    ``appends_per_s`` the rate above which appends get 429 (0 has no limit).
+    ``lose_replies`` is the number of coming appends that take effect and whose reply
+    is lost (-1: all). ``keep_records`` is the number of records that a stream retains
+    (0: all). Above a rate of ``appends_per_s`` appends get 429 (0: no limit).
     """
 
     outage: bool = False
--- a/acaciacove/standins/log_state.py
+++ b/acaciacove/standins/log_state.py
@@ -9,7 +9,7 @@
 
 @define
 class LogStream:
-    """Records of one stream; the first one kept has offset ``first_offset``."""
+    """Records of one stream; the oldest retained has offset ``first_offset``."""
 
     records: list[bytes] = field(factory=list)
     first_offset: int = 0
@@ -21,7 +21,7 @@
         return self.first_offset + len(self.records)
 
     def append(self, payload: bytes, keep_records: int) -> int:
-        """Keep a record, expire old ones, wake readers and return the offset."""
+        """Append a record, expire old ones, wake readers and return the offset."""
         offset = self.next_offset
         self.records.append(payload)
         self.expire(keep_records)
@@ -30,14 +30,14 @@
         return offset
 
     def expire(self, keep_records: int) -> None:
-        """Forget all but the newest records; 0 keeps all."""
+        """Drop all but the newest ``keep_records`` records; 0 retains all."""
         surplus = len(self.records) - keep_records
         if keep_records and surplus > 0:
             del self.records[:surplus]
             self.first_offset += surplus
 
     def read(self, from_offset: int, limit: int) -> list[tuple[int, bytes]]:
-        """Return records from an offset on with their offsets."""
+        """Return at most ``limit`` records from an offset on, with their offsets."""
         start = from_offset - self.first_offset
         found = self.records[start : start + limit]
         return list(enumerate(found, from_offset))
@@ -45,7 +45,7 @@
 
 @define
 class LogState:
-    """All streams, the faults in force and counters of what was asked."""
+    """All streams, the current faults and counters of requests."""
 
     faults: LogFaults = field(factory=LogFaults)
     streams: dict[str, LogStream] = field(factory=dict)
@@ -56,11 +56,11 @@
     allowance_at_s: float = 0.0
 
     def stream(self, name: str) -> LogStream:
-        """Return a stream, made when first named."""
+        """Return a stream; it is created on first use."""
         return self.streams.setdefault(name, LogStream())
 
     def admits_append(self, now_s: float) -> bool:
-        """Tell whether the rate limit lets one more append through."""
+        """Return whether the rate limit admits one more append, and count it."""
         rate = self.faults.appends_per_s
         if not rate:
             return True
--- a/acaciacove/standins/platform_fleet.py
+++ b/acaciacove/standins/platform_fleet.py
@@ -1,4 +1,4 @@
-"""Every stand-in of one deployment, running in the current loop."""
+"""Runs every stand-in of one deployment in the current event loop."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -65,7 +65,7 @@
 def _endpoint_states(
     deployment: Deployment,
 ) -> tuple[dict[str, EngineState], dict[str, ServiceState]]:
-    """Build a state for every endpoint, by its name."""
+    """Return the states of model engines and of plain services, by endpoint name."""
     engines = {
         spec.name: _engine_state(spec)
         for spec in deployment.endpoints
--- a/acaciacove/standins/prefix_cache.py
+++ b/acaciacove/standins/prefix_cache.py
@@ -1,4 +1,4 @@
-"""A prefix cache in limited memory, as engines keep it."""
+"""A prefix cache of limited size, as model engines have."""
 
 from collections import OrderedDict
 
@@ -9,14 +9,14 @@
 
 @define
 class PrefixCache:
-    """Blocks of prompt prefixes, least recently used first out."""
+    """Blocks of prompt prefixes with least-recently-used eviction."""
 
     capacity_blocks: int = 4096
     blocks: OrderedDict[int, None] = field(factory=OrderedDict)
     evicted: int = 0
 
     def lookup(self, version: str, words: list[str]) -> int:
-        """Return how many leading tokens are cached, then keep the prompt."""
+        """Return the number of cached leading tokens, then cache the prompt."""
         prefixes = _prefixes(version, words)
         hits = 0
         while hits < len(prefixes) and prefixes[hits] in self.blocks:
@@ -26,7 +26,7 @@
         return hits * BLOCK_TOKENS
 
     def insert(self, prefix: int) -> None:
-        """Keep one block and evict the oldest when memory is full."""
+        """Insert a block and evict the least recently used above capacity."""
         self.blocks[prefix] = None
         self.blocks.move_to_end(prefix)
         while len(self.blocks) > self.capacity_blocks:
@@ -35,7 +35,7 @@
 
 
 def _prefixes(version: str, words: list[str]) -> list[int]:
-    """Hash every whole block together with all that stands before it."""
+    """Hash every complete block together with all blocks before it."""
     prefixes = []
     running = hash(version)
     for start in range(0, len(words) - BLOCK_TOKENS + 1, BLOCK_TOKENS):
--- a/acaciacove/standins/rating_app.py
+++ b/acaciacove/standins/rating_app.py
@@ -17,7 +17,7 @@
 
 
 def build_rating_app(state: RatingState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
 
     async def answers(request: Request) -> Response:
         if state.faults.outage:
--- a/acaciacove/standins/rating_faults.py
+++ b/acaciacove/standins/rating_faults.py
@@ -5,10 +5,10 @@
 
 @define
 class RatingFaults:
-    """What is wrong with the ratings.
+    """Outage, sampling, delay and bias of the ratings.
 
-    Only ``sampled_share`` of the answers are rated, ``delay_s`` after they came in,
-    and every score is off by ``bias``.
+    A share ``sampled_share`` of the answers is rated. Their ratings are listed
+    ``delay_s`` after submission, and ``bias`` is added to the mean of every score.
     """
 
     outage: bool = False
--- a/acaciacove/standins/rating_state.py
+++ b/acaciacove/standins/rating_state.py
@@ -13,7 +13,7 @@
 
 @define
 class RatingState:
-    """``qualities`` maps a version to its true mean score, which nobody else knows."""
+    """Ratings so far; ``qualities`` maps a version to its true mean score."""
 
     random: Random
     faults: RatingFaults = field(factory=RatingFaults)
@@ -22,7 +22,7 @@
     submitted: int = 0
 
     def submit(self, answer: SubmittedAnswer, now_s: float) -> None:
-        """Rate an answer of the sample; its rating shows after a delay."""
+        """Rate an answer if it is sampled; its rating is listed after a delay."""
         self.submitted += 1
         if self.random.random() >= self.faults.sampled_share:
             return
@@ -31,7 +31,7 @@
         self.rated.append((now_s + self.faults.delay_s, score, answer))
 
     def ratings(self, after: int, limit: int, now_s: float) -> list[dict[str, object]]:
-        """List ratings after a sequence number, in order, up to the first late one."""
+        """List ratings after a sequence number, up to the first that is not yet due."""
         found: list[dict[str, object]] = []
         for sequence, (due_s, score, answer) in enumerate(self.rated, 1):
             if due_s > now_s or len(found) == limit:
--- a/acaciacove/standins/read_fleet_file.py
+++ b/acaciacove/standins/read_fleet_file.py
@@ -1,4 +1,4 @@
-"""Reads a fleet file, listing all its faults."""
+"""Reads a fleet file and collects all its errors."""
 
 from typing import Any
 
@@ -67,7 +67,7 @@
 
 
 def read_fleet_file(data: bytes) -> FleetFile:
-    """Read a fleet file; raises InvalidNoteError with every fault."""
+    """Read a fleet file; raises InvalidNoteError with all errors."""
     faults = FaultList()
     root = load_nodes(data, MAX_FILE_BYTES)
     values = read_keys(root, "", faults, FLEET_KEYS)
--- a/acaciacove/standins/run_standins.py
+++ b/acaciacove/standins/run_standins.py
@@ -1,4 +1,4 @@
-"""Serves every stand-in of a fleet file until the process is told to stop."""
+"""Serves every stand-in of a fleet file until the process is stopped."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -28,9 +28,9 @@
 async def run_standins(
     fleet: FleetFile, seed: int, started: asyncio.Event, stop: asyncio.Event
 ) -> None:
-    """Serve all stand-ins, set ``started``, and end them after ``stop``.
+    """Serve all stand-ins, set ``started``, and stop them once ``stop`` is set.
 
-    Raises OSError when a port is taken.
+    Raises OSError when a port is in use.
     """
     async with AsyncExitStack() as stack:
         applications, _ = standin_applications(fleet, seed)
@@ -43,7 +43,7 @@
 def standin_applications(
     fleet: FleetFile, seed: int
 ) -> tuple[list[tuple[int, Starlette]], InstanceListState]:
-    """Build each stand-in with its port, and the state of the instance list."""
+    """Return each stand-in with its port, and the state of the instance list."""
     listed = InstanceListState()
     listed.publish(asyncio.get_running_loop().time(), fleet.instances)
     qualities = {str(v): e.quality for e in fleet.endpoints for v in e.versions}
--- a/acaciacove/standins/running_platform.py
+++ b/acaciacove/standins/running_platform.py
@@ -1,4 +1,4 @@
-"""The addresses and states of a deployment's running stand-ins."""
+"""URLs and states of a deployment's running stand-ins."""
 
 import asyncio
 
@@ -16,7 +16,7 @@
 
 @frozen
 class RunningPlatform:
-    """URLs for settings of daemons, and states to look at and to disturb.
+    """URLs for the settings of daemons, and states to inspect and inject faults.
 
     ``endpoint_urls``, ``engines`` and ``services`` are keyed by endpoint name.
     """
@@ -35,6 +35,6 @@
     services: dict[str, ServiceState]
 
     def list_instances(self, instances: tuple[Instance, ...]) -> None:
-        """Set what the platform's instance list holds from now on."""
+        """Set the content of the platform's instance list from now on."""
         now_s = asyncio.get_running_loop().time()
         self.instance_list.publish(now_s, instances)
--- a/acaciacove/standins/serve.py
+++ b/acaciacove/standins/serve.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in inside the running loop."""
+"""Serves stand-ins in the running event loop."""
 
 import asyncio
 import socket
@@ -19,11 +19,11 @@
 
 
 class _ServerWithoutSignals(Server):
-    """A server that leaves the process's signal handlers alone."""
+    """A server that does not install signal handlers."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture nothing: the signals belong to the program around it."""
+        """Capture no signals: the embedding program deals with them."""
         yield
 
 
@@ -31,7 +31,7 @@
 async def serve(
     app: Starlette, host: str = LOOPBACK, port: int = ANY_PORT
 ) -> AsyncIterator[int]:
-    """Serve an application in the current loop and yield its port."""
+    """Serve an application in the current event loop and yield its port."""
     async with serve_all([app], host, [port]) as ports:
         yield ports[0]
 
@@ -42,7 +42,7 @@
     host: str = LOOPBACK,
     ports: Sequence[int] | None = None,
 ) -> AsyncIterator[list[int]]:
-    """Serve several applications, which start and stop together."""
+    """Serve several applications, started and stopped together; yield their ports."""
     listeners = [_listen(host, port) for port in ports or [ANY_PORT] * len(apps)]
     servers = [_ServerWithoutSignals(_config(app)) for app in apps]
     running = [
@@ -59,10 +59,10 @@
 
 
 def _listen(host: str, port: int) -> socket.socket:
-    """Open the listening socket here, so that its port is known.
+    """Open the listening socket before the server starts, to learn its port.
 
-    The protocol is named because asyncio switches Nagle's algorithm off only for
-    sockets that name it; otherwise small writes wait 40 ms for an acknowledgement.
+    The protocol is set explicitly because asyncio sets TCP_NODELAY only on such
+    sockets. With Nagle's algorithm small writes wait 40 ms for an acknowledgement.
     """
     listener = socket.socket(
         socket.AF_INET, socket.SOCK_STREAM, proto=socket.IPPROTO_TCP
--- a/acaciacove/standins/service_app.py
+++ b/acaciacove/standins/service_app.py
@@ -21,7 +21,7 @@
 
 
 def build_service_app(state: ServiceState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
     return Starlette(
         routes=[
             Route("/effects", _effects(state), methods=["GET"]),
@@ -76,7 +76,7 @@
 
 
 def _reference(body: bytes) -> str:
-    """Read the booking's reference; empty when the body names none."""
+    """Return the reference in the body, or an empty string if there is none."""
     try:
         document: Any = orjson.loads(body)
     except orjson.JSONDecodeError:
--- a/acaciacove/standins/service_faults.py
+++ b/acaciacove/standins/service_faults.py
@@ -7,9 +7,10 @@
 class ServiceFaults:
     """How many of the next calls fail in each way (-1: all).
 
-    ``hang_after_effect`` keeps the caller waiting for ``hang_s``; the drops close
-    the connection; ``fail`` answers 500 before any effect; ``foreign_id`` answers
-    with the id of another request. ``delay_s`` slows every call.
+    ``hang_after_effect`` delays the answer by ``hang_s`` after the effect.
+    ``drop_before_effect`` and ``drop_after_effect`` close the connection. ``fail``
+    answers 500 before any effect. ``foreign_id`` answers with the id of another
+    request. ``delay_s`` is added to every call.
     """
 
     hang_after_effect: int = 0
--- a/acaciacove/standins/service_state.py
+++ b/acaciacove/standins/service_state.py
@@ -9,7 +9,7 @@
 
 @define
 class ServiceState:
-    """Every effect ever made, counted; the service itself never drops a double."""
+    """Counts of all effects; the service does not deduplicate by itself."""
 
     faults: ServiceFaults = field(factory=ServiceFaults)
     effects_by_key: Counter[str] = field(factory=Counter)
--- a/acaciacove/standins/souk.py
+++ b/acaciacove/standins/souk.py
@@ -1,4 +1,4 @@
-"""The Souk Atlas Kiosk Assistant Router Fleet, at its size of today."""
+"""Example deployment: the Souk Atlas Kiosk Assistant Router Fleet."""
 
 from acaciacove.fleet.api import Api
 from acaciacove.fleet.api_kind import ApiKind
--- a/acaciacove/standins/spread_endpoints.py
+++ b/acaciacove/standins/spread_endpoints.py
@@ -1,4 +1,4 @@
-"""Replicas of one API, spread over availability zones."""
+"""Spreads the replicas of one API over availability zones."""
 
 from acaciacove.fleet.api_kind import ApiKind
 from acaciacove.fleet.version_id import VersionId
@@ -13,7 +13,7 @@
     served: tuple[VersionId, ...],
     profile: EngineProfile | None = None,
 ) -> tuple[EndpointSpec, ...]:
-    """Place one replica a served version, zone by zone in turn."""
+    """Return one replica per item of ``served``, placed in the zones round-robin."""
     return tuple(
         EndpointSpec(
             name=f"{api}-{number + 1}",
--- a/acaciacove/standins/submitted_answer.py
+++ b/acaciacove/standins/submitted_answer.py
@@ -1,11 +1,11 @@
-"""One answer that was handed in for rating."""
+"""One answer that was submitted for rating."""
 
 from attrs import frozen
 
 
 @frozen
 class SubmittedAnswer:
-    """An answer, the version that gave it and the class of its request."""
+    """An answer, the version that generated it and the class of its request."""
 
     request_id: str
     version: str
--- a/acaciacove/standins/swimhole.py
+++ b/acaciacove/standins/swimhole.py
@@ -1,4 +1,4 @@
-"""The Shared Swimhole Guide Platform Router, at its size of today."""
+"""Example deployment: the Shared Swimhole Guide Platform Router."""
 
 from acaciacove.fleet.api import Api
 from acaciacove.fleet.api_kind import ApiKind
--- a/acaciacove/standins/weight_store_app.py
+++ b/acaciacove/standins/weight_store_app.py
@@ -15,7 +15,7 @@
 
 
 def build_weight_store_app(state: WeightStoreState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
 
     async def loads(request: Request) -> Response:
         weights = orjson.loads(await request.body())["weights"]
--- a/acaciacove/standins/weight_store_faults.py
+++ b/acaciacove/standins/weight_store_faults.py
@@ -5,7 +5,7 @@
 
 @define
 class WeightStoreFaults:
-    """``lose_replies`` counts permits that are booked and never told (-1: all)."""
+    """``lose_replies`` is the number of permits granted without a reply (-1: all)."""
 
     outage: bool = False
     delay_s: float = 0.0
--- a/acaciacove/standins/weight_store_state.py
+++ b/acaciacove/standins/weight_store_state.py
@@ -7,7 +7,7 @@
 
 @define
 class WeightStoreState:
-    """Grants one load every ``load_interval_s``; whoever comes early asks again."""
+    """Grants one load per ``load_interval_s``; earlier callers have to retry."""
 
     faults: WeightStoreFaults = field(factory=WeightStoreFaults)
     load_interval_s: float = 1.0
@@ -16,7 +16,7 @@
     permits: dict[str, int] = field(factory=dict)
 
     def acquire(self, weights: str, now_s: float) -> float:
-        """Grant a load and return 0, or return the seconds until one is free."""
+        """Grant a load and return 0, or return the seconds until the next grant."""
         self.acquire_calls += 1
         if now_s < self.next_at_s:
             return self.next_at_s - now_s
--- a/tests/test_deployments.py
+++ b/tests/test_deployments.py
@@ -1,4 +1,4 @@
-"""The example deployments have the sizes of today and consistent names."""
+"""Tests of the example deployments: their sizes and consistent names."""
 
 import asyncio
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The sidecar refuses, truthfully, whatever it knows to be wrong."""
+"""The sidecar refuses runs that it knows to be invalid, and says why."""
 
 import pytest
 from attrs import evolve
@@ -51,8 +51,8 @@
     ],
 )
 def test_invalid_runs_are_refused_as_not_run(run, view, reason):
-    # The entry's view is behind, or its message is wrong. The caller must get no
-    # answer from a version it may not use, and must be told that nothing ran.
+    # The entry's view is stale, or its message is invalid. The caller must get no
+    # answer from a version that it may not use. The refusal must say that nothing ran.
     refusal = refuse_run(run, view)
     assert refusal is not None
     assert (refusal.reason, refusal.not_run) == (reason, True)
@@ -77,8 +77,8 @@
     ],
 )
 def test_runs_on_stopped_targets_are_refused_as_not_run(change, reason):
-    # An operator takes something out, and a request chosen before that arrives
-    # after it. Without the check the caller is served by what was taken out.
+    # An operator takes a zone, instance or version out of service, and a request
+    # routed before that arrives afterwards. Without the check it would be served there.
     refusal = refuse_run(RUN, evolve(VIEW, fleet=evolve(FLEET, **change)))
     assert refusal is not None
     assert (refusal.reason, refusal.not_run) == (reason, True)
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -1,4 +1,4 @@
-"""The long run keeps every promise, and each of its checks can fail."""
+"""The long run keeps every promise, and each of its checks can detect a fault."""
 
 import pytest
 
@@ -25,14 +25,15 @@
 
 @pytest.mark.parametrize("mechanism", BREAKABLE)
 def test_a_broken_mechanism_makes_its_counter_rise(mechanism):
-    # One run is short: a broken limit shows only when a burst meets a cold endpoint.
+    # Several seeds, since one run is short: a broken limit shows only when a burst
+    # of requests reaches a cold endpoint.
     wanted = set(COUNTERS.get(mechanism, (mechanism,)))
     for seed in SEEDS:
         report = run_promises(seed, 2, mechanism)
         wanted -= {name for name, count in report.violations.items() if count}
         if not wanted:
             return
-    pytest.fail(f"nothing noticed that {mechanism} is broken: {wanted}")
+    pytest.fail(f"{mechanism} is broken, but no violation counted for {wanted}")
 
 
 def test_an_unknown_promise_is_refused():
@@ -41,8 +42,8 @@
 
 
 def test_paused_process_makes_no_decision_until_confirmed_up_to_date():
-    # A machine freezes for a minute. The messages in its socket buffers are a
-    # minute old; a release that withdrew a version has come meanwhile.
+    # A machine is suspended for a minute. The messages in its socket buffers are a
+    # minute old, and a release that withdrew a version was published meanwhile.
     pause_detector = PauseDetector()
     for step in range(20):
         pause_detector.tick(step * 0.1)
--- a/tests/test_standins.py
+++ b/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins fail in the ways in which the platform does."""
+"""Tests of the stand-ins: they fail in the ways in which the platform does."""
 
 import asyncio
 from random import Random
@@ -68,8 +68,8 @@
 
 
 def test_append_with_a_lost_reply_is_stored():
-    # The log takes a record and its reply gets lost. A program that believes the
-    # failure appends twice, or tells a caller that nothing was done.
+    # The log stores a record and its reply is lost. A client that treats this as a
+    # failed append would append twice, or report to a caller that nothing was done.
     state = LogState()
     state.faults.lose_replies = 1
 
@@ -173,8 +173,8 @@
     ],
 )
 def test_the_plain_service_counts_the_effects_of_failed_calls(fault, reason, effects):
-    # A booking takes effect and its confirmation is lost, late or someone else's.
-    # Whether a shuttle is booked can be read from the service's own count only.
+    # A booking takes effect and its confirmation is lost, late or that of another
+    # request. Only the service's own count shows whether the shuttle is booked.
     state = ServiceState()
     setattr(state.faults, fault, 1)
 
