--- a/acaciacove/standins/engine_faults.py
+++ b/acaciacove/standins/engine_faults.py
@@ -8,10 +8,10 @@
     """How many of the next answers fail in each way (-1: all).
 
     ``crossed`` sends the id of another request. ``truncated`` ends after
-    ``after_tokens`` without a finish reason. In a stream after so many tokens, or
-    else in place of the document, ``dropped`` closes the connection, ``stalled``
-    pauses for ``stall_s``, and ``garbage`` sends text that is not JSON. ``late``
-    starts ``late_s`` later. ``fail`` answers 500.
+    ``after_tokens`` without a finish reason. ``dropped`` closes the connection,
+    ``stalled`` pauses for ``stall_s`` and ``garbage`` sends text that is not JSON.
+    These three occur after ``after_tokens`` of a stream, or when an unstreamed
+    answer is due. ``late`` starts ``late_s`` later. ``fail`` answers 500.
     """
 
     crossed: int = 0
--- a/acaciacove/standins/engine_profile.py
+++ b/acaciacove/standins/engine_profile.py
@@ -12,6 +12,7 @@
     A cold engine with more than ``cold_bears`` concurrent requests crashes: it loses
     all of them and is cold for another ``warm_up_s``. At most ``max_batch`` requests
     run at once. The others queue by priority, lowest number first.
+
     ``load_lag_s`` is the age of the reported load, ``load_version_s`` the time to
     load a version. With ``refuses_old_fences`` the engine refuses orders whose
     fencing token is older than the newest it has seen.
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -1,4 +1,4 @@
-"""The sidecar refuses runs that it knows to be invalid, and says why."""
+"""The sidecar refuses invalid runs, and says why."""
 
 import pytest
 from attrs import evolve
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -33,7 +33,7 @@
         wanted -= {name for name, count in report.violations.items() if count}
         if not wanted:
             return
-    pytest.fail(f"{mechanism} is broken, but no violation counted for {wanted}")
+    pytest.fail(f"no violation counted although {mechanism} is broken: {wanted}")
 
 
 def test_an_unknown_promise_is_refused():
