--- a/acaciacove/standins/keyed_log_state.py
+++ b/acaciacove/standins/keyed_log_state.py
@@ -13,9 +13,9 @@
     Faults: ``down`` is how calls fail ("busy" answers 503, "reset" closes the
     connection, "silent" never answers). If ``failing_callers`` is not empty, only
     those callers are affected by ``down``. ``rejected_callers`` always get 503.
-    Callers are identified by the name in their User-Agent field. ``lost_replies`` is the
-    number of coming appends that take effect without an answer. ``last_readers``
-    maps a stream to the last caller that read it.
+    Callers are identified by the name in their User-Agent field. ``lost_replies`` is
+    the number of coming appends that take effect without an answer.
+    ``last_readers`` maps a stream to the last caller that read it.
     """
 
     records: dict[str, list[tuple[str, bytes]]] = field(
