--- a/acaciacove/soak/inject_faults.py
+++ b/acaciacove/soak/inject_faults.py
@@ -145,12 +145,12 @@
     store = environment.fleet.store
     name = store.last_readers.get(ENDPOINTS)
     names = [gateway.settings.name for gateway in environment.gateways]
-    if name not in names or name in store.turned_away:
+    if name not in names or name in store.rejected_callers:
         return
-    store.turned_away.add(name)
+    store.rejected_callers.add(name)
     number = names.index(name)
     await _record_until_undone(
-        environment, fault, number, lambda: store.turned_away.discard(name)
+        environment, fault, number, lambda: store.rejected_callers.discard(name)
     )
 
 
@@ -158,7 +158,7 @@
     store = environment.fleet.store
     if fault.kind is FaultKind.LOG_FORGETS:
         for stream in list(store.records):
-            store.forget_history(stream)
+            store.truncate_history(stream)
     elif fault.kind is FaultKind.LOG_LOSES_REPLIES:
         store.lost_replies += 1
     else:
--- a/acaciacove/standins/engine_orders.py
+++ b/acaciacove/standins/engine_orders.py
@@ -27,15 +27,15 @@
         if fence < state.fence and state.profile.refuses_old_fences:
             return json_response({"error": "stale fence", "fence": state.fence}, 409)
         state.fence = max(state.fence, fence)
-        if not await _obey(state, order):
+        if not await _execute(state, order):
             return json_response({"error": "unknown action"}, 400)
         return json_response({"done": True, "fence": state.fence})
 
     return orders
 
 
-async def _obey(state: EngineState, order: dict[str, Any]) -> bool:
-    """Do what an order says; False when there is no such action."""
+async def _execute(state: EngineState, order: dict[str, Any]) -> bool:
+    """Execute an order; return False if its action is unknown."""
     match order.get("action"):
         case "load_version":
             await asyncio.sleep(state.profile.load_version_s)
@@ -51,7 +51,7 @@
 
 
 def export_endpoint(state: EngineState) -> Handler:
-    """Build the handler of ``GET /kv``: the cached prefix blocks as bytes."""
+    """Build the handler of ``GET /kv``, which exports the cached prefix blocks."""
 
     async def export(_: Request) -> Response:
         blocks = b"".join(
@@ -64,14 +64,14 @@
 
 
 def import_endpoint(state: EngineState) -> Handler:
-    """Build the handler of ``POST /kv``: blocks that another engine exported."""
+    """Build the handler of ``POST /kv``, which imports exported prefix blocks."""
 
     async def import_blocks(request: Request) -> Response:
         document = orjson.loads(await request.body())
         blocks = base64.b64decode(document["blocks"])
         for start in range(0, len(blocks), BLOCK_BYTES):
             block = blocks[start : start + BLOCK_BYTES]
-            state.cache.keep(int.from_bytes(block, "big", signed=True))
+            state.cache.insert(int.from_bytes(block, "big", signed=True))
         return json_response({"imported": len(blocks) // BLOCK_BYTES})
 
     return import_blocks
--- a/acaciacove/standins/instance_list_app.py
+++ b/acaciacove/standins/instance_list_app.py
@@ -14,14 +14,14 @@
 
 
 def build_instance_list_app(state: InstanceListState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
 
     async def instances(_: Request) -> Response:
         if state.faults.outage:
             return json_response({"error": "outage"}, 503)
         state.fetches += 1
-        seen = state.seen(asyncio.get_running_loop().time())
-        return json_response({"instances": [instance_to_document(i) for i in seen]})
+        listed = state.listed(asyncio.get_running_loop().time())
+        return json_response({"instances": [instance_to_document(i) for i in listed]})
 
     return Starlette(
         routes=[
--- a/acaciacove/standins/log_app.py
+++ b/acaciacove/standins/log_app.py
@@ -9,7 +9,7 @@
 from starlette.routing import Route
 
 from acaciacove.standins.drop import drop_connection
-from acaciacove.standins.faults import Handler, faults_endpoint, take
+from acaciacove.standins.faults import Handler, consume_fault, faults_endpoint
 from acaciacove.standins.json_response import json_response
 from acaciacove.standins.log_state import LogState, LogStream
 
@@ -19,7 +19,7 @@
 
 
 def build_log_app(state: LogState) -> Starlette:
-    """Build the application over a state that a test may hold as well."""
+    """Build the application; a test may change ``state`` while it runs."""
     records = "/streams/{stream:path}/records"
     return Starlette(
         routes=[
@@ -42,7 +42,7 @@
         stream = state.stream(request.path_params["stream"])
         offset = stream.append(payload, state.faults.keep_records)
         state.appends += 1
-        if take(state.faults, "lose_replies"):
+        if consume_fault(state.faults, "lose_replies"):
             return await drop_connection(request)
         return json_response({"offset": offset}, 201)
 
@@ -74,26 +74,26 @@
 async def _wait_for_record(
     request: Request, stream: LogStream, offset: int, wait_s: float
 ) -> None:
-    """Wait until the stream holds the offset, the time is up, or the reader left."""
-    leaving = asyncio.create_task(_left(request))
+    """Wait for a record at ``offset``, the time-out, or the reader to disconnect."""
+    disconnected = asyncio.create_task(_wait_for_disconnect(request))
     try:
         async with asyncio.timeout(wait_s):
-            while stream.next_offset <= offset and not leaving.done():
+            while stream.next_offset <= offset and not disconnected.done():
                 grown = asyncio.create_task(stream.grown.wait())
                 try:
                     await asyncio.wait(
-                        {grown, leaving}, return_when=asyncio.FIRST_COMPLETED
+                        {grown, disconnected}, return_when=asyncio.FIRST_COMPLETED
                     )
                 finally:
                     grown.cancel()
     except TimeoutError:
         return
     finally:
-        leaving.cancel()
+        disconnected.cancel()
 
 
-async def _left(request: Request) -> None:
-    """Return once the reader has closed its connection."""
+async def _wait_for_disconnect(request: Request) -> None:
+    """Return when the reader has closed its connection."""
     while (await request.receive())["type"] != "http.disconnect":
         pass
 
--- a/acaciacove/standins/serve.py
+++ b/acaciacove/standins/serve.py
@@ -1,4 +1,4 @@
-"""Serving a stand-in inside the running loop."""
+"""Serves stand-ins in the running event loop."""
 
 import asyncio
 import socket
@@ -15,15 +15,15 @@
 BACKLOG = 2048
 START_POLL_S = 0.005
 KEEP_ALIVE_S = 75
-CLOSE_LIMIT_S = 1
+SHUTDOWN_TIMEOUT_S = 1
 
 
-class _QuietServer(Server):
-    """A server that leaves the process's signal handlers alone."""
+class _ServerWithoutSignals(Server):
+    """A server that does not install signal handlers."""
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture nothing: the signals belong to the program around it."""
+        """Capture no signals: the embedding program deals with them."""
         yield
 
 
@@ -31,7 +31,7 @@
 async def serve(
     app: Starlette, host: str = LOOPBACK, port: int = ANY_PORT
 ) -> AsyncIterator[int]:
-    """Serve an application in the current loop and yield its port."""
+    """Serve an application in the current event loop and yield its port."""
     async with serve_all([app], host, [port]) as ports:
         yield ports[0]
 
@@ -42,9 +42,9 @@
     host: str = LOOPBACK,
     ports: Sequence[int] | None = None,
 ) -> AsyncIterator[list[int]]:
-    """Serve several applications, which start and stop together."""
+    """Serve several applications, started and stopped together; yield their ports."""
     listeners = [_listen(host, port) for port in ports or [ANY_PORT] * len(apps)]
-    servers = [_QuietServer(_config(app)) for app in apps]
+    servers = [_ServerWithoutSignals(_config(app)) for app in apps]
     running = [
         asyncio.create_task(server.serve(sockets=[listener]))
         for server, listener in zip(servers, listeners, strict=True)
@@ -59,10 +59,10 @@
 
 
 def _listen(host: str, port: int) -> socket.socket:
-    """Open the listening socket here, so that its port is known.
+    """Open the listening socket before the server starts, to learn its port.
 
-    The protocol is named because asyncio switches Nagle's algorithm off only for
-    sockets that name it; otherwise small writes wait 40 ms for an acknowledgement.
+    The protocol is set explicitly because asyncio sets TCP_NODELAY only on such
+    sockets. With Nagle's algorithm small writes wait 40 ms for an acknowledgement.
     """
     listener = socket.socket(
         socket.AF_INET, socket.SOCK_STREAM, proto=socket.IPPROTO_TCP
@@ -84,7 +84,7 @@
         log_level="critical",
         access_log=False,
         timeout_keep_alive=KEEP_ALIVE_S,
-        timeout_graceful_shutdown=CLOSE_LIMIT_S,
+        timeout_graceful_shutdown=SHUTDOWN_TIMEOUT_S,
     )
 
 
