--- a/acaciacove/gateway/choice/cold_limiter.py
+++ b/acaciacove/gateway/choice/cold_limiter.py
@@ -11,7 +11,7 @@
 
 
 class ColdLimiter:
-    """This gateway's share of the rate that one cold endpoint can serve.
+    """Share of one gateway in the rate that one cold endpoint can serve.
 
     The shares of all gateways add up to at most ``limit``. With more gateways than
     requests per second, a hash selects the ``limit`` gateways that may send any.
--- a/acaciacove/gateway/choice/limit_share.py
+++ b/acaciacove/gateway/choice/limit_share.py
@@ -1,4 +1,4 @@
-"""This gateway's share of a limit on an endpoint, as last computed."""
+"""Share of one gateway in a limit on an endpoint, as last computed."""
 
 from attrs import define
 
--- a/tests/test_decisions_limits.py
+++ b/tests/test_decisions_limits.py
@@ -113,7 +113,7 @@
 
 @given(steps, st.integers(1, 4))
 @settings(derandomize=True, deadline=None, max_examples=150)
-def test_every_item_is_run_refused_or_cancelled_exactly_once(actions, limit):
+def test_every_item_is_run_refused_or_cancelled_at_most_once(actions, limit):
     queue = AdmissionQueue(AdmissionSettings(max_queue=6), limit=limit)
     offered, ran, refused, cancelled = set(), set(), set(), set()
     for now_s, (action, number) in enumerate(actions):
