--- a/acaciacove/decisions/entry_retention.py
+++ b/acaciacove/decisions/entry_retention.py
@@ -49,7 +49,7 @@
         self._recovered_s = recovered_s
         self._reregistered.clear()
         for entry in self._retained.values():
-            entry.expires_s = recovered_s + REREGISTRATION_S
+            entry.expires_at_s = recovered_s + REREGISTRATION_S
             entry.expires_on_read = True
 
     def end_read(self, complete_s: float) -> None:
@@ -72,7 +72,7 @@
             self._reregistered.discard(instance)
             return False
         entry = self._new_entry(now_s, drain_s)
-        if entry.expires_s <= now_s:
+        if entry.expires_at_s <= now_s:
             return False
         self._retained[instance] = entry
         return True
@@ -92,7 +92,7 @@
             instance
             for instance, entry in self._retained.items()
             if (self._last_read_s if entry.expires_on_read else now_s)
-            >= entry.expires_s
+            >= entry.expires_at_s
         ]
         for instance in expired:
             del self._retained[instance]
--- a/acaciacove/entry/router.py
+++ b/acaciacove/entry/router.py
@@ -197,9 +197,9 @@
         if not self.missing_until_s:
             return subset
         self.missing_until_s = {
-            k: expires_s
-            for k, expires_s in self.missing_until_s.items()
-            if expires_s > now_s
+            k: expires_at_s
+            for k, expires_at_s in self.missing_until_s.items()
+            if expires_at_s > now_s
         }
         return tuple(e for e in subset if (e.name, version) not in self.missing_until_s)
 
--- a/acaciacove/gateway/peers/request_gossip.py
+++ b/acaciacove/gateway/peers/request_gossip.py
@@ -80,6 +80,6 @@
         evidence = self.guard.quarantine.evidence
         return [
             CrashSeen(endpoint, tuple(suspects[:MAX_SUSPECTS]))
-            for endpoint, expires_s in self._crash_expiry_s.items()
-            if expires_s > now_s and (suspects := evidence.suspects_of(endpoint))
+            for endpoint, expires_at_s in self._crash_expiry_s.items()
+            if expires_at_s > now_s and (suspects := evidence.suspects_of(endpoint))
         ]
